--- a/silverglade/__main__.py
+++ b/silverglade/__main__.py
@@ -3,9 +3,11 @@
 import argparse
 import sys
 
-from . import __version__, log, options
-from .faults import Fault
-from .tools import operator, place, restore
+from . import __version__
+from .cli import operator, place, restore
+from .runtime import settings as options
+from .runtime import structured_logging as log
+from .runtime.errors import Fault
 
 
 def tolerance(s):
@@ -58,7 +60,7 @@
     if a.check:
         print("settings are sound")
         return 0
-    from .daemon.run import start
+    from .server.daemon import start
 
     start(settings=s, lg=log.setup(level=s["log_level"]), reread=reread, settings_file=a.settings or "")
     return 0
--- a/silverglade/scaler/scaler.py
+++ b/silverglade/autoscaling/scaler.py
@@ -3,12 +3,12 @@
 from datetime import timedelta
 from math import ceil
 
-from ..control import book as bk
-from ..part import ZERO, log
+from ..control import replicated_state as bk
+from ..membership.member import extra
 from ..replicas.registry import KIND, S_STATE, S_USE, ZONE
-from ..roster import extra
-from .chain import smallest
-from .gauge import Gauge
+from ..runtime.effects import ZERO, log
+from .load_measurement import Gauge
+from .markov_chain import smallest
 
 SEC = timedelta(seconds=1)
 
--- a/silverglade/scaler/need.py
+++ b/silverglade/autoscaling/unordered_scaler.py
@@ -6,11 +6,11 @@
 from collections import deque
 from datetime import timedelta
 
-from ..control import book as bk
-from ..part import IDLE, ZERO, log
-from ..roster import CORE, REGION, STATE
-from .chain import room_of, smallest
-from .gauge import Gauge
+from ..control import replicated_state as bk
+from ..membership.member import CORE, REGION, STATE
+from ..runtime.effects import IDLE, ZERO, log
+from .load_measurement import Gauge
+from .markov_chain import room_of, smallest
 
 SEC = timedelta(seconds=1)
 SERVICE, PLACE, ACTIVE, CAPACITY, READY = range(5)  # of a load
--- a/silverglade/tools/client.py
+++ b/silverglade/cli/client.py
@@ -5,7 +5,7 @@
 
 import httpcore
 
-from ..faults import Fault
+from ..runtime.errors import Fault
 
 SLOW = {"connect": 2.0, "read": 8.0, "write": 5.0, "pool": 5.0}
 
--- a/silverglade/tools/operator.py
+++ b/silverglade/cli/operator.py
@@ -5,8 +5,8 @@
 import secrets
 import time
 
-from .. import config as cf
-from ..faults import Fault
+from ..configuration import schema as cf
+from ..runtime.errors import Fault
 from .client import ask, everywhere, good
 
 DONE, PARTIAL, FAULT, NOBODY, UNKNOWN = 0, 1, 2, 3, 4
--- a/silverglade/tools/place.py
+++ b/silverglade/cli/place.py
@@ -5,9 +5,9 @@
 
 import json
 
-from .. import check as c
-from .. import config as cf
-from ..faults import Fault
+from ..configuration import schema as cf
+from ..configuration import validation as c
+from ..runtime.errors import Fault
 
 SPEC = c.table(
     {
--- a/silverglade/tools/restore.py
+++ b/silverglade/cli/restore.py
@@ -6,8 +6,8 @@
 
 from ..control import register as rg
 from ..control.view import Ballot, View
-from ..daemon.disk import Store
-from ..faults import Fault
+from ..runtime.errors import Fault
+from ..server.disk import Store
 
 LEAP = 1000
 
--- a/silverglade/desk.py
+++ b/silverglade/configuration/operator_api.py
@@ -1,12 +1,13 @@
 """The desk (design 2.3, 5.4): control calls, taken by every daemon, settled by the primary."""
 
-from . import __version__, wire
-from .changes import Calls, reply
-from .control import book as bk
-from .directory import named
-from .part import IDLE, ms
-from .replicas.registry import ADDR, HOMES, INC, KIND, LEAVING, PREFIXES, S_CAP, S_RUNNING, S_STATE, S_USE, S_USED, SLOTS, ZONE
-from .roster import extra
+from .. import __version__
+from ..control import replicated_state as bk
+from ..membership.directory import named
+from ..membership.member import extra
+from ..replicas.registry import ADDR, HOMES, INC, KIND, LEAVING, PREFIXES, S_CAP, S_RUNNING, S_STATE, S_USE, S_USED, SLOTS, ZONE
+from ..runtime.effects import IDLE, ms
+from ..transport import framing as wire
+from .operator_calls import Calls, reply
 
 
 def desk(*, me, cores, opt, rng):
--- a/silverglade/changes.py
+++ b/silverglade/configuration/operator_calls.py
@@ -16,9 +16,9 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from .config import digest
-from .messages import FENCED
-from .part import ZERO, send
+from ..runtime.effects import ZERO, send
+from ..transport.message_schemas import FENCED
+from .schema import digest
 
 NOT_TAKEN, UNKNOWN_OUTCOME, OK = 504, 503, 100
 
--- a/silverglade/config.py
+++ b/silverglade/configuration/schema.py
@@ -2,8 +2,8 @@
 
 from hashlib import blake2b
 
-from . import check as c
-from .check import Kind
+from . import validation as c
+from .validation import Kind
 
 CLASS = c.table(
     {
--- a/silverglade/news.py
+++ b/silverglade/configuration/updates.py
@@ -1,8 +1,8 @@
 """How a daemon learns what control holds (design 5.7): it asks with the version held."""
 
-from .control import book as bk
-from .part import ZERO, log, ms, send, span
-from .proxy import proxy_of
+from ..control import replicated_state as bk
+from ..membership.zone_relay import proxy_of
+from ..runtime.effects import ZERO, log, ms, send, span
 
 ASKS_KEPT = 8
 
@@ -163,7 +163,7 @@
     A shard's follower is never changed here: only its owner knows that the claims are
     copied. A ledger has no follower.
     """
-    from .rank import first
+    from ..membership.rendezvous import first
 
     roll, book, reps, due, out, idle = (), {}, (), ZERO, [], {}
 
--- a/silverglade/control/context.py
+++ b/silverglade/control/context.py
@@ -8,7 +8,7 @@
 from datetime import timedelta
 from typing import Any
 
-from ..part import log, post, send
+from ..runtime.effects import log, post, send
 from . import register as rg
 from . import store
 from .messages import Message, encode
--- a/silverglade/control/core.py
+++ b/silverglade/control/core.py
@@ -15,7 +15,7 @@
 from datetime import timedelta
 from typing import Any
 
-from .. import roster
+from ..membership import member as roster
 from . import liveness, plan, replication, serving, snapshots, view_change, witness
 from .context import CoreContext
 from .messages import (
--- a/silverglade/control/heartbeat.py
+++ b/silverglade/control/heartbeat.py
@@ -11,7 +11,7 @@
 from datetime import timedelta
 from typing import Any
 
-from ..part import span
+from ..runtime.effects import span
 from .messages import Heartbeat
 
 
--- a/silverglade/control/liveness.py
+++ b/silverglade/control/liveness.py
@@ -4,8 +4,8 @@
 
 from datetime import timedelta
 
-from ..part import ZERO, ms, span
-from . import book as bk
+from ..runtime.effects import ZERO, ms, span
+from . import replicated_state as bk
 from . import serving, view_change
 from .context import CoreContext
 from .messages import ChosenView, Heartbeat, Pull
--- a/silverglade/control/messages.py
+++ b/silverglade/control/messages.py
@@ -1,6 +1,6 @@
 """The messages between cores, one class a kind (design 5).
 
-On the wire each is an array of its kind and its fields in the order given here (silverglade/messages.py checks the shapes of
+On the wire each is an array of its kind and its fields in the order given here (transport/message_schemas.py checks the shapes of
 all kinds before any part sees them; wire.py packs them). `decode` checks a body once, at the door of the control part;
 behind it messages are matched by class.
 """
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from . import book as bk
+from . import replicated_state as bk
 from .view import Ballot, View, ballot_of, is_ballot, is_view, is_view_or_none, plain, view_of
 
 Version = tuple[int, int]
@@ -153,7 +153,7 @@
 
 
 class Fence(NamedTuple):
-    """A client asks on which version an operation without a base of its own would rest now (silverglade/changes.py)."""
+    """A client asks on which version an operation without a base of its own would rest now (configuration/operator_calls.py)."""
 
     number: int
     operation: tuple[Any, ...]
--- a/silverglade/control/book.py
+++ b/silverglade/control/replicated_state.py
@@ -7,8 +7,9 @@
 A version is (epoch, number); (0, 0) is before everything.
 """
 
-from .. import config, wire
-from ..faults import Fault
+from ..configuration import schema as config
+from ..runtime.errors import Fault
+from ..transport import framing as wire
 from . import outcomes
 
 START = outcomes.START
--- a/silverglade/control/replication.py
+++ b/silverglade/control/replication.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 from typing import Any
 
-from . import book as bk
+from . import replicated_state as bk
 from . import serving, store
 from .context import CoreContext
 from .messages import Fence, Fenced, Item, Items, Operation, OperationResult, Replicate, Replicated, Result, ShownItems, Version
--- a/silverglade/control/seek.py
+++ b/silverglade/control/seek.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from ..part import span
+from ..runtime.effects import span
 from . import register as rg
 from .messages import Accept, Accepted, Prepare, Promise, Rejected
 from .register import Behind, Chosen, Lost, Round
--- a/silverglade/control/serving.py
+++ b/silverglade/control/serving.py
@@ -4,8 +4,8 @@
 
 from datetime import timedelta
 
-from ..part import ms
-from . import book as bk
+from ..runtime.effects import ms
+from . import replicated_state as bk
 from . import store
 from .context import CoreContext
 from .messages import Items, NewsRequest, Pull, ShownItems, Version
--- a/silverglade/control/snapshots.py
+++ b/silverglade/control/snapshots.py
@@ -4,9 +4,9 @@
 
 from datetime import timedelta
 
-from . import book as bk
 from . import liveness, replication, serving, store, view_change
 from . import register as rg
+from . import replicated_state as bk
 from .context import CoreContext
 from .messages import Snapshot, SnapshotSynced
 from .state import OpeningSnapshot, StoreOnDisk
--- a/silverglade/control/state.py
+++ b/silverglade/control/state.py
@@ -8,9 +8,9 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from ..part import ZERO
-from . import book as bk
+from ..runtime.effects import ZERO
 from . import register as rg
+from . import replicated_state as bk
 from .heartbeat import Peers
 from .messages import Items, Result, Version
 from .outcomes import Ages
--- a/silverglade/control/store.py
+++ b/silverglade/control/store.py
@@ -5,8 +5,8 @@
 from collections.abc import Collection, Iterable
 from typing import Any
 
-from . import book as bk
 from . import outcomes
+from . import replicated_state as bk
 from .messages import Items, Version
 from .writes import DiskOperation
 
--- a/silverglade/control/writes.py
+++ b/silverglade/control/writes.py
@@ -11,7 +11,7 @@
 from datetime import timedelta
 from typing import Any, NamedTuple
 
-from ..part import ZERO, log, ms
+from ..runtime.effects import ZERO, log, ms
 from .messages import Message, Version
 
 Effect = tuple[Any, ...]
--- a/silverglade/front/app.py
+++ b/silverglade/http/app.py
@@ -5,9 +5,9 @@
 
 import anyio
 
-from ..faults import Fault, status
-from ..faults import body as fault_body
-from .routes import route
+from ..runtime.errors import Fault, status
+from ..runtime.errors import body as fault_body
+from .handlers import route
 
 CAP = 4 * 1024 * 1024 + 1024
 BODY_SECS = 20
--- a/silverglade/front/forward.py
+++ b/silverglade/http/forwarding_protocol.py
@@ -11,9 +11,9 @@
 import h11
 from uvicorn.protocols.http.h11_impl import H11Protocol
 
-from ..daemon.ask import Ask, kept, small
-from ..daemon.run import BODIES
-from ..daemon.upstream import SECOND
+from ..server.client_request import Ask, kept, small
+from ..server.daemon import BODIES
+from .connection_pool import SECOND
 
 RESET = struct.pack("ii", 1, 0)
 OWN = frozenset((b"expect", b"content-length"))
--- a/silverglade/front/routes.py
+++ b/silverglade/http/handlers.py
@@ -4,10 +4,10 @@
 import json
 import secrets
 
-from ..faults import CODES, Fault, status
-from ..options import ROLES
-from ..part import span
-from .changes import portable, settled
+from ..runtime.effects import span
+from ..runtime.errors import CODES, Fault, status
+from ..runtime.settings import ROLES
+from .operator_changes import portable, settled
 
 DIGITS = 18  # of numbers in a head: they stay within what is sent
 
@@ -93,7 +93,7 @@
         case ("GET", ["healthz"]):
             return await answer(send, 200, {"daemon": d.s["name"]})
         case ("GET", ["metrics"]):
-            from .metrics import exposition  # a library that no daemon needs until it is asked
+            from .metrics import exposition
 
             b = await exposition(d)
             await send(
--- a/silverglade/front/serve.py
+++ b/silverglade/http/listener.py
@@ -7,7 +7,7 @@
 import uvicorn
 
 from .app import app
-from .forward import Face
+from .forwarding_protocol import Face
 
 BACKLOG = 1024  # a full queue of new connections drops the opening packet, which costs its client seconds
 
--- a/silverglade/front/changes.py
+++ b/silverglade/http/operator_changes.py
@@ -3,8 +3,8 @@
 import anyio
 import anyio.lowlevel
 
-from .. import wire
-from ..faults import Fault
+from ..runtime.errors import Fault
+from ..transport import framing as wire
 
 TURNS = 8  # of the event loop: after so many a caller that left before its call was read has been seen to leave
 
--- a/silverglade/directory.py
+++ b/silverglade/membership/directory.py
@@ -1,6 +1,6 @@
 """Which daemons the directory names to a client (design 15.7): pure, over the roll and the configuration."""
 
-from .roster import REGION, STATE, ZONE, extra
+from .member import REGION, STATE, ZONE, extra
 
 FEW = 2  # so many daemons of a zone are enough for its clients
 
--- a/silverglade/roster.py
+++ b/silverglade/membership/member.py
@@ -3,10 +3,10 @@
 
 from bisect import bisect
 
-from . import soft
-from .part import ZERO, log, ms, post, send, span
-from .rank import score
-from .soft import CORES, KIND, RANK, VALUE
+from ..runtime.effects import ZERO, log, ms, post, send, span
+from . import replicated_table as soft
+from .rendezvous import score
+from .replicated_table import CORES, KIND, RANK, VALUE
 
 # record: id, life, inc, number, zone, region, addr, http, core, state, doubts (unused), extra
 ID, LIFE, INC, BEAT, ZONE, REGION, ADDR, HTTP, CORE, STATE, DOUBTS, EXTRA = range(12)
--- a/silverglade/proxy.py
+++ b/silverglade/membership/zone_relay.py
@@ -2,10 +2,10 @@
 
 from collections import deque
 
-from .control import book as bk
-from .part import IDLE, ms, post, send, span
-from .rank import first
-from .roster import ADDR, CORE, ID, STATE, ZONE, fit
+from ..control import replicated_state as bk
+from ..runtime.effects import IDLE, ms, post, send, span
+from .member import ADDR, CORE, ID, STATE, ZONE, fit
+from .rendezvous import first
 
 KEPT = 1024  # messages of rows that wait for a core to be asked again
 FEW = 6  # so many daemons of a zone ask a core themselves
--- a/silverglade/rehearsal/__init__.py
+++ b/silverglade/rehearsal/__init__.py
@@ -0,0 +1,1 @@
+"""The former name of `silverglade.testbed`; kept for one version, so that operators' commands go on working."""
--- a/silverglade/replicas/elect.py
+++ b/silverglade/replicas/candidate_selection.py
@@ -1,7 +1,7 @@
 """Which replicas an order may go to, in order of preference (design 7.2)."""
 
-from .. import config
-from ..rank import score
+from ..configuration import schema as config
+from ..membership.rendezvous import score
 from .registry import PREFIXES, S_CAP, S_USED, ZONE, usable
 
 
--- a/silverglade/replicas/registry.py
+++ b/silverglade/replicas/registry.py
@@ -5,9 +5,9 @@
 Both merge monotonically and travel as soft state (4.1): kinds "replica", "mark" and "status".
 """
 
-from .. import check as c
-from ..control import book as bk
-from ..part import ZERO, log, post, span
+from ..configuration import validation as c
+from ..control import replicated_state as bk
+from ..runtime.effects import ZERO, log, post, span
 
 RID, INC, BEAT, ADDR, ZONE, KIND, HOMES, PREFIXES, SLOTS, LEAVING = range(10)
 S_RID, S_INC, S_EPOCH, S_NUM, S_STATE, S_USE, S_SERVED, S_RUNNING, S_CAP, S_USED = range(10)
--- a/silverglade/replicas/ledger.py
+++ b/silverglade/replicas/slot_leases.py
@@ -1,6 +1,6 @@
 """Slot ledgers (design 7.3): one holder per replica hands out its slots, under an epoch."""
 
-from ..part import IDLE, ZERO, log, post, send
+from ..runtime.effects import IDLE, ZERO, log, post, send
 from .registry import ADDR, INC, LEAVING, S_EPOCH, S_NUM, SLOTS, ZONE, evacuated
 
 
--- a/silverglade/forward/catalog.py
+++ b/silverglade/routing/endpoint_list.py
@@ -4,11 +4,11 @@
 be; each replica is asked how it does by one daemon of its region (16.4). What changes travels as soft state.
 """
 
-from ..part import IDLE, ZERO, log, post
-from ..rank import ranked
-from ..roster import extra
+from ..membership.member import extra
+from ..membership.rendezvous import ranked
+from ..runtime.effects import IDLE, ZERO, log, post
 from . import replicas as rp
-from .probe import Prober
+from .health_checks import Prober
 
 LISTED, LOAD = "listed", "load"  # kinds of soft state
 MISSED = 2  # lists without it, before a replica counts as gone
--- a/silverglade/forward/departure.py
+++ b/silverglade/routing/graceful_shutdown.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from ..part import ZERO
+from ..runtime.effects import ZERO
 
 WINDOW = timedelta(seconds=10)  # the slowest answers are remembered for one to two of these
 ELSEWHERE = 0.1  # seconds until a request that a leaving daemon refuses may come back: another daemon takes it
--- a/silverglade/forward/probe.py
+++ b/silverglade/routing/health_checks.py
@@ -9,7 +9,7 @@
 from collections import deque
 from datetime import timedelta
 
-from ..rank import first
+from ..membership.rendezvous import first
 
 SEC = timedelta(seconds=1)
 SPREAD = 8  # parts of a turn over which first probes are spread
--- a/silverglade/forward/suspicion.py
+++ b/silverglade/routing/outlier_ejection.py
@@ -14,8 +14,8 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from ..part import ms, span
-from ..rank import first
+from ..membership.rendezvous import first
+from ..runtime.effects import ms, span
 
 SUSPECT = "suspect"  # kind of soft state: "REPLICA DAEMON" -> (for how many ms the accusation counts,)
 SOUND = (0,)  # the same row: this daemon tried the replica, which ends all that was said
--- a/silverglade/forward/placement.py
+++ b/silverglade/routing/prefill_placement.py
@@ -9,9 +9,9 @@
 
 from datetime import timedelta
 
-from ..part import send
-from .prefill import Ledger, Lengths, Prompt, Question, prompt_of, sound_parts
-from .probe import prober
+from ..runtime.effects import send
+from .health_checks import prober
+from .prefill_backlog import Ledger, Lengths, Prompt, Question, prompt_of, sound_parts
 
 ANSWER_WITHIN = timedelta(milliseconds=30)  # a holder's answer; it is of the own region
 SILENT_FOR = timedelta(seconds=2)  # a holder that did not answer is not asked for so long
--- a/silverglade/forward/choose.py
+++ b/silverglade/routing/replica_selection.py
@@ -5,7 +5,7 @@
 next, by the work that stands at each. Another region only where the own one cannot take the request.
 """
 
-from ..rank import ranked
+from ..membership.rendezvous import ranked
 
 HOT = 1.35  # of the mean work, before a prompt goes to the next in order (bounded load)
 SPARE = 4  # requests of this size above that, before a prompt goes on
--- a/silverglade/forward/replicas.py
+++ b/silverglade/routing/replicas.py
@@ -5,7 +5,7 @@
 
 from datetime import timedelta
 
-from ..part import ZERO, span
+from ..runtime.effects import ZERO, span
 
 RID, ADDR, ZONE, REGION, SERVICE, SLOTS, LEAVING, COLD_MS, GONE_MS = range(9)
 TYPES = (str, str, str, str, str, int, bool, int, int)
--- a/silverglade/forward/request.py
+++ b/silverglade/routing/request.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from ..part import ms, span
+from ..runtime.effects import ms, span
 
 
 class Request:
--- a/silverglade/forward/routes.py
+++ b/silverglade/routing/route_table.py
@@ -1,6 +1,6 @@
 """Which route a request takes (design 15.2): a table made once per configuration."""
 
-from ..rank import score
+from ..membership.rendezvous import score
 
 
 def table(cfg, /):
--- a/silverglade/forward/part.py
+++ b/silverglade/routing/router.py
@@ -6,18 +6,19 @@
 
 from datetime import timedelta
 
-from ..control import book as bk
-from ..part import ZERO, log, span
+from ..control import replicated_state as bk
 from ..replicas.registry import evacuated
-from . import choose, routes
+from ..runtime.effects import ZERO, log, span
+from . import replica_selection as choose
 from . import replicas as rp
-from .budget import Budget
-from .cold import Cold
-from .departure import ELSEWHERE, Departure
-from .placement import Placement
-from .reach import Reach
+from . import route_table as routes
+from .graceful_shutdown import ELSEWHERE, Departure
+from .outlier_ejection import SUSPECT, Member, Suspicions
+from .prefill_placement import Placement
+from .reachability import Reach
 from .request import Request, described, work_of
-from .suspicion import SUSPECT, Member, Suspicions
+from .retry_budget import Budget
+from .slow_start import Cold
 
 SECOND = timedelta(seconds=1)
 MEMBER = timedelta(seconds=60)  # a daemon that was known lately counts, also dead or cut off
--- a/silverglade/forward/cold.py
+++ b/silverglade/routing/slow_start.py
@@ -11,7 +11,7 @@
 from datetime import timedelta
 from math import floor
 
-from ..rank import ranked
+from ..membership.rendezvous import ranked
 
 SEC = timedelta(seconds=1)
 
--- a/silverglade/hub.py
+++ b/silverglade/runtime/daemon_machine.py
@@ -6,24 +6,24 @@
 
 from collections import deque
 
-from . import __version__
-from .control.core import core
-from .desk import desk
-from .forward.catalog import catalog
-from .forward.part import forward
-from .messages import checked, known
-from .news import keeper, news
-from .part import ZERO, log, start
-from .path.ingress import ingress
-from .proxy import proxy
-from .replicas.ledger import ledger
-from .replicas.registry import registry
-from .roster import roster
-from .scaler.need import need
-from .scaler.scaler import scaler
-from .shards.follower import follower
-from .shards.owner import owner
-from .table import table
+from .. import __version__
+from ..autoscaling.scaler import scaler
+from ..autoscaling.unordered_scaler import need
+from ..configuration.operator_api import desk
+from ..configuration.updates import keeper, news
+from ..control.core import core
+from ..membership.core_table import table
+from ..membership.member import roster
+from ..membership.zone_relay import proxy
+from ..replicas.registry import registry
+from ..replicas.slot_leases import ledger
+from ..routing.endpoint_list import catalog
+from ..routing.router import forward
+from ..tenant_requests.ingress import ingress
+from ..tenant_shards.follower import follower
+from ..tenant_shards.owner import owner
+from ..transport.message_schemas import checked, known
+from .effects import ZERO, log, start
 
 # which part hears which message between daemons
 HEARS = {
--- a/silverglade/options.py
+++ b/silverglade/runtime/settings.py
@@ -4,8 +4,8 @@
 import json
 from datetime import timedelta as td
 
-from . import check as c
-from .faults import Fault
+from ..configuration import validation as c
+from .errors import Fault
 
 # what decides over requests and can be switched off one by one (docs/measures.md); rules of a deployment need none of them
 MECHANISMS = ("prefix", "hot-bound", "spill", "holds", "silence", "urgency", "reuse", "probed-load", "shared-suspicion", "prefill-ledger")
--- a/silverglade/daemon/ask.py
+++ b/silverglade/server/client_request.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from ..faults import CODES
+from ..runtime.errors import CODES
 
 HOP = frozenset(
     (
--- a/silverglade/daemon/run.py
+++ b/silverglade/server/daemon.py
@@ -11,18 +11,19 @@
 import anyio.lowlevel
 import anyio.to_thread
 
-from ..dialect import OWN
-from ..faults import Fault
-from ..hub import Hub
-from ..log import line
-from ..rank import first
-from . import callout, departure
-from .departure import clock
+from ..http.dialect import OWN
+from ..membership.rendezvous import first
+from ..runtime.daemon_machine import Hub
+from ..runtime.errors import Fault
+from ..runtime.structured_logging import line
+from ..transport.connections import Links
+from . import replica_calls as callout
+from . import shutdown as departure
 from .disk import Store
-from .forwarding import Shell
-from .lanes import Lanes
-from .links import Links
-from .tree import keep
+from .priority_queues import Lanes
+from .request_forwarding import Shell
+from .shutdown import clock
+from .supervisor import keep
 
 RELAY, DISK, GROUP = 256, 4096, 256
 BODIES = 64 * 1024 * 1024  # bytes of visitors' bodies held at once
@@ -333,7 +334,7 @@
         self.lg.info(line("settings", [("level", new["log_level"]), ("seeds", ",".join(new["seeds"]))]))
 
     async def run(self):
-        from ..front.serve import serve
+        from ..http.listener import serve
 
         s = self.s
         self.lg.info(
--- a/silverglade/daemon/disk.py
+++ b/silverglade/server/disk.py
@@ -9,8 +9,8 @@
 
 import ormsgpack
 
-from ..faults import Fault
-from ..wire import tupled
+from ..runtime.errors import Fault
+from ..transport.framing import tupled
 
 MARK, SHAPE = 0x51_76_6C_67, 2  # application_id, user_version
 OLD = (1,)  # layouts that are read and taken over: 1, before views had several backups
--- a/silverglade/daemon/lanes.py
+++ b/silverglade/server/priority_queues.py
@@ -11,8 +11,8 @@
 
 import anyio
 
-from ..faults import Fault
-from ..hub import HEARS
+from ..runtime.daemon_machine import HEARS
+from ..runtime.errors import Fault
 
 FIRST, WORK, DOOR = 4096, 4096, 256
 SHARE = 4
--- a/silverglade/daemon/forwarding.py
+++ b/silverglade/server/request_forwarding.py
@@ -12,13 +12,13 @@
 import anyio
 import httpcore
 
-from ..faults import Fault
-from ..forward.departure import ELSEWHERE
-from ..log import line
-from .ask import Limits, kept, seconds, small
-from .events import Splitter, beyond, last_id
-from .silence import SilenceWatch
-from .upstream import SECOND, Pool, Stale, Unsent
+from ..http.connection_pool import SECOND, Pool, Stale, Unsent
+from ..http.event_stream import Splitter, beyond, last_id
+from ..routing.graceful_shutdown import ELSEWHERE
+from ..runtime.errors import Fault
+from ..runtime.structured_logging import line
+from .client_request import Limits, kept, seconds, small
+from .response_timeouts import SilenceWatch
 
 HOLD = 1024 * 1024  # bytes of an answer held until it is whole
 PROBES = 1 << 16  # a probe takes what connection there is
--- a/silverglade/daemon/silence.py
+++ b/silverglade/server/response_timeouts.py
@@ -3,7 +3,7 @@
 import asyncio
 import time
 
-from .upstream import SECOND
+from ..http.connection_pool import SECOND
 
 LOOK_EVERY = 0.1  # seconds between looks at the tries under way
 
--- a/silverglade/daemon/departure.py
+++ b/silverglade/server/shutdown.py
@@ -6,8 +6,8 @@
 
 import anyio
 
-from ..leaving import timetable
-from ..log import line
+from ..runtime.shutdown_timetable import timetable
+from ..runtime.structured_logging import line
 
 GRACE = timedelta(seconds=31)  # of a daemon of which nothing else says how long it may take
 LOOK, LAST_LOOKS = 0.1, 0.05  # seconds between looks at what is under way
--- a/silverglade/daemon/tree.py
+++ b/silverglade/server/supervisor.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from ..log import line
+from ..runtime.structured_logging import line
 
 FEW, WITHIN = 5, timedelta(seconds=30)
 
--- a/silverglade/path/admit.py
+++ b/silverglade/tenant_requests/admission.py
@@ -1,8 +1,8 @@
 """The admit stage (design 6.1): an order's head checked against the configuration."""
 
-from .. import config
-from ..faults import Fault
-from ..part import ms, span
+from ..configuration import schema as config
+from ..runtime.effects import ms, span
+from ..runtime.errors import Fault
 
 WORD = 200
 
--- a/silverglade/path/ingress.py
+++ b/silverglade/tenant_requests/ingress.py
@@ -2,14 +2,14 @@
 
 from boltons.cacheutils import LRI
 
-from ..config import homes
-from ..control import book as bk
-from ..faults import Fault
-from ..part import IDLE, ms, send
-from ..rank import ranked
+from ..configuration.schema import homes
+from ..control import replicated_state as bk
+from ..membership.rendezvous import ranked
 from ..replicas.registry import INC, evacuated, usable
-from .admit import admit, sure
-from .order import order
+from ..runtime.effects import IDLE, ms, send
+from ..runtime.errors import Fault
+from .admission import admit, sure
+from .request import order
 
 WINDOW = 128  # pieces handed on that its visitor has not taken yet (6.6)
 KNOWN = 4096  # keys remembered, to tell a repeated one without its header
--- a/silverglade/path/order.py
+++ b/silverglade/tenant_requests/request.py
@@ -5,8 +5,8 @@
 fresh(now).
 """
 
-from ..part import ZERO, log, ms, send, span
-from .admit import sure
+from ..runtime.effects import ZERO, log, ms, send, span
+from .admission import sure
 
 ENDS = ("whole", "done", "fault")
 
--- a/silverglade/shards/follower.py
+++ b/silverglade/tenant_shards/follower.py
@@ -4,8 +4,8 @@
 States: "claimed" (may run), "ran" (a replica had it), "done".
 """
 
-from ..control import book as bk
-from ..part import send
+from ..control import replicated_state as bk
+from ..runtime.effects import send
 from .shard import aged
 
 
--- a/silverglade/shards/owner.py
+++ b/silverglade/tenant_shards/owner.py
@@ -1,13 +1,13 @@
 """Shard owners (design 6): one owner per tenant; queue, claim, elect, grant."""
 
-from ..config import digest
-from ..control import book as bk
-from ..part import IDLE, ZERO, log, post, send, span
-from ..rank import ranked
-from ..replicas.elect import elect
+from ..configuration.schema import digest
+from ..control import replicated_state as bk
+from ..membership.rendezvous import ranked
+from ..replicas.candidate_selection import elect
 from ..replicas.registry import ADDR, INC, S_STATE, ZONE, evacuated
-from .budget import Budget
-from .entry import Entry
+from ..runtime.effects import IDLE, ZERO, log, post, send, span
+from .queued_request import Entry
+from .retry_budget import Budget
 from .shard import Shard
 
 
--- a/silverglade/shards/budget.py
+++ b/silverglade/tenant_shards/retry_budget.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from ..roster import ID, extra
+from ..membership.member import ID, extra
 
 
 class Budget:
--- a/silverglade/shards/shard.py
+++ b/silverglade/tenant_shards/shard.py
@@ -6,7 +6,7 @@
 
 from boltons.cacheutils import LRI
 
-from ..part import log, send
+from ..runtime.effects import log, send
 
 
 def aged(claims, most):
--- a/silverglade/rehearsal/config_history.py
+++ b/silverglade/testbed/checkers/configuration_history.py
@@ -1,6 +1,6 @@
 """What operators sent to the forwarding path, and what may be in force at a moment (design 15)."""
 
-from ..forward import routes
+from ...routing import route_table as routes
 
 
 class ConfigHistory:
--- a/silverglade/rehearsal/rules.py
+++ b/silverglade/testbed/checkers/forwarding_rules.py
@@ -9,9 +9,9 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from ..part import ZERO
-from .asks import answer, pieces, word
-from .config_history import ConfigHistory
+from ...runtime.effects import ZERO
+from ..fake_servers.request_format import answer, pieces, word
+from .configuration_history import ConfigHistory
 
 SEC, MS = timedelta(seconds=1), timedelta(milliseconds=1)
 PROMISES = (408, 421, 429, 503)
--- a/silverglade/rehearsal/watch.py
+++ b/silverglade/testbed/checkers/invariant_monitor.py
@@ -3,7 +3,7 @@
 from collections import deque
 from datetime import timedelta
 
-from ..control.book import START
+from ...control.replicated_state import START
 
 SEC = timedelta(seconds=1)
 GLANCE = timedelta(milliseconds=250)
--- a/silverglade/rehearsal/call_history.py
+++ b/silverglade/testbed/checkers/operator_history.py
@@ -9,7 +9,7 @@
 from datetime import timedelta
 from typing import Any, NamedTuple
 
-from .linearizable import Operation, Verdict, Zone, judged
+from .linearizability import Operation, Verdict, Zone, judged
 
 IN_FORCE_S = 3.0  # an acknowledged change is held wherever control can be reached
 WORK_ENDS_S = 5.0  # the last new work in an emptied zone, also by a daemon that is cut off
--- a/silverglade/rehearsal/oracle.py
+++ b/silverglade/testbed/checkers/request_oracle.py
@@ -3,8 +3,8 @@
 from collections import defaultdict
 from datetime import timedelta
 
-from ..config import digest
-from .watch import Law, Retries, Watch
+from ...configuration.schema import digest
+from .invariant_monitor import Law, Retries, Watch
 
 SEC = timedelta(seconds=1)
 LEAVE = timedelta(seconds=5)
--- a/silverglade/rehearsal/backlog.py
+++ b/silverglade/testbed/experiments/change_backlog.py
@@ -5,11 +5,11 @@
 
 import ormsgpack
 
-from ..control.register import members
-from . import council
-from .council import closing, losses, served
-from .repairs import Cluster
-from .trials import read_back
+from ...control.register import members
+from ..faults.control_faults import read_back
+from ..simulator import control_cluster as council
+from ..simulator.control_cluster import closing, losses, served
+from .second_loss import Cluster
 
 AWAY = ("down", "cut off", "disk full")
 
--- a/silverglade/rehearsal/needday.py
+++ b/silverglade/testbed/experiments/demand_day.py
@@ -9,10 +9,10 @@
 from datetime import timedelta
 from math import ceil, pi, sin
 
-from ..options import tuning
-from ..part import start
-from ..scaler.chain import room_of, smallest
-from ..scaler.need import need
+from ...autoscaling.markov_chain import room_of, smallest
+from ...autoscaling.unordered_scaler import need
+from ...runtime.effects import start
+from ...runtime.settings import tuning
 
 SEC = timedelta(seconds=1)
 STEP = 0.02
--- a/silverglade/rehearsal/scale.py
+++ b/silverglade/testbed/experiments/fleet_cost.py
@@ -5,9 +5,9 @@
 
 from collections import Counter
 
-from .. import wire
-from .scene import Scene
-from .towns import CHAT, LOOKUP, TOWNS, tenant, town
+from ...transport import framing as wire
+from ..simulator.scenario import Scene
+from ..sites import CHAT, LOOKUP, TOWNS, tenant, town
 
 
 def plain(daemons):
--- a/silverglade/rehearsal/loopback.py
+++ b/silverglade/testbed/experiments/loopback_cpu.py
@@ -1,6 +1,6 @@
 """Processor time of the forwarding path's shell over loopback sockets (design 15.3).
 
-    python -m silverglade.rehearsal.loopback [requests]
+    python -m silverglade.testbed.experiments.loopback_cpu [requests]
 
 A second process plays clients and replica; the part is a stand-in that makes one try.
 """
@@ -16,10 +16,10 @@
 import uvicorn
 from uvicorn.server import ServerState
 
-from ..daemon.forwarding import Shell
-from ..daemon.lanes import Lanes
-from ..dialect import OWN
-from ..front.forward import Face
+from ...http.dialect import OWN
+from ...http.forwarding_protocol import Face
+from ...server.priority_queues import Lanes
+from ...server.request_forwarding import Shell
 
 ID, SEAL = OWN.attempt, OWN.seal
 EVENTS = 36
--- a/silverglade/rehearsal/policy.py
+++ b/silverglade/testbed/experiments/policy.py
@@ -3,7 +3,7 @@
 import json
 from concurrent.futures import ProcessPoolExecutor
 
-from ..options import MECHANISMS
+from ...runtime.settings import MECHANISMS
 from .policy_day import play
 from .policy_figures import HEAD, line
 from .policy_sites import DAYS
--- a/silverglade/rehearsal/policy_actors.py
+++ b/silverglade/testbed/experiments/policy_actors.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from ..forward.part import forward
-from ..part import ms, start
-from .asks import SEC
-from .engine import Engine
+from ...routing.router import forward
+from ...runtime.effects import ms, start
+from ..fake_servers.replica_engine import Engine
+from ..fake_servers.request_format import SEC
 from .policy_sites import Kind
 
 
--- a/silverglade/rehearsal/policy_day.py
+++ b/silverglade/testbed/experiments/policy_day.py
@@ -12,10 +12,10 @@
 from datetime import timedelta
 from math import cos, pi
 
-from ..forward.suspicion import SUSPECT
-from ..options import tuning
-from ..part import ms
-from .asks import MS, SEC, Ask
+from ...routing.outlier_ejection import SUSPECT
+from ...runtime.effects import ms
+from ...runtime.settings import tuning
+from ..fake_servers.request_format import MS, SEC, Ask
 from .policy_actors import Client, Front, Replica, Trip
 from .policy_figures import Figures
 from .policy_sites import DAYS, Prompts, configuration, two_regions
--- a/silverglade/rehearsal/policy_sites.py
+++ b/silverglade/testbed/experiments/policy_sites.py
@@ -6,9 +6,9 @@
 from datetime import timedelta
 from math import log, sqrt
 
-from .. import config
-from ..part import ms
-from .asks import MS, SEC, Spec
+from ...configuration import schema as config
+from ...runtime.effects import ms
+from ..fake_servers.request_format import MS, SEC, Spec
 
 
 @dataclass(slots=True)
--- a/silverglade/rehearsal/measure.py
+++ b/silverglade/testbed/experiments/recovery_figures.py
@@ -2,8 +2,8 @@
 
 from datetime import timedelta
 
-from .faults import Faults
-from .scene import Scene
+from ..faults.daemon_faults import Faults
+from ..simulator.scenario import Scene
 
 SEC = timedelta(seconds=1)
 
--- a/silverglade/rehearsal/longday.py
+++ b/silverglade/testbed/experiments/scaler_days.py
@@ -3,10 +3,10 @@
 from datetime import timedelta
 from math import pi, sin
 
-from ..options import tuning
-from ..part import span
-from .scene import Scene
-from .standin import Replica
+from ...runtime.effects import span
+from ...runtime.settings import tuning
+from ..simulator.scenario import Scene
+from ..simulator.tenant_replicas import Replica
 
 SEC = timedelta(seconds=1)
 
--- a/silverglade/rehearsal/repairs.py
+++ b/silverglade/testbed/experiments/second_loss.py
@@ -9,10 +9,10 @@
 
 import ormsgpack
 
-from ..control.register import disks, majority, members
-from . import council
-from .council import SEC, Core, Council, closing, losses, served
-from .trials import read_back
+from ...control.register import disks, majority, members
+from ..faults.control_faults import read_back
+from ..simulator import control_cluster as council
+from ..simulator.control_cluster import SEC, Core, Council, closing, losses, served
 
 GRACE = 8.0  # seconds from SIGTERM to SIGKILL
 COPIES = ("snap", "repl", "items")
--- a/silverglade/rehearsal/listing.py
+++ b/silverglade/testbed/fake_servers/endpoint_list_server.py
@@ -5,9 +5,9 @@
 
 import anyio
 
-from ..part import ZERO, ms
-from .asks import SEC
-from .talk import CLOSED, Names, Talk, clock, reset
+from ...runtime.effects import ZERO, ms
+from .http_exchange import CLOSED, Names, Talk, clock, reset
+from .request_format import SEC
 
 
 class Listing:
--- a/silverglade/rehearsal/engine.py
+++ b/silverglade/testbed/fake_servers/replica_engine.py
@@ -17,8 +17,8 @@
 import random
 from collections import OrderedDict, deque
 
-from ..part import ZERO, ms
-from .asks import KINDS, MS, SEC, Job, answer, length, pieces, word
+from ...runtime.effects import ZERO, ms
+from .request_format import KINDS, MS, SEC, Job, answer, length, pieces, word
 
 STALE = 100 * MS  # how old a report is
 
--- a/silverglade/rehearsal/replica.py
+++ b/silverglade/testbed/fake_servers/replica_process.py
@@ -144,7 +144,7 @@
 
 
 def parser():
-    p = argparse.ArgumentParser(prog="silverglade.rehearsal.replica")
+    p = argparse.ArgumentParser(prog="silverglade.testbed.fake_servers.replica_process")
     for k in ("id", "address", "zone", "kind", "homes", "daemons", "runs"):
         p.add_argument("--" + k, required=True)
     p.add_argument("--told", default="")
--- a/silverglade/rehearsal/engines.py
+++ b/silverglade/testbed/fake_servers/replica_server.py
@@ -14,12 +14,12 @@
 import anyio
 import h11
 
-from ..dialect import OWN
-from .asks import MS, SEC, Ask
-from .engine import Engine
-from .listing import Listing
-from .rules import seal
-from .talk import CLOSED, Box, Names, Talk, clock, reset
+from ...http.dialect import OWN
+from ..checkers.forwarding_rules import seal
+from .endpoint_list_server import Listing
+from .http_exchange import CLOSED, Box, Names, Talk, clock, reset
+from .replica_engine import Engine
+from .request_format import MS, SEC, Ask
 
 GARBAGE = b"\x16\x03\x01 nothing that is an answer\r\n\r\n"
 
@@ -240,9 +240,11 @@
 
 
 if __name__ == "__main__":
-    from .towns import SITES
+    from ..sites import SITES
 
-    p = argparse.ArgumentParser(prog="python -m silverglade.rehearsal.engines", description="a town's replicas on loopback")
+    p = argparse.ArgumentParser(
+        prog="python -m silverglade.testbed.fake_servers.replica_server", description="a town's replicas on loopback"
+    )
     p.add_argument("--town", choices=SITES, default="hamlet")
     p.add_argument("--seed", type=int, default=1)
     a_ = p.parse_args()
--- a/silverglade/rehearsal/asks.py
+++ b/silverglade/testbed/fake_servers/request_format.py
@@ -4,7 +4,7 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from ..part import ZERO
+from ...runtime.effects import ZERO
 
 SEC, MS = timedelta(seconds=1), timedelta(milliseconds=1)
 CALM = 5  # urgency of who names none
--- a/silverglade/rehearsal/trials.py
+++ b/silverglade/testbed/faults/control_faults.py
@@ -2,8 +2,8 @@
 
 from datetime import timedelta
 
-from ..control.register import majority
-from .council import SEC, Core, Operator, closing, losses, served, settled
+from ...control.register import majority
+from ..simulator.control_cluster import SEC, Core, Operator, closing, losses, served, settled
 
 BACK = 8.0  # seconds until control serves again, whatever failed within the tolerance
 
--- a/silverglade/rehearsal/faults.py
+++ b/silverglade/testbed/faults/daemon_faults.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from ..part import span
+from ...runtime.effects import span
 
 
 def secs(x):
--- a/silverglade/rehearsal/forward_faults.py
+++ b/silverglade/testbed/faults/forwarding_faults.py
@@ -1,9 +1,9 @@
 """Faults of runs that forward (design 15): of daemons as ever, of replicas, lists, operators and clients."""
 
-from ..leaving import timetable
-from .asks import KINDS, MS, SEC
-from .faults import Faults, secs
-from .forwarding import HELD, LIST
+from ...runtime.shutdown_timetable import timetable
+from ..fake_servers.request_format import KINDS, MS, SEC
+from ..simulator.forwarding_path import HELD, LIST
+from .daemon_faults import Faults, secs
 
 
 class ForwardFaults(Faults):
@@ -375,7 +375,7 @@
 
     stop: it is enough to know that something was broken.
     """
-    from .callers import Scene
+    from ..simulator.forwarding_scenario import Scene
 
     s = Scene(town=town, seed=seed, loss=0.0 if seed % 3 else 0.005, **scene)
     s.settle()
--- a/silverglade/rehearsal/fleet_clients.py
+++ b/silverglade/testbed/local_fleet/clients.py
@@ -7,7 +7,7 @@
 import anyio
 import httpcore
 
-from ..daemon.callout import events
+from ...server.replica_calls import events
 from .fleet import SLOW
 
 
--- a/silverglade/rehearsal/fleet.py
+++ b/silverglade/testbed/local_fleet/fleet.py
@@ -12,10 +12,10 @@
 import anyio
 import httpcore
 
-from ..faults import Fault
-from ..options import ROLES
-from .relay import Relay
-from .towns import TOWNS
+from ...runtime.errors import Fault
+from ...runtime.settings import ROLES
+from ..sites import TOWNS
+from .network_relay import Relay
 
 SLOW = {"connect": 2.0, "read": 40.0, "write": 5.0, "pool": 5.0}
 
@@ -115,7 +115,7 @@
         self.spawn(
             rid,
             [
-                "silverglade.rehearsal.replica",
+                "silverglade.testbed.fake_servers.replica_process",
                 "--id",
                 rid,
                 "--address",
--- a/silverglade/rehearsal/long_cuts.py
+++ b/silverglade/testbed/local_fleet/long_partitions.py
@@ -15,7 +15,7 @@
 import anyio
 import anyio.to_thread
 
-from .call_history import ALWAYS, NEVER, WORK_ENDS_S, Attempt, CallHistory, Reading
+from ..checkers.operator_history import ALWAYS, NEVER, WORK_ENDS_S, Attempt, CallHistory, Reading
 
 TROUBLE_S = 20.0
 BACK_S = 12.0  # control is back after its closing fault
--- a/silverglade/rehearsal/minute.py
+++ b/silverglade/testbed/local_fleet/short_run.py
@@ -7,8 +7,8 @@
 
 import anyio
 
+from .clients import FleetClients
 from .fleet import Fleet
-from .fleet_clients import FleetClients
 
 FORCE, LEAVE, BACK = 3.0, 5.0, 12.0
 
--- a/silverglade/rehearsal/pressure.py
+++ b/silverglade/testbed/local_fleet/storm.py
@@ -8,8 +8,8 @@
 
 import anyio
 
-from .long_cuts import LongCuts
-from .minute import BACK, Minute
+from .long_partitions import LongCuts
+from .short_run import BACK, Minute
 
 
 class Storm(Minute):
--- a/silverglade/rehearsal/model/command.py
+++ b/silverglade/testbed/model_checker/command.py
@@ -1,4 +1,4 @@
-"""`python -m silverglade.rehearsal check-model`: explorations by command, and traces played again."""
+"""`python -m silverglade.testbed check-model`: explorations by command, and traces played again."""
 
 import argparse
 from collections.abc import Iterator
--- a/silverglade/rehearsal/model/scenarios.py
+++ b/silverglade/testbed/model_checker/scenarios.py
@@ -9,7 +9,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from ...options import tuning
+from ...runtime.settings import tuning
 from . import actions as act
 from .records import BUDGETS
 from .schedule import quiet, run
--- a/silverglade/rehearsal/model/world.py
+++ b/silverglade/testbed/model_checker/world.py
@@ -5,7 +5,7 @@
 
 import ormsgpack
 
-from ...part import span
+from ...runtime.effects import span
 from . import invariants
 from .machine import Machine, Origin
 from .records import (
--- a/silverglade/rehearsal/changes.py
+++ b/silverglade/testbed/simulator/configuration_changes.py
@@ -2,7 +2,7 @@
 
 import copy
 
-from ..config import digest
+from ...configuration.schema import digest
 
 ANNEX = "annex"  # a zone that comes and goes; no machine stands there
 
--- a/silverglade/rehearsal/council.py
+++ b/silverglade/testbed/simulator/control_cluster.py
@@ -7,10 +7,10 @@
 import random
 from datetime import timedelta
 
-from ..control.core import core
-from ..control.register import disks
-from ..options import tuning
-from ..part import ZERO, span, start
+from ...control.core import core
+from ...control.register import disks
+from ...runtime.effects import ZERO, span, start
+from ...runtime.settings import tuning
 
 SEC = timedelta(seconds=1)
 SITES = {
--- a/silverglade/rehearsal/world.py
+++ b/silverglade/testbed/simulator/daemons.py
@@ -4,15 +4,15 @@
 import random
 from datetime import timedelta
 
-from .. import wire
-from ..daemon import links
-from ..daemon.lanes import lane
-from ..hub import Hub
-from ..messages import MOST, SHAPES
-from ..options import tuning
-from ..part import ZERO, span
-from .oracle import Oracle
-from .standin import Replica
+from ...runtime.daemon_machine import Hub
+from ...runtime.effects import ZERO, span
+from ...runtime.settings import tuning
+from ...server.priority_queues import lane
+from ...transport import connections as links
+from ...transport import framing as wire
+from ...transport.message_schemas import MOST, SHAPES
+from ..checkers.request_oracle import Oracle
+from .tenant_replicas import Replica
 
 SEC = timedelta(seconds=1)
 # effects of the forwarding path (15), which a field settles where there is one
--- a/silverglade/rehearsal/simulated_shell.py
+++ b/silverglade/testbed/simulator/forwarding_io.py
@@ -2,8 +2,8 @@
 
 from collections import Counter
 
-from ..part import ZERO, span
-from .asks import MS, SEC
+from ...runtime.effects import ZERO, span
+from ..fake_servers.request_format import MS, SEC
 
 KEEP, MARGIN = 5 * SEC, 0.5 * SEC  # how long a replica keeps an idle connection; how much sooner a daemon ends it
 CLIENT = MS  # between a client and its daemon
--- a/silverglade/rehearsal/forwarding.py
+++ b/silverglade/testbed/simulator/forwarding_path.py
@@ -5,11 +5,11 @@
 
 from datetime import timedelta
 
-from ..part import ZERO, ms
-from .asks import MS, SEC, Ask
-from .engine import Engine
-from .rules import Rules, seal
-from .simulated_shell import CLIENT, SimulatedShell
+from ...runtime.effects import ZERO, ms
+from ..checkers.forwarding_rules import Rules, seal
+from ..fake_servers.replica_engine import Engine
+from ..fake_servers.request_format import MS, SEC, Ask
+from .forwarding_io import CLIENT, SimulatedShell
 
 TTL = 2 * SEC  # how long clients hold on to where to go
 HELD = 3 * TTL  # how long some of them do
--- a/silverglade/rehearsal/callers.py
+++ b/silverglade/testbed/simulator/forwarding_scenario.py
@@ -3,14 +3,14 @@
 import random
 from datetime import timedelta
 
-from .. import config
-from ..control import book as bk
-from ..options import tuning
-from .asks import MS, SEC
-from .forwarding import Field, Way
-from .rules import Bounds, Sent
-from .towns import SITES
-from .world import World
+from ...configuration import schema as config
+from ...control import replicated_state as bk
+from ...runtime.settings import tuning
+from ..checkers.forwarding_rules import Bounds, Sent
+from ..fake_servers.request_format import MS, SEC
+from ..sites import SITES
+from .daemons import World
+from .forwarding_path import Field, Way
 
 BOUNDS = Bounds()
 HOLDERS = 4  # one client in so many holds on to where to go for three times as long
@@ -274,7 +274,7 @@
 
     def meant(self, s, r):
         """The service for which the request counts: as the route's weights draw it."""
-        from ..forward import routes
+        from ...routing import route_table as routes
 
         n = self.r.configs.newest(self.w.now)
         p = next((p for p in self.r.configs.puts if p["number"] == n), None)
--- a/silverglade/rehearsal/operators.py
+++ b/silverglade/testbed/simulator/operators.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from ..changes import Calls
-from ..part import ZERO, span
-from .council import SEC, Council
-from .linearizable import Operation, Table, Verdict, Zone, judged
+from ...configuration.operator_calls import Calls
+from ...runtime.effects import ZERO, span
+from ..checkers.linearizability import Operation, Table, Verdict, Zone, judged
+from .control_cluster import SEC, Council
 
 ZONES = ("za", "zb")
 RAW = {"zones": {z: {"region": "x"} for z in ZONES}, "tenants": {}}
--- a/silverglade/rehearsal/scene.py
+++ b/silverglade/testbed/simulator/scenario.py
@@ -2,12 +2,12 @@
 
 from datetime import timedelta
 
-from ..control import book as bk
-from ..options import tuning
-from ..part import span
-from .changes import Changes
-from .towns import TOWNS
-from .world import World
+from ...control import replicated_state as bk
+from ...runtime.effects import span
+from ...runtime.settings import tuning
+from ..sites import TOWNS
+from .configuration_changes import Changes
+from .daemons import World
 
 SEC = timedelta(seconds=1)
 
--- a/silverglade/rehearsal/seeds.py
+++ b/silverglade/testbed/simulator/seeded_runs.py
@@ -1,7 +1,7 @@
 """Seeded runs with faults mixed (design 10.3): settle, traffic, storm, a last fault, peace, checks."""
 
-from .faults import Faults
-from .scene import Scene
+from ..faults.daemon_faults import Faults
+from .scenario import Scene
 
 ALL = (
     "kill",
--- a/silverglade/rehearsal/standin.py
+++ b/silverglade/testbed/simulator/tenant_replicas.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from ..part import ZERO, span
+from ...runtime.effects import ZERO, span
 
 SEC = timedelta(seconds=1)
 
--- a/silverglade/rehearsal/towns.py
+++ b/silverglade/testbed/sites.py
@@ -2,8 +2,8 @@
 
 import random
 
-from ..config import digest
-from .asks import MS, SEC, Spec
+from ..configuration.schema import digest
+from .fake_servers.request_format import MS, SEC, Spec
 
 
 def tenant(name, homes, classes):
--- a/silverglade/daemon/links.py
+++ b/silverglade/transport/connections.py
@@ -11,10 +11,10 @@
 import anyio
 from anyio.abc import SocketAttribute
 
-from .. import wire
-from ..faults import Fault
-from ..log import line
-from .lanes import lane
+from ..runtime.errors import Fault
+from ..runtime.structured_logging import line
+from ..server.priority_queues import lane
+from . import framing as wire
 
 QUEUE = 4096
 HELD = 2.0  # seconds that a message waits for a peer that takes no connection
--- a/silverglade/wire.py
+++ b/silverglade/transport/framing.py
@@ -5,7 +5,7 @@
 
 import ormsgpack
 
-from .faults import Fault
+from ..runtime.errors import Fault
 
 VERSION = 3
 SPOKEN = (3,)  # wire versions this program reads; in 2 a view had one backup
--- a/silverglade/messages.py
+++ b/silverglade/transport/message_schemas.py
@@ -4,7 +4,7 @@
 t tuple, v version (two whole numbers), o ballot (number, text), ? anything. "..." at the end: any rest.
 """
 
-from . import soft
+from ..membership import replicated_table as soft
 
 LONGEST = 1 << 53  # milliseconds, either way: far within what a timedelta holds
 
--- a/tests/golden/core_store.py
+++ b/tests/golden/core_store.py
@@ -9,10 +9,10 @@
 import ormsgpack
 
 from silverglade.control.core import core
-from silverglade.daemon.disk import FILE, Store
-from silverglade.options import tuning
-from silverglade.part import start
-from silverglade.shards.follower import follower
+from silverglade.runtime.effects import start
+from silverglade.runtime.settings import tuning
+from silverglade.server.disk import FILE, Store
+from silverglade.tenant_shards.follower import follower
 
 DATA = pathlib.Path(__file__).parent / "data"
 RECORDED, EXPECTED = DATA / "core_store.json", DATA / "core_store_expected.json"
--- a/tests/golden/effect_trace.py
+++ b/tests/golden/effect_trace.py
@@ -11,7 +11,7 @@
 
 import ormsgpack
 
-from silverglade import wire
+from silverglade.transport import framing as wire
 
 HEADER_LENGTH = 4
 MICROSECOND = timedelta(microseconds=1)
--- a/tests/golden/make_core_store.py
+++ b/tests/golden/make_core_store.py
@@ -12,9 +12,9 @@
 import tempfile
 from datetime import timedelta
 
-from silverglade.daemon.disk import FILE, Store
-from silverglade.options import tuning
-from silverglade.rehearsal.scene import Scene
+from silverglade.runtime.settings import tuning
+from silverglade.server.disk import FILE, Store
+from silverglade.testbed.simulator.scenario import Scene
 
 from .core_store import EXPECTED, NAME, RECORDED, state_reached
 
--- a/tests/golden/recorded_plays.py
+++ b/tests/golden/recorded_plays.py
@@ -7,7 +7,12 @@
 import functools
 
 from silverglade.control.core import ControlPart
-from silverglade.rehearsal import forward_faults, policy_day, policy_sites, repairs, seeds, trials, world
+from silverglade.testbed.experiments import policy_day, policy_sites
+from silverglade.testbed.experiments import second_loss as repairs
+from silverglade.testbed.faults import control_faults as trials
+from silverglade.testbed.faults import forwarding_faults as forward_faults
+from silverglade.testbed.simulator import daemons as world
+from silverglade.testbed.simulator import seeded_runs as seeds
 
 from .effect_trace import EffectTrace
 
--- a/tests/golden/test_golden_answers.py
+++ b/tests/golden/test_golden_answers.py
@@ -9,8 +9,8 @@
 import anyio
 import pytest
 
-from silverglade import faults
-from silverglade.front import app
+from silverglade.http import app
+from silverglade.runtime import errors as faults
 
 EXPECTED = pathlib.Path(__file__).parent / "golden_answers.json"
 DETAIL, WAIT_MS = "where it happened", 1000
--- a/tests/golden/test_golden_core_store.py
+++ b/tests/golden/test_golden_core_store.py
@@ -2,7 +2,7 @@
 
 import json
 
-from silverglade.daemon.disk import Store
+from silverglade.server.disk import Store
 
 from .core_store import EXPECTED, NAME, recorded, state_reached, values
 from .make_core_store import raw_rows
--- a/tests/nevers.py
+++ b/tests/nevers.py
@@ -2,8 +2,8 @@
 
 from datetime import timedelta
 
-from silverglade.options import tuning
-from silverglade.rehearsal.scene import Scene
+from silverglade.runtime.settings import tuning
+from silverglade.testbed.simulator.scenario import Scene
 
 SEC = timedelta(seconds=1)
 
--- a/tests/plant.py
+++ b/tests/plant.py
@@ -2,10 +2,10 @@
 
 from datetime import timedelta
 
-from silverglade import config
-from silverglade.rehearsal import rules
-from silverglade.rehearsal.asks import pieces
-from silverglade.rehearsal.rules import Bounds, Rules, Sent
+from silverglade.configuration import schema as config
+from silverglade.testbed.checkers import forwarding_rules as rules
+from silverglade.testbed.checkers.forwarding_rules import Bounds, Rules, Sent
+from silverglade.testbed.fake_servers.request_format import pieces
 
 SEC = timedelta(seconds=1)
 
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -8,10 +8,10 @@
 import uvicorn
 from uvicorn.server import ServerState
 
-from silverglade.daemon.forwarding import Shell
-from silverglade.dialect import OWN
-from silverglade.faults import Fault
-from silverglade.front.forward import Face
+from silverglade.http.dialect import OWN
+from silverglade.http.forwarding_protocol import Face
+from silverglade.runtime.errors import Fault
+from silverglade.server.request_forwarding import Shell
 
 SEC = timedelta(seconds=1)
 ID = OWN.attempt.decode()
--- a/tests/test_after_cuts.py
+++ b/tests/test_after_cuts.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from silverglade.daemon import links
-from silverglade.options import tuning
-from silverglade.rehearsal.scene import SEC, Scene
+from silverglade.runtime.settings import tuning
+from silverglade.testbed.simulator.scenario import SEC, Scene
+from silverglade.transport import connections as links
 
 from .test_members import until
 
--- a/tests/test_apart.py
+++ b/tests/test_apart.py
@@ -1,7 +1,7 @@
 """Tenants apart (design 7.3): six of sixty fill every slot with long answers; the quiet ones go on."""
 
-from silverglade.options import tuning
-from silverglade.rehearsal.measure import SEC, apart
+from silverglade.runtime.settings import tuning
+from silverglade.testbed.experiments.recovery_figures import SEC, apart
 
 from .guards import without
 
@@ -21,10 +21,10 @@
 def test_without_the_ledgers_fairness_they_are_not(monkeypatch):
     without(
         monkeypatch,
-        "silverglade.replicas.ledger",
+        "silverglade.replicas.slot_leases",
         ("return all(m.held(t) >= m.held(tenant) for t in m.hungry if t != tenant)", "while room(m, rid, now) and m.hungry:"),
         ("return True", "while False:"),
-        "silverglade.hub.ledger",
+        "silverglade.runtime.daemon_machine.ledger",
     )
     assert crowd()[1] > 0
 
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from silverglade.options import tuning
-from silverglade.rehearsal import backlog
+from silverglade.runtime.settings import tuning
+from silverglade.testbed.experiments import change_backlog as backlog
 
 SMALL = dict(size=3, tolerance=(1, 1, 1), catch_up=4.0)
 GROWN = dict(size=5, tolerance=(2, 1, 1), catch_up=6.0)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -8,18 +8,19 @@
 import anyio
 import pytest
 
-from silverglade import config, wire
-from silverglade.changes import Calls
-from silverglade.control import book as bk
+from silverglade.configuration import schema as config
+from silverglade.configuration.operator_calls import Calls
+from silverglade.control import replicated_state as bk
 from silverglade.control import store as stores
-from silverglade.daemon.lanes import Lanes
-from silverglade.daemon.links import Links
-from silverglade.daemon.run import Daemon as Real
-from silverglade.faults import CODES
-from silverglade.front.app import app
-from silverglade.options import tuning
-from silverglade.part import span
-from silverglade.rehearsal.scene import SEC
+from silverglade.http.app import app
+from silverglade.runtime.effects import span
+from silverglade.runtime.errors import CODES
+from silverglade.runtime.settings import tuning
+from silverglade.server.daemon import Daemon as Real
+from silverglade.server.priority_queues import Lanes
+from silverglade.testbed.simulator.scenario import SEC
+from silverglade.transport import framing as wire
+from silverglade.transport.connections import Links
 
 from .nevers import hamlet
 from .scripted import Quiet
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from silverglade.forward import budget as module
-from silverglade.forward.budget import Budget
-from silverglade.options import tuning
+from silverglade.routing import retry_budget as module
+from silverglade.routing.retry_budget import Budget
+from silverglade.runtime.settings import tuning
 
 SEC = timedelta(seconds=1)
 OPT = tuning()
--- a/tests/test_callout.py
+++ b/tests/test_callout.py
@@ -4,7 +4,7 @@
 import httpcore
 import pytest
 
-from silverglade.daemon import callout
+from silverglade.server import replica_calls as callout
 
 META = dict(tenant="t", cls="c", prefix="", due=1000, kind="model")
 
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -3,10 +3,10 @@
 import random
 from datetime import timedelta
 
-from silverglade.forward import replicas as rp
-from silverglade.forward.catalog import MISSED, catalog, readers
-from silverglade.options import tuning
-from silverglade.part import start
+from silverglade.routing import replicas as rp
+from silverglade.routing.endpoint_list import MISSED, catalog, readers
+from silverglade.runtime.effects import start
+from silverglade.runtime.settings import tuning
 
 SEC = timedelta(seconds=1)
 
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from silverglade.scaler import chain
-from silverglade.scaler.chain import measures, room_of, smallest, states
+from silverglade.autoscaling import markov_chain as chain
+from silverglade.autoscaling.markov_chain import measures, room_of, smallest, states
 
 CASES = [(m, k, lam) for m in (1, 2, 3, 5) for k in (1, 2, 3, 6, 9) for lam in (F(1, 3), F(2), F(7, 2))]
 
--- a/tests/test_check_model.py
+++ b/tests/test_check_model.py
@@ -7,12 +7,12 @@
 import pytest
 
 from silverglade.control import register
-from silverglade.rehearsal.__main__ import command
-from silverglade.rehearsal.model import actions as act
-from silverglade.rehearsal.model import invariants, schedule
-from silverglade.rehearsal.model.explorer import explore, replay, walks
-from silverglade.rehearsal.model.scenarios import STARTING, acknowledged
-from silverglade.rehearsal.model.world import World
+from silverglade.testbed.__main__ import command
+from silverglade.testbed.model_checker import actions as act
+from silverglade.testbed.model_checker import invariants, schedule
+from silverglade.testbed.model_checker.explorer import explore, replay, walks
+from silverglade.testbed.model_checker.scenarios import STARTING, acknowledged
+from silverglade.testbed.model_checker.world import World
 
 from .guards import without
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -2,9 +2,9 @@
 
 import random
 
-from silverglade.options import tuning
-from silverglade.part import ZERO, start
-from silverglade.shards.follower import follower
+from silverglade.runtime.effects import ZERO, start
+from silverglade.runtime.settings import tuning
+from silverglade.tenant_shards.follower import follower
 
 OPT = tuning(claims_most=16)
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from silverglade.options import tuning
-from silverglade.rehearsal.callers import Scene
-from silverglade.rehearsal.scene import SEC
+from silverglade.runtime.settings import tuning
+from silverglade.testbed.simulator.forwarding_scenario import Scene
+from silverglade.testbed.simulator.scenario import SEC
 
 PLATFORM = dict(trust=True, alone=86400.0, aged=1.8, hedge_after=2.1)
 
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -4,9 +4,10 @@
 
 import pytest
 
-from silverglade import messages, wire
-from silverglade.daemon.callout import events
-from silverglade.faults import Fault
+from silverglade.runtime.errors import Fault
+from silverglade.server.replica_calls import events
+from silverglade.transport import framing as wire
+from silverglade.transport import message_schemas as messages
 
 
 def some(rng, d=3):
@@ -143,8 +144,8 @@
 
     from silverglade.control import register as rg
     from silverglade.control.view import View
-    from silverglade.hub import Hub
-    from silverglade.options import tuning
+    from silverglade.runtime.daemon_machine import Hub
+    from silverglade.runtime.settings import tuning
 
     for seed in range(150):
         rng, now = random.Random(seed), timedelta(seconds=5)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from silverglade.forward import cold as module
-from silverglade.forward.cold import Cold, share
-from silverglade.options import tuning
+from silverglade.routing import slow_start as module
+from silverglade.routing.slow_start import Cold, share
+from silverglade.runtime.settings import tuning
 
 SEC = timedelta(seconds=1)
 OPT = tuning()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -2,8 +2,8 @@
 
 import random
 
-from silverglade.control import book as bk
 from silverglade.control import register as rg
+from silverglade.control import replicated_state as bk
 from silverglade.control.messages import Accept, Accepted, Prepare, Rejected
 from silverglade.control.view import Ballot, View, is_view
 
--- a/tests/test_control_cuts.py
+++ b/tests/test_control_cuts.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from silverglade.rehearsal import council, trials
+from silverglade.testbed.faults import control_faults as trials
+from silverglade.testbed.simulator import control_cluster as council
 
 from .guards import without
 
--- a/tests/test_control_growth.py
+++ b/tests/test_control_growth.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from silverglade.daemon.disk import FILE, Store
+from silverglade.server.disk import FILE, Store
 
 from . import test_control_safety as safety
 
@@ -47,7 +47,7 @@
 
 
 def test_without_pruning_it_would(monkeypatch):
-    monkeypatch.setattr("silverglade.control.book.pruned", lambda store: ())
+    monkeypatch.setattr("silverglade.control.replicated_state.pruned", lambda store: ())
     with pytest.raises(AssertionError):
         test_nothing_grows_with_the_number_of_changes()
 
--- a/tests/test_control_late.py
+++ b/tests/test_control_late.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from silverglade.rehearsal import council, trials
+from silverglade.testbed.faults import control_faults as trials
+from silverglade.testbed.simulator import control_cluster as council
 
 from .guards import without
 from .test_control_staleness import settled
--- a/tests/test_control_safety.py
+++ b/tests/test_control_safety.py
@@ -10,8 +10,8 @@
 from silverglade.control import register as rg
 from silverglade.control.core import core
 from silverglade.control.view import View
-from silverglade.options import tuning
-from silverglade.part import start
+from silverglade.runtime.effects import start
+from silverglade.runtime.settings import tuning
 
 SEC = timedelta(seconds=1)
 VIEW = (3, "a", ("b",), (("a", "A"), ("b", "B"), ("c", "C")))
--- a/tests/test_control_staleness.py
+++ b/tests/test_control_staleness.py
@@ -8,8 +8,9 @@
 import pytest
 
 from silverglade.control.core import core
-from silverglade.part import span
-from silverglade.rehearsal import council, trials
+from silverglade.runtime.effects import span
+from silverglade.testbed.faults import control_faults as trials
+from silverglade.testbed.simulator import control_cluster as council
 
 from .guards import without
 
--- a/tests/test_core_leaves.py
+++ b/tests/test_core_leaves.py
@@ -3,7 +3,7 @@
 import pytest
 
 from silverglade.control import register as rg
-from silverglade.rehearsal.scene import Scene
+from silverglade.testbed.simulator.scenario import Scene
 
 
 def view(scene):
--- a/tests/test_core_state.py
+++ b/tests/test_core_state.py
@@ -9,15 +9,18 @@
 
 import pytest
 
-from silverglade import hub, messages, wire
 from silverglade.control import messages as control_messages
 from silverglade.control import values, writes
 from silverglade.control.core import ControlCore, core
 from silverglade.control.messages import decode, encode
 from silverglade.control.view import Ballot, View
-from silverglade.options import tuning
-from silverglade.part import ZERO
-from silverglade.rehearsal import council, trials
+from silverglade.runtime import daemon_machine as hub
+from silverglade.runtime.effects import ZERO
+from silverglade.runtime.settings import tuning
+from silverglade.testbed.faults import control_faults as trials
+from silverglade.testbed.simulator import control_cluster as council
+from silverglade.transport import framing as wire
+from silverglade.transport import message_schemas as messages
 
 VIEW = (3, "a", ("b",), (("a", "1"), ("b", "2"), ("c", "3")))
 ITEMS = (("config", (1, 2), {"number": 1}),)
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -4,8 +4,9 @@
 
 from silverglade.control import register as rg
 from silverglade.control import spread
-from silverglade.part import span
-from silverglade.rehearsal import council, trials
+from silverglade.runtime.effects import span
+from silverglade.testbed.faults import control_faults as trials
+from silverglade.testbed.simulator import control_cluster as council
 
 from .guards import without
 
@@ -102,7 +103,7 @@
     return c
 
 
-BOOK, REG = "silverglade.control.book", "silverglade.control.register"
+BOOK, REG = "silverglade.control.replicated_state", "silverglade.control.register"
 BREACHES = [
     (
         "answered before the backups have synced",
@@ -292,7 +293,7 @@
 
 
 def test_a_core_that_is_gone_for_long_is_no_witness_any_more():
-    from silverglade.options import tuning
+    from silverglade.runtime.settings import tuning
 
     c = council.settled(seed=2, size=5, tolerance=(1, 1, 1), opt=tuning(core_forget=20))
     x = trials.lead(c)
--- a/tests/test_cut_evacuations.py
+++ b/tests/test_cut_evacuations.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from silverglade.control import book as bk
-from silverglade.rehearsal import council
+from silverglade.control import replicated_state as bk
+from silverglade.testbed.simulator import control_cluster as council
 
 from .guards import without
 from .test_control_cuts import SIZES, WAYS, cut, the_one
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from silverglade.forward.departure import Departure, Durations
-from silverglade.rehearsal import callers
-from silverglade.rehearsal.callers import Scene
-from silverglade.rehearsal.forward_faults import ForwardFaults
+from silverglade.routing.graceful_shutdown import Departure, Durations
+from silverglade.testbed.faults.forwarding_faults import ForwardFaults
+from silverglade.testbed.simulator import forwarding_scenario as callers
+from silverglade.testbed.simulator.forwarding_scenario import Scene
 
 from .test_forward import Bench, one, rep, route
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from silverglade import config
-from silverglade.directory import home_regions, named
+from silverglade.configuration import schema as config
+from silverglade.membership.directory import home_regions, named
 
 from .test_forward import ZONES, route
 
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from silverglade.daemon.disk import FILE, Store
-from silverglade.faults import Fault
+from silverglade.runtime.errors import Fault
+from silverglade.server.disk import FILE, Store
 
 
 def refused(**kw):
--- a/tests/test_early_answers.py
+++ b/tests/test_early_answers.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from silverglade.daemon.upstream import HIGH
+from silverglade.http.connection_pool import HIGH
 
 from .scripted import ID, NOT, answer, scene
 
--- a/tests/test_elect.py
+++ b/tests/test_elect.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from silverglade.options import tuning
-from silverglade.part import start
-from silverglade.rehearsal.measure import isolation
-from silverglade.rehearsal.scene import Scene
-from silverglade.rehearsal.towns import hamlet
-from silverglade.replicas import ledger as lg
-from silverglade.replicas.elect import elect
+from silverglade.replicas import slot_leases as lg
+from silverglade.replicas.candidate_selection import elect
+from silverglade.runtime.effects import start
+from silverglade.runtime.settings import tuning
+from silverglade.testbed.experiments.recovery_figures import isolation
+from silverglade.testbed.simulator.scenario import Scene
+from silverglade.testbed.sites import hamlet
 
 SEC = timedelta(seconds=1)
 OPT = tuning()
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from silverglade.rehearsal.asks import MS, SEC, Ask, Spec, pieces
-from silverglade.rehearsal.engine import Engine
+from silverglade.testbed.fake_servers.replica_engine import Engine
+from silverglade.testbed.fake_servers.request_format import MS, SEC, Ask, Spec, pieces
 
 ZERO = 0 * SEC
 
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -6,13 +6,13 @@
 import anyio
 import pytest
 
-from silverglade import config
-from silverglade.dialect import OWN
-from silverglade.rehearsal.asks import MS, SEC, Spec, pieces
-from silverglade.rehearsal.engines import Server
-from silverglade.rehearsal.listing import Listing
-from silverglade.rehearsal.rules import Rules, Sent
-from silverglade.rehearsal.talk import Names
+from silverglade.configuration import schema as config
+from silverglade.http.dialect import OWN
+from silverglade.testbed.checkers.forwarding_rules import Rules, Sent
+from silverglade.testbed.fake_servers.endpoint_list_server import Listing
+from silverglade.testbed.fake_servers.http_exchange import Names
+from silverglade.testbed.fake_servers.replica_server import Server
+from silverglade.testbed.fake_servers.request_format import MS, SEC, Spec, pieces
 from tests.scripted import SEAL, front, play, simple
 
 FAST = Spec(step=MS, per_slot=0 * MS, stride=4, cache_tokens=100000)
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from silverglade.daemon import events
-from silverglade.daemon.events import Splitter, beyond, last_id
+from silverglade.http import event_stream as events
+from silverglade.http.event_stream import Splitter, beyond, last_id
 
 
 def lines(raw):
--- a/tests/test_every_byte_breaches.py
+++ b/tests/test_every_byte_breaches.py
@@ -2,9 +2,10 @@
 
 import pytest
 
-from silverglade.daemon import forwarding, upstream
-from silverglade.forward import part
-from silverglade.front import forward as front
+from silverglade.http import connection_pool as upstream
+from silverglade.http import forwarding_protocol as front
+from silverglade.routing import router as part
+from silverglade.server import request_forwarding as forwarding
 
 from . import scripted
 from . import test_every_byte as bytes_
--- a/tests/test_face.py
+++ b/tests/test_face.py
@@ -7,11 +7,11 @@
 import anyio
 import pytest
 
-from silverglade import faults
-from silverglade.daemon.ask import Limits, small
-from silverglade.front import forward
-from silverglade.front.forward import host, pair, parts, whole
-from silverglade.front.serve import bound, serve
+from silverglade.http import forwarding_protocol as forward
+from silverglade.http.forwarding_protocol import host, pair, parts, whole
+from silverglade.http.listener import bound, serve
+from silverglade.runtime import errors as faults
+from silverglade.server.client_request import Limits, small
 
 from . import scripted
 from .scripted import ID, SEAL, answer, chunk, event, scene, stream
--- a/tests/test_forward.py
+++ b/tests/test_forward.py
@@ -5,11 +5,12 @@
 
 import pytest
 
-from silverglade import config
-from silverglade.forward import choose, routes
-from silverglade.forward.part import forward
-from silverglade.options import tuning
-from silverglade.part import start
+from silverglade.configuration import schema as config
+from silverglade.routing import replica_selection as choose
+from silverglade.routing import route_table as routes
+from silverglade.routing.router import forward
+from silverglade.runtime.effects import start
+from silverglade.runtime.settings import tuning
 
 SEC = timedelta(seconds=1)
 OPT = tuning()
@@ -336,7 +337,7 @@
 
 
 def test_what_goes_on_after_another_lifes_word_is_paid_for_like_any_arrival_beyond_the_first(monkeypatch):
-    from silverglade.forward import part
+    from silverglade.routing import router as part
 
     monkeypatch.setattr(part.Budget, "spend", lambda *a, **kw: False)  # nothing is left
     b = Bench(route(kind="effectful", tries=2), reps=(rep("1"), rep("2")))
@@ -346,7 +347,7 @@
 
 
 def test_the_retry_budget_pays_for_each_arrival_beyond_the_first_and_for_nothing_unsent(monkeypatch):
-    from silverglade.forward import part
+    from silverglade.routing import router as part
 
     spent = []
     monkeypatch.setattr(part.Budget, "spend", lambda self, now, service, *, daemons: spent.append(service) or True)
--- a/tests/test_forward_doubt.py
+++ b/tests/test_forward_doubt.py
@@ -50,8 +50,8 @@
 
 
 def test_the_daemon_and_the_simulated_one_hand_it_to_what_holds_the_connections():
-    from silverglade.daemon.run import Daemon
-    from silverglade.rehearsal.callers import Scene
+    from silverglade.server.daemon import Daemon
+    from silverglade.testbed.simulator.forwarding_scenario import Scene
 
     got = []
     d = object.__new__(Daemon)
--- a/tests/test_forward_once.py
+++ b/tests/test_forward_once.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from silverglade.rehearsal import forward_faults
+from silverglade.testbed.faults import forwarding_faults as forward_faults
 
 DAYS = {
     "frozen": ("freeze", "dark"),
@@ -23,7 +23,7 @@
 
 
 def test_a_part_that_sends_again_after_a_loss_is_caught(monkeypatch):
-    from silverglade.forward.part import Request
+    from silverglade.routing.router import Request
 
     monkeypatch.setattr(Request, "again", property(lambda q: True))
     assert "TWICE" in {b[1] for b in forward_faults.run(town="hamlet", seed=31, kinds=DAYS["reset"], secs_=14, gap=0.8, stop=True)[1]}
--- a/tests/test_forward_seeds.py
+++ b/tests/test_forward_seeds.py
@@ -7,13 +7,16 @@
 
 import pytest
 
-from silverglade import hub
-from silverglade.forward import budget, choose, cold, part
-from silverglade.options import tuning
-from silverglade.part import start
-from silverglade.rehearsal import forward_faults
-from silverglade.rehearsal.callers import Scene
-from silverglade.rehearsal.rules import Bounds
+from silverglade.routing import replica_selection as choose
+from silverglade.routing import retry_budget as budget
+from silverglade.routing import router as part
+from silverglade.routing import slow_start as cold
+from silverglade.runtime import daemon_machine as hub
+from silverglade.runtime.effects import start
+from silverglade.runtime.settings import tuning
+from silverglade.testbed.checkers.forwarding_rules import Bounds
+from silverglade.testbed.faults import forwarding_faults as forward_faults
+from silverglade.testbed.simulator.forwarding_scenario import Scene
 
 
 @pytest.mark.parametrize("town", ["navrang", "banyan"])
@@ -35,7 +38,7 @@
 
 
 DAY = """
-from silverglade.rehearsal import forward_faults
+from silverglade.testbed.faults import forwarding_faults as forward_faults
 s = forward_faults.run(town="hamlet", seed=5, secs_=8)[0]
 print(len(s.w.trace), s.why, s.w.trace)
 """
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from silverglade.daemon import forwarding
+from silverglade.server import request_forwarding as forwarding
 
 from .scripted import ID, NOT, SEAL, answer, chunk, event, one, scene, stream
 
--- a/tests/test_forwarding_breaches.py
+++ b/tests/test_forwarding_breaches.py
@@ -2,8 +2,11 @@
 
 import pytest
 
-from silverglade.daemon import ask, events, forwarding, upstream
-from silverglade.front import forward
+from silverglade.http import connection_pool as upstream
+from silverglade.http import event_stream as events
+from silverglade.http import forwarding_protocol as forward
+from silverglade.server import client_request as ask
+from silverglade.server import request_forwarding as forwarding
 
 from . import scripted, test_forwarding, test_forwarding_ends, test_upstream
 from .scripted import OWN
--- a/tests/test_forwarding_ends.py
+++ b/tests/test_forwarding_ends.py
@@ -5,7 +5,9 @@
 from datetime import timedelta
 from types import SimpleNamespace
 
-from silverglade.daemon import forwarding, silence, upstream
+from silverglade.http import connection_pool as upstream
+from silverglade.server import request_forwarding as forwarding
+from silverglade.server import response_timeouts as silence
 
 from .scripted import Daemon, answer, chunk, event, one, scene, stream
 from .test_events import cuts, text, whole
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -6,10 +6,10 @@
 import anyio
 import pytest
 
-from silverglade import wire
-from silverglade.daemon import callout
-from silverglade.daemon.links import Links
-from silverglade.front.app import app
+from silverglade.http.app import app
+from silverglade.server import replica_calls as callout
+from silverglade.transport import framing as wire
+from silverglade.transport.connections import Links
 
 
 class Daemon:
@@ -258,7 +258,7 @@
             made.append(Pipe())
             return made[-1]
 
-        monkeypatch.setattr("silverglade.daemon.links.anyio.connect_tcp", connect)
+        monkeypatch.setattr("silverglade.transport.connections.anyio.connect_tcp", connect)
         lg = Log()
         lg.info = lg.warning
         links = Links(me="a", life="l", addr="127.0.0.1:1", heard=None, lg=lg)
--- a/tests/test_front_turns.py
+++ b/tests/test_front_turns.py
@@ -7,7 +7,7 @@
 import anyio.lowlevel
 import uvicorn
 
-from silverglade.front.app import app
+from silverglade.http.app import app
 
 
 class Daemon:
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from silverglade.control import book as bk
 from silverglade.control import outcomes, store
+from silverglade.control import replicated_state as bk
 from silverglade.control import replication as rp
 from silverglade.control.messages import Operation
 from silverglade.control.view import View
-from silverglade.part import span
-from silverglade.rehearsal import council
+from silverglade.runtime.effects import span
+from silverglade.testbed.simulator import control_cluster as council
 
 RAW = {"zones": {z: {"region": "x"} for z in ("za", "zb")}, "tenants": {}}
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -1,11 +1,11 @@
 """Names come and go for days; what is kept of those gone does not grow (design 5.6, 7.1)."""
 
-from silverglade.control import book as bk
 from silverglade.control import outcomes
-from silverglade.options import tuning
-from silverglade.part import span
-from silverglade.rehearsal.scene import Scene
-from silverglade.rehearsal.standin import Replica
+from silverglade.control import replicated_state as bk
+from silverglade.runtime.effects import span
+from silverglade.runtime.settings import tuning
+from silverglade.testbed.simulator.scenario import Scene
+from silverglade.testbed.simulator.tenant_replicas import Replica
 
 
 def kept(s):
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -4,15 +4,16 @@
 import anyio.lowlevel
 import pytest
 
-from silverglade import log
-from silverglade.daemon import lanes, tree
-from silverglade.daemon.run import BODIES, DISK, Daemon
-from silverglade.faults import Fault
-from silverglade.front import app
-from silverglade.options import checked
-from silverglade.rehearsal import world
-from silverglade.rehearsal.scene import Scene
-from silverglade.rehearsal.standin import SEC
+from silverglade.http import app
+from silverglade.runtime import structured_logging as log
+from silverglade.runtime.errors import Fault
+from silverglade.runtime.settings import checked
+from silverglade.server import priority_queues as lanes
+from silverglade.server import supervisor as tree
+from silverglade.server.daemon import BODIES, DISK, Daemon
+from silverglade.testbed.simulator import daemons as world
+from silverglade.testbed.simulator.scenario import Scene
+from silverglade.testbed.simulator.tenant_replicas import SEC
 
 from .test_front import http
 
@@ -229,7 +230,7 @@
                 await room()
                 read.append(i)
 
-        monkeypatch.setattr("silverglade.daemon.callout.dispatch", replica)
+        monkeypatch.setattr("silverglade.server.replica_calls.dispatch", replica)
         d.act(("ease", "o", False))
         async with anyio.create_task_group() as tg:
             tg.start_soon(d.dispatch, "o.1", "x", {}, b"")
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -6,8 +6,8 @@
 import anyio.lowlevel
 import pytest
 
-from silverglade.daemon import departure
-from silverglade.leaving import timetable
+from silverglade.runtime.shutdown_timetable import timetable
+from silverglade.server import shutdown as departure
 
 from .test_lanes import daemon
 
--- a/tests/test_linearizable.py
+++ b/tests/test_linearizable.py
@@ -6,10 +6,10 @@
 import pytest
 
 from silverglade.control import outcomes
-from silverglade.part import span
-from silverglade.rehearsal import trials
-from silverglade.rehearsal.linearizable import Operation, Table, Zone, judged
-from silverglade.rehearsal.operators import Play, Trouble, played
+from silverglade.runtime.effects import span
+from silverglade.testbed.checkers.linearizability import Operation, Table, Zone, judged
+from silverglade.testbed.faults import control_faults as trials
+from silverglade.testbed.simulator.operators import Play, Trouble, played
 
 from .guards import without
 
@@ -167,8 +167,8 @@
     assert broken([crowd(seed) for seed in range(4)]) == []
 
 
-BOOK, REPLICATION = "silverglade.control.book", "silverglade.control.replication"
-CALLS = "silverglade.rehearsal.operators.Calls"
+BOOK, REPLICATION = "silverglade.control.replicated_state", "silverglade.control.replication"
+CALLS = "silverglade.testbed.simulator.operators.Calls"
 
 
 def a_cut_off_primary_is_read(seed):
@@ -196,7 +196,7 @@
     (
         "a change is fenced when its caller may have gone",
         lambda seed: zone(seed, CUT_BEFORE),
-        "silverglade.changes",
+        "silverglade.configuration.operator_calls",
         ("if now > call.until:", " or call.wants_base and now > call.until"),
         ("if False:", ""),
         CALLS,
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -5,8 +5,8 @@
 import anyio
 import anyio.lowlevel
 
-from silverglade import wire
-from silverglade.daemon import links
+from silverglade.transport import connections as links
+from silverglade.transport import framing as wire
 
 
 class Quiet:
--- a/tests/test_long_cuts.py
+++ b/tests/test_long_cuts.py
@@ -11,10 +11,19 @@
 import anyio.lowlevel
 import pytest
 
-from silverglade.rehearsal.call_history import ALWAYS, IN_FORCE_S, NEVER, WORK_ENDS_S, Attempt, CallHistory, Configuration, Reading
-from silverglade.rehearsal.linearizable import Operation
-from silverglade.rehearsal.long_cuts import KINDS, ROLES, LongCuts, Operators, kind_of
-from silverglade.rehearsal.relay import Relay
+from silverglade.testbed.checkers.linearizability import Operation
+from silverglade.testbed.checkers.operator_history import (
+    ALWAYS,
+    IN_FORCE_S,
+    NEVER,
+    WORK_ENDS_S,
+    Attempt,
+    CallHistory,
+    Configuration,
+    Reading,
+)
+from silverglade.testbed.local_fleet.long_partitions import KINDS, ROLES, LongCuts, Operators, kind_of
+from silverglade.testbed.local_fleet.network_relay import Relay
 
 NORTH, SOUTH = "north", "south"
 
--- a/tests/test_longday.py
+++ b/tests/test_longday.py
@@ -1,8 +1,8 @@
 """The scaler over a simulated day with a platform that follows its orders (design 9.7)."""
 
-from silverglade.options import tuning
-from silverglade.rehearsal.longday import day
-from silverglade.rehearsal.scene import Scene
+from silverglade.runtime.settings import tuning
+from silverglade.testbed.experiments.scaler_days import day
+from silverglade.testbed.simulator.scenario import Scene
 
 
 def test_over_a_day_the_aim_is_met_with_replicas_ordered_up_and_given_back():
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -3,13 +3,14 @@
 
 import pytest
 
-from silverglade import messages, soft
-from silverglade.options import tuning
-from silverglade.part import ZERO, span
-from silverglade.proxy import proxy_of
-from silverglade.rehearsal.scale import measure, plain
-from silverglade.rehearsal.scene import SEC, Scene
-from silverglade.rehearsal.towns import TOWNS
+from silverglade.membership import replicated_table as soft
+from silverglade.membership.zone_relay import proxy_of
+from silverglade.runtime.effects import ZERO, span
+from silverglade.runtime.settings import tuning
+from silverglade.testbed.experiments.fleet_cost import measure, plain
+from silverglade.testbed.simulator.scenario import SEC, Scene
+from silverglade.testbed.sites import TOWNS
+from silverglade.transport import message_schemas as messages
 
 from .guards import without
 from .nevers import hamlet
@@ -46,7 +47,8 @@
 
 
 def test_with_records_told_at_each_beat_the_cost_grows(monkeypatch):
-    without(monkeypatch, "silverglade.roster", "if was and not differs(k, was[1], v):", "if False:", "silverglade.hub.roster")
+    guard = "if was and not differs(k, was[1], v):"
+    without(monkeypatch, "silverglade.membership.member", guard, "if False:", "silverglade.runtime.daemon_machine.roster")
     a, b = (measure(daemons=n, secs=5)["mean"] for n in (12, 60))
     assert b > 2 * a
 
@@ -66,7 +68,7 @@
 
 
 def test_without_its_watchers_a_death_is_known_only_by_silence(monkeypatch):
-    without(monkeypatch, "silverglade.roster", "doubt(i, r[VALUE][INC])", "pass", "silverglade.hub.roster")
+    without(monkeypatch, "silverglade.membership.member", "doubt(i, r[VALUE][INC])", "pass", "silverglade.runtime.daemon_machine.roster")
     assert 3 < bury("borough", "edge-upper-0")[1] < 7
 
 
@@ -216,8 +218,8 @@
 
 
 def test_daemons_that_take_each_other_for_the_proxy_do_not_pass_rows_round():
-    from silverglade.part import start
-    from silverglade.proxy import proxy
+    from silverglade.membership.zone_relay import proxy
+    from silverglade.runtime.effects import start
     p = start(proxy(zone="z", opt=tuning()))
     row = ("thing", "k", (1,), 1, "")
     assert p.send((ZERO, ("msg", "x", ("told", (row,))))) == ()
@@ -351,7 +353,7 @@
 
 
 def test_a_changed_count_is_told_when_it_is_a_fifth_off():
-    from silverglade.roster import differs
+    from silverglade.membership.member import differs
     assert not differs("pace", (100, 10), (110, 11)) and differs("pace", (100, 10), (130, 10))
     assert differs("pace", (0, 0), (1, 0)) and differs("view", (1, "a", "b"), (2, "a", "b"))
     a = (("model", 3, 1.0, 4.0, 0.1, True),)
@@ -361,15 +363,15 @@
 
 def test_an_idle_daemon_is_woken_for_what_is_due_alone(monkeypatch):
     assert measure(daemons=12, secs=5)["woken_edge"] < 18
-    without(monkeypatch, "silverglade.shards.owner", 'out.append(("due", turn if shards or budget.log else IDLE))', "pass",
-            "silverglade.hub.owner")
+    without(monkeypatch, "silverglade.tenant_shards.owner", 'out.append(("due", turn if shards or budget.log else IDLE))', "pass",
+            "silverglade.runtime.daemon_machine.owner")
     assert measure(daemons=12, secs=5)["woken_edge"] > 25
 
 
 def stood(n):
     """How often a core of so many daemons stands elsewhere in 2 s, while a count is told at each pulse."""
-    from silverglade.part import start
-    from silverglade.table import table
+    from silverglade.membership.core_table import table
+    from silverglade.runtime.effects import start
     t = start(table(me="c", life="c.1", addr="a", seeds=("a",), opt=tuning(takeover=0.01)))
     rec = ("x", "l", 1, 1, "z", "r", "a", "h", False, "ready", (), ())
     t.send((ZERO, ("pulse",)))
@@ -384,7 +386,7 @@
 
 def test_counts_of_a_large_fleet_come_together_and_news_of_who_lives_at_once(monkeypatch):
     assert stood(6) == 40 and stood(400) <= 4
-    mod = "silverglade.table"
+    mod = "silverglade.membership.core_table"
     without(monkeypatch, mod, 'pressing |= r[KIND] not in ("extra", "status") or r[KEY].endswith(" view")', "pressing = True",
-            "silverglade.table.table")
+            "silverglade.membership.core_table.table")
     assert stood(400) == 40
--- a/tests/test_need.py
+++ b/tests/test_need.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from silverglade.options import tuning
-from silverglade.part import start
-from silverglade.rehearsal.needday import day
-from silverglade.scaler import need as module
-from silverglade.scaler.need import goals, need, peers
+from silverglade.autoscaling import unordered_scaler as module
+from silverglade.autoscaling.unordered_scaler import goals, need, peers
+from silverglade.runtime.effects import start
+from silverglade.runtime.settings import tuning
+from silverglade.testbed.experiments.demand_day import day
 
 SEC = timedelta(seconds=1)
 
--- a/tests/test_nevers.py
+++ b/tests/test_nevers.py
@@ -33,22 +33,31 @@
 
 REG, ELECT, LEDGER, OWNER, ORDER, REPLICATION, NEWS = (
     "silverglade.replicas.registry",
-    "silverglade.replicas.elect",
-    "silverglade.replicas.ledger",
-    "silverglade.shards.owner",
-    "silverglade.path.order",
+    "silverglade.replicas.candidate_selection",
+    "silverglade.replicas.slot_leases",
+    "silverglade.tenant_shards.owner",
+    "silverglade.tenant_requests.request",
     "silverglade.control.replication",
-    "silverglade.news",
+    "silverglade.configuration.updates",
+)
+USABLE = (
+    "silverglade.replicas.registry.usable",
+    "silverglade.replicas.candidate_selection.usable",
+    "silverglade.tenant_requests.ingress.usable",
 )
-USABLE = ("silverglade.replicas.registry.usable", "silverglade.replicas.elect.usable", "silverglade.path.ingress.usable")
 
 CASES = [
     (
         owner_dies_after_the_grant,
         "ran-twice",
         [
-            ("silverglade.shards.shard", "got = {k: (g, s, n) for k, g, s, n in rest[0]}", "got = {}", "silverglade.shards.owner.Shard"),
-            ("silverglade.shards.follower", "if was and was[0] != gid:", "if False:", "silverglade.hub.follower"),
+            (
+                "silverglade.tenant_shards.shard",
+                "got = {k: (g, s, n) for k, g, s, n in rest[0]}",
+                "got = {}",
+                "silverglade.tenant_shards.owner.Shard",
+            ),
+            ("silverglade.tenant_shards.follower", "if was and was[0] != gid:", "if False:", "silverglade.runtime.daemon_machine.follower"),
         ],
     ),
     (
@@ -56,18 +65,18 @@
         "not-run-but-ran",
         [
             (
-                "silverglade.path.admit",
+                "silverglade.tenant_requests.admission",
                 'return f["minted"] or',
                 "return True or",
-                "silverglade.path.ingress.sure",
-                "silverglade.path.order.sure",
+                "silverglade.tenant_requests.ingress.sure",
+                "silverglade.tenant_requests.request.sure",
             )
         ],
     ),
     (
         a_visitor_moves_on_while_its_daemon_waits,
         "not-run-but-ran",
-        [(ORDER, 'soon = f["minted"] or', "soon = True or", "silverglade.path.ingress.order")],
+        [(ORDER, 'soon = f["minted"] or', "soon = True or", "silverglade.tenant_requests.ingress.order")],
     ),
     (
         a_key_is_asked_twice_and_the_first_ask_is_held_up,
@@ -77,11 +86,11 @@
                 OWNER,
                 ("        x.seen = False  # its", 'if c and c[0] != x.oid:\n            return "yes"'),
                 ("        # its", 'if False:\n            return "yes"'),
-                "silverglade.hub.owner",
+                "silverglade.runtime.daemon_machine.owner",
             )
         ],
     ),
-    (a_replica_skips_a_piece, "pieces", [(ORDER, "if k != piece + 1:", "if False:", "silverglade.path.ingress.order")]),
+    (a_replica_skips_a_piece, "pieces", [(ORDER, "if k != piece + 1:", "if False:", "silverglade.tenant_requests.ingress.order")]),
     (
         a_replica_fails_at_the_end,
         "success-unearned-or-told",
@@ -95,7 +104,7 @@
                     how = "done"
                     result("whole", b"x.1|whole") if not f["stream"] else None
 """,
-                "silverglade.path.ingress.order",
+                "silverglade.tenant_requests.ingress.order",
             )
         ],
     ),
@@ -107,7 +116,7 @@
                 ORDER,
                 ('f["resumable"])) and not piece', "if k != piece + 1:"),
                 ('f["resumable"]))', "if False:"),
-                "silverglade.path.ingress.order",
+                "silverglade.tenant_requests.ingress.order",
             )
         ],
     ),
@@ -116,35 +125,42 @@
         "outside-homes",
         [
             (REG, "and (homes is None or r[ZONE] in homes and any(h in homes for h in r[HOMES]))", "", *USABLE),
-            (ELECT, "for z in homes[1:]:", "for z in region:", "silverglade.shards.owner.elect"),
+            (ELECT, "for z in homes[1:]:", "for z in region:", "silverglade.tenant_shards.owner.elect"),
         ],
     ),
     (
         a_leaving_replica_stays_up,
         "work-after-leaving",
-        [(REG, "and not r[LEAVING]\n", "\n", *USABLE), (LEDGER, "or r[LEAVING]\n", "\n", "silverglade.hub.ledger")],
+        [(REG, "and not r[LEAVING]\n", "\n", *USABLE), (LEDGER, "or r[LEAVING]\n", "\n", "silverglade.runtime.daemon_machine.ledger")],
     ),
     (
         a_replica_is_marked_where_it_is_not_known_yet,
         "work-after-leaving",
-        [(REG, ("if marks.get(r[RID], 0) >= r[INC]:", 'if why != "heard":'), ("if False:", "if False:"), "silverglade.hub.registry")],
+        [
+            (
+                REG,
+                ("if marks.get(r[RID], 0) >= r[INC]:", 'if why != "heard":'),
+                ("if False:", "if False:"),
+                "silverglade.runtime.daemon_machine.registry",
+            )
+        ],
     ),
     (
         a_zone_is_emptied,
         "work-after-emptying",
-        [(REG, "and r[ZONE] not in evac", "", *USABLE), (LEDGER, "or r[ZONE] in evac", "", "silverglade.hub.ledger")],
+        [(REG, "and r[ZONE] not in evac", "", *USABLE), (LEDGER, "or r[ZONE] in evac", "", "silverglade.runtime.daemon_machine.ledger")],
     ),
     (
         a_zone_is_emptied_while_cut_off,
         "work-after-emptying",
         [
-            (LEDGER, ("or fresh is None\n", 'or now - fresh > opt["alone"]\n'), ("\n", "\n"), "silverglade.hub.ledger"),
-            (OWNER, 'if fresh is None or now - fresh > opt["alone"]:', "if False:", "silverglade.hub.owner"),
+            (LEDGER, ("or fresh is None\n", 'or now - fresh > opt["alone"]\n'), ("\n", "\n"), "silverglade.runtime.daemon_machine.ledger"),
+            (OWNER, 'if fresh is None or now - fresh > opt["alone"]:', "if False:", "silverglade.runtime.daemon_machine.owner"),
             (
-                "silverglade.path.ingress",
+                "silverglade.tenant_requests.ingress",
                 'return self.heard is not None and now - self.heard <= self.opt["alone"]',
                 "return True",
-                "silverglade.hub.ingress",
+                "silverglade.runtime.daemon_machine.ingress",
             ),
         ],
     ),
@@ -156,12 +172,16 @@
                 NEWS,
                 ("if v < held:", "if i[1] > book.get(i[0], (bk.START,))[0]]", "held = max(held, v)", "if new or v > held:"),
                 ("if False:", "]", "held = v", "if True:"),
-                "silverglade.hub.news",
+                "silverglade.runtime.daemon_machine.news",
             ),
-            ("silverglade.control.book", "if iv > v and not", "if not", "silverglade.control.book.since"),
+            ("silverglade.control.replicated_state", "if iv > v and not", "if not", "silverglade.control.replicated_state.since"),
         ],
     ),
-    (a_daemon_restarts_beside_a_core_that_is_behind, "slipped-back", [(NEWS, "if not sure:", "if False:", "silverglade.hub.news")]),
+    (
+        a_daemon_restarts_beside_a_core_that_is_behind,
+        "slipped-back",
+        [(NEWS, "if not sure:", "if False:", "silverglade.runtime.daemon_machine.news")],
+    ),
     (
         power_is_lost_after_an_acknowledgement,
         "acknowledged-forgotten",
@@ -177,7 +197,11 @@
             )
         ],
     ),
-    (two_operators_race, "both-won", [("silverglade.control.book", "if base != held:", "if False:", "silverglade.control.book.decide")]),
+    (
+        two_operators_race,
+        "both-won",
+        [("silverglade.control.replicated_state", "if base != held:", "if False:", "silverglade.control.replicated_state.decide")],
+    ),
     (
         a_replica_returns_cold_into_a_crowd,
         "flooded",
@@ -186,7 +210,7 @@
                 LEDGER,
                 "self.cap, self.state, self.warm, self.run = 1,",
                 "self.cap, self.state, self.warm, self.run = 99,",
-                "silverglade.hub.ledger",
+                "silverglade.runtime.daemon_machine.ledger",
             )
         ],
     ),
@@ -195,10 +219,10 @@
         "retries",
         [
             (
-                "silverglade.shards.budget",
+                "silverglade.tenant_shards.retry_budget",
                 'if self.n["again"] + 1 > mine or gone + 1 > share * fleet:',
                 "if False:",
-                "silverglade.shards.owner.Budget",
+                "silverglade.tenant_shards.owner.Budget",
             )
         ],
     ),
--- a/tests/test_news_age.py
+++ b/tests/test_news_age.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from silverglade.options import tuning
-from silverglade.rehearsal.scene import Scene
+from silverglade.runtime.settings import tuning
+from silverglade.testbed.simulator.scenario import Scene
 
 CUT = 20
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from silverglade.part import span
-from silverglade.rehearsal.scene import SEC
+from silverglade.runtime.effects import span
+from silverglade.testbed.simulator.scenario import SEC
 
 from .nevers import hamlet
 
--- a/tests/test_oracle.py
+++ b/tests/test_oracle.py
@@ -6,8 +6,10 @@
 
 import pytest
 
-from silverglade.rehearsal import oracle, scene, watch
-from silverglade.rehearsal.scene import Scene
+from silverglade.testbed.checkers import invariant_monitor as watch
+from silverglade.testbed.checkers import request_oracle as oracle
+from silverglade.testbed.simulator import scenario as scene
+from silverglade.testbed.simulator.scenario import Scene
 
 SEC = timedelta(seconds=1)
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from silverglade.control import book as bk
 from silverglade.control import outcomes, store
-from silverglade.options import tuning
-from silverglade.part import span
-from silverglade.rehearsal.scene import SEC
+from silverglade.control import replicated_state as bk
+from silverglade.runtime.effects import span
+from silverglade.runtime.settings import tuning
+from silverglade.testbed.simulator.scenario import SEC
 
 from .nevers import hamlet
 
@@ -196,7 +196,7 @@
 
 
 def test_the_outcomes_that_are_kept_fit_a_tenth_of_a_frame():
-    from silverglade import wire
+    from silverglade.transport import framing as wire
 
     s = Store()
     s.table(0, 1)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -20,9 +20,9 @@
 import settings  # noqa: E402
 import words  # noqa: E402
 
-from silverglade import config  # noqa: E402
-from silverglade.dialect import OWN  # noqa: E402
-from silverglade.faults import Fault  # noqa: E402
+from silverglade.configuration import schema as config  # noqa: E402
+from silverglade.http.dialect import OWN  # noqa: E402
+from silverglade.runtime.errors import Fault  # noqa: E402
 
 FILE = """
 node_name = "e-1"
--- a/tests/test_prefill.py
+++ b/tests/test_prefill.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from silverglade.forward import prefill
-from silverglade.forward.placement import ANSWER_WITHIN, SILENT_FOR, Placement
-from silverglade.forward.prefill import FORGOTTEN_AFTER, Ledger, Lengths, Prompt, Question, prompt_of
-from silverglade.forward.probe import prober
-from silverglade.messages import checked
-from silverglade.rehearsal.policy_day import play
+from silverglade.routing import prefill_backlog as prefill
+from silverglade.routing.health_checks import prober
+from silverglade.routing.prefill_backlog import FORGOTTEN_AFTER, Ledger, Lengths, Prompt, Question, prompt_of
+from silverglade.routing.prefill_placement import ANSWER_WITHIN, SILENT_FOR, Placement
+from silverglade.testbed.experiments.policy_day import play
+from silverglade.transport.message_schemas import checked
 
 from .test_forward import Bench, one, rep, route
 
--- a/tests/test_probe.py
+++ b/tests/test_probe.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from silverglade.forward.probe import Prober, prober
-from silverglade.options import tuning
+from silverglade.routing.health_checks import Prober, prober
+from silverglade.runtime.settings import tuning
 
 SEC = timedelta(seconds=1)
 OPT = tuning()
@@ -118,7 +118,7 @@
 
 
 def anywhere(self):
-    from silverglade.rank import first
+    from silverglade.membership.rendezvous import first
 
     self.mine = frozenset(i for i in self.places if first(i, [j for j, _ in self.live]) == self.me)
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,9 +1,9 @@
 """The daemon that asks for its zone (design 5.7): what it holds, when it answers, and how old its proof is told to be."""
 
-from silverglade.options import tuning
-from silverglade.part import ZERO, span, start
-from silverglade.proxy import KEPT, proxy, proxy_of
-from silverglade.rehearsal.scene import SEC
+from silverglade.membership.zone_relay import KEPT, proxy, proxy_of
+from silverglade.runtime.effects import ZERO, span, start
+from silverglade.runtime.settings import tuning
+from silverglade.testbed.simulator.scenario import SEC
 
 from .test_members import many
 
--- a/tests/test_proxy_cut.py
+++ b/tests/test_proxy_cut.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from silverglade.part import span
-from silverglade.proxy import proxy_of
-from silverglade.rehearsal.scene import SEC, Scene
-from silverglade.rehearsal.towns import TOWNS
+from silverglade.membership.zone_relay import proxy_of
+from silverglade.runtime.effects import span
+from silverglade.testbed.simulator.scenario import SEC, Scene
+from silverglade.testbed.sites import TOWNS
 
 from .guards import without
 from .test_members import rolls, until
@@ -82,7 +82,7 @@
 
 def without_guards(s, monkeypatch, *guards):
     """The same town whose daemons ask for news without these guards; -> does its zone stay behind?"""
-    without(monkeypatch, "silverglade.news", *zip(*guards), "silverglade.hub.news")
+    without(monkeypatch, "silverglade.configuration.updates", *zip(*guards), "silverglade.runtime.daemon_machine.news")
     for n in s.w.nodes.values():
         n.boot()
     s.w.run(9)
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from silverglade.forward.reach import FEW, PAUSE, PAUSE_MOST, Reach
-from silverglade.rehearsal.asks import SEC
-from silverglade.rehearsal.callers import Scene
+from silverglade.routing.reachability import FEW, PAUSE, PAUSE_MOST, Reach
+from silverglade.testbed.fake_servers.request_format import SEC
+from silverglade.testbed.simulator.forwarding_scenario import Scene
 
 from .test_forward import Bench, one, rep, route
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -3,11 +3,11 @@
 import anyio
 import pytest
 
-from silverglade.daemon.run import Daemon
-from silverglade.options import checked
-from silverglade.part import span
-from silverglade.rehearsal.scene import Scene
-from silverglade.rehearsal.towns import TOWNS
+from silverglade.runtime.effects import span
+from silverglade.runtime.settings import checked
+from silverglade.server.daemon import Daemon
+from silverglade.testbed.simulator.scenario import Scene
+from silverglade.testbed.sites import TOWNS
 
 from .test_members import rolls, until
 
--- a/tests/test_repairs.py
+++ b/tests/test_repairs.py
@@ -6,7 +6,7 @@
 
 from silverglade.control import plan, spread
 from silverglade.control.view import View
-from silverglade.rehearsal import repairs
+from silverglade.testbed.experiments import second_loss as repairs
 
 from . import test_control_safety as safety
 from .guards import without
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from silverglade.rehearsal import rules
-from silverglade.rehearsal.asks import Ask, answer
+from silverglade.testbed.checkers import forwarding_rules as rules
+from silverglade.testbed.fake_servers.request_format import Ask, answer
 from tests.plant import judged, kept
 
 BREACHES = []
--- a/tests/test_rules_fleet.py
+++ b/tests/test_rules_fleet.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from silverglade.rehearsal.asks import answer
+from silverglade.testbed.fake_servers.request_format import answer
 from tests.plant import SEC, cfg, judged, kept
 
 BREACHES = []
--- a/tests/test_scaler.py
+++ b/tests/test_scaler.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from silverglade.options import tuning
-from silverglade.part import start
-from silverglade.rehearsal.towns import hamlet
-from silverglade.scaler.scaler import Gauge, scaler
+from silverglade.autoscaling.scaler import Gauge, scaler
+from silverglade.runtime.effects import start
+from silverglade.runtime.settings import tuning
+from silverglade.testbed.sites import hamlet
 
 SEC = timedelta(seconds=1)
 OPT = tuning()
@@ -78,8 +78,8 @@
 
 @pytest.mark.parametrize("town", ["hamlet", "navrang", "borough"])
 def test_what_one_daemon_heard_of_replicas_is_known_to_all_in_a_moment(town):
-    from silverglade.rehearsal.scene import Scene
-    from silverglade.rehearsal.standin import Replica
+    from silverglade.testbed.simulator.scenario import Scene
+    from silverglade.testbed.simulator.tenant_replicas import Replica
 
     s = Scene(town=town)
     s.settle(5)
--- a/tests/test_seeds.py
+++ b/tests/test_seeds.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from silverglade.rehearsal import seeds
-from silverglade.rehearsal.scene import Scene
+from silverglade.testbed.simulator import seeded_runs as seeds
+from silverglade.testbed.simulator.scenario import Scene
 
 
 @pytest.mark.parametrize("town", ["navrang", "banyan"])
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -2,9 +2,11 @@
 
 import pytest
 
-from silverglade import config, faults, options
-from silverglade.faults import Fault
-from silverglade.path.admit import admit, sure
+from silverglade.configuration import schema as config
+from silverglade.runtime import errors as faults
+from silverglade.runtime import settings as options
+from silverglade.runtime.errors import Fault
+from silverglade.tenant_requests.admission import admit, sure
 
 GOOD = dict(name="e", zone="z", region="r", listen="127.0.0.1:1", http="127.0.0.1:2", seeds=["127.0.0.1:3"], cores=["a", "b", "c"])
 CFG = {
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from silverglade.forward import suspicion
-from silverglade.forward.suspicion import HOLD, HOLD_MOST, SOUND, SUSPECT, TRIAL, Member, Suspicions
+from silverglade.routing import outlier_ejection as suspicion
+from silverglade.routing.outlier_ejection import HOLD, HOLD_MOST, SOUND, SUSPECT, TRIAL, Member, Suspicions
 
 from .test_forward import Bench, one, rep, route
 
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from silverglade.faults import Fault
-from silverglade.tools import place, restore
+from silverglade.cli import place, restore
+from silverglade.runtime.errors import Fault
 
 ZONES = {z: {"region": r, "capacity": 10} for z, r in (("a", "x"), ("b", "x"), ("c", "y"))}
 
@@ -48,7 +48,7 @@
 
 
 def test_the_last_core_left_is_restored_and_takes_changes_again():
-    from silverglade.rehearsal.scene import Scene
+    from silverglade.testbed.simulator.scenario import Scene
 
     s = Scene(town="hamlet", seed=3)
     s.settle()
@@ -79,8 +79,8 @@
 def test_a_rehearsal_beside_another_ends_in_one_clear_line(tmp_path, capsys):
     import socket
 
-    from silverglade.rehearsal.__main__ import main
-    from silverglade.rehearsal.fleet import Fleet, free
+    from silverglade.testbed.__main__ import main
+    from silverglade.testbed.local_fleet.fleet import Fleet, free
 
     addr = next(iter(Fleet(town="hamlet", folder=str(tmp_path)).daemons.values()))["http"]
     free(addr)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from silverglade.daemon import upstream
-from silverglade.daemon.upstream import Pool, Stale, Unsent
+from silverglade.http import connection_pool as upstream
+from silverglade.http.connection_pool import Pool, Stale, Unsent
 
 from .scripted import ID, SEC, answer, play, replica, scene, stream
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from silverglade import messages
-from silverglade.daemon.disk import FILE, Store
-from silverglade.faults import Fault
-from silverglade.rehearsal.scene import Scene
+from silverglade.runtime.errors import Fault
+from silverglade.server.disk import FILE, Store
+from silverglade.testbed.simulator.scenario import Scene
+from silverglade.transport import message_schemas as messages
 
 
 def swap(s, name, on):
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from silverglade.rehearsal.scene import Scene
+from silverglade.testbed.simulator.scenario import Scene
 
 from .nevers import SEC, hamlet
 
