--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -2,7 +2,7 @@
 
 from silverglade.control import outcomes
 from silverglade.control import replicated_state as bk
-from silverglade.runtime.effects import span
+from silverglade.runtime.effects import milliseconds
 from silverglade.runtime.settings import tuning
 from silverglade.testbed.simulator.scenario import Scene
 from silverglade.testbed.simulator.tenant_replicas import Replica
@@ -65,7 +65,7 @@
     s.put(kind="tenant", at="core-north")
     s.w.run(12)
     b = s.w.nodes["core-north"].peek("news", "book")
-    assert "duty/shard/pair" not in b and bk.get(b, "floor/shard") >= e
+    assert "duty/shard/pair" not in b and bk.value_of(b, "floor/shard") >= e
     s.put(kind="tenant", at="core-north")
     s.w.run(5)
     assert s.w.nodes["core-north"].peek("news", "book")["duty/shard/pair"][1][0] > e
@@ -80,7 +80,7 @@
     s = Scene(town="hamlet")
     s.settle()
     for i in range(296):
-        s.w.after(span(40 * i), s.w.call, "core-north", "evac", ("north", False, f"e{i}"))
+        s.w.after(milliseconds(40 * i), s.w.call, "core-north", "evac", ("north", False, f"e{i}"))
     s.w.run(14)
     v = s.w.nodes["core-north"].control.view
     books = [s.w.nodes[c].disk.data["book"] for c in (v[1], *v[2])]
@@ -92,7 +92,7 @@
 def test_a_replica_that_was_forgotten_may_return_in_the_same_life_and_a_leap_of_the_clock_forgets_nobody():
     s = Scene(town="hamlet", opt=tuning(forget=5))
     s.settle()
-    s.w.nodes["edge-south-0"].skew += span(3600_000)
+    s.w.nodes["edge-south-0"].skew += milliseconds(3600_000)
     s.w.run(1)
     assert s.o.events["replica-forgotten"] == 0
     s.leave("model-north-0")
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -6,7 +6,7 @@
 
 from silverglade.http import app
 from silverglade.runtime import structured_logging as log
-from silverglade.runtime.errors import Fault
+from silverglade.runtime.errors import SilvergladeError
 from silverglade.runtime.settings import checked
 from silverglade.server import priority_queues as lanes
 from silverglade.server import supervisor as tree
@@ -41,11 +41,11 @@
 
 def test_a_crowd_at_the_door_holds_up_no_pulse_and_no_heartbeat():
     async def go():
-        q, refused = lanes.Lanes(), 0
+        q, refused = lanes.PriorityQueues(), 0
         for i in range(1000):
             try:
                 q.knock(("order", i, ()))
-            except Fault as e:
+            except SilvergladeError as e:
                 refused += e.code == 310
         for i in range(500):
             await q.heard("x", ("ask", i))
@@ -64,7 +64,7 @@
 
 def test_a_full_lane_holds_up_its_own_senders_alone():
     async def go():
-        q, done = lanes.Lanes(), []
+        q, done = lanes.PriorityQueues(), []
 
         async def fill():
             for i in range(lanes.WORK + 1):
@@ -99,7 +99,7 @@
 def test_bodies_are_held_up_to_a_bound_and_refused_beyond_it():
     async def go():
         d = daemon()
-        with d.hold(BODIES - 10), pytest.raises(Fault) as e:
+        with d.hold(BODIES - 10), pytest.raises(SilvergladeError) as e:
             with d.hold(11):
                 pass
         assert e.value.code == 310
@@ -127,7 +127,7 @@
 
 def test_a_body_half_sent_is_given_up_in_bounded_time(monkeypatch):
     monkeypatch.setattr(app, "BODY_SECS", 0)
-    with pytest.raises(Fault) as e:
+    with pytest.raises(SilvergladeError) as e:
         anyio.run(app.read, anyio.sleep_forever, {})
     assert e.value.code == 311
 
@@ -154,7 +154,7 @@
 def large(own_way, monkeypatch):
     """A large configuration, which travels compressed, over links of 8 kB a second, with and without a connection for what is bulky."""
     if not own_way:
-        monkeypatch.setattr(world, "lane", lambda kind: "bulk")
+        monkeypatch.setattr(world, "queue_for", lambda kind: "bulk")
     s = Scene(town="hamlet")
     s.settle()
     s.w.rate, n = 8e3, dict(s.o.events)
--- a/tests/test_linearizable.py
+++ b/tests/test_linearizable.py
@@ -6,7 +6,7 @@
 import pytest
 
 from silverglade.control import outcomes
-from silverglade.runtime.effects import span
+from silverglade.runtime.effects import milliseconds
 from silverglade.testbed.checkers.linearizability import Operation, Table, Zone, judged
 from silverglade.testbed.faults import control_faults as trials
 from silverglade.testbed.simulator.operators import Play, Trouble, played
@@ -15,7 +15,7 @@
 
 
 def op(name, action, begun, ended=None, result=None, left=None):
-    return Operation(name, action, span(begun), ended and span(ended), result, left and span(left))
+    return Operation(name, action, milliseconds(begun), ended and milliseconds(ended), result, left and milliseconds(left))
 
 
 def fits(*ops, start=None):
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -29,7 +29,7 @@
         self.options[level, name] = value
 
     async def send(self, data):
-        self.got.append(wire.unpack(data[4:])[2])
+        self.got.append(wire.decode_frame(data[4:])[2])
 
     async def receive(self, n):
         await anyio.sleep_forever()
@@ -56,7 +56,7 @@
         await anyio.lowlevel.checkpoint()
 
     async def go():
-        link = links.Links(me="a", life="l", addr="127.0.0.1:1", heard=None, lg=Quiet())
+        link = links.PeerConnections(me="a", life="l", addr="127.0.0.1:1", heard=None, lg=Quiet())
         link.peer("b", "127.0.0.1:2")
         async with anyio.create_task_group() as link.group:
             for i in range(6):
@@ -71,7 +71,7 @@
 
     monkeypatch.setattr(links, "HELD", held)
     monkeypatch.setattr(links.anyio, "connect_tcp", connect)
-    monkeypatch.setattr(links.Links, "pause", rest)
+    monkeypatch.setattr(links.PeerConnections, "pause", rest)
     anyio.run(go)
     return [body[1] for body in got]
 
@@ -94,7 +94,7 @@
         return made[-1]
 
     async def go():
-        link = links.Links(me="a", life="l", addr="127.0.0.1:1", heard=None, lg=Quiet())
+        link = links.PeerConnections(me="a", life="l", addr="127.0.0.1:1", heard=None, lg=Quiet())
         link.peer("b", "127.0.0.1:2")
         async with anyio.create_task_group() as link.group:
             link.send("b", ("alive", 1, 0))
@@ -118,7 +118,7 @@
         return Wire([])
 
     async def go():
-        link = links.Links(me="a", life="l", addr="127.0.0.1:1", heard=None, lg=Quiet())
+        link = links.PeerConnections(me="a", life="l", addr="127.0.0.1:1", heard=None, lg=Quiet())
         link.peer("b", "127.0.0.1:2")
         async with anyio.create_task_group() as link.group:
             link.send("b", ("alive", 1, 0))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -4,8 +4,8 @@
 import pytest
 
 from silverglade.membership import replicated_table as soft
-from silverglade.membership.zone_relay import proxy_of
-from silverglade.runtime.effects import ZERO, span
+from silverglade.membership.zone_relay import relay_of_zone
+from silverglade.runtime.effects import ZERO, milliseconds
 from silverglade.runtime.settings import tuning
 from silverglade.testbed.experiments.fleet_cost import measure, plain
 from silverglade.testbed.simulator.scenario import SEC, Scene
@@ -192,7 +192,7 @@
     s = many()
     zone = "z03"
     mates = [n.name for n in s.w.nodes.values() if n.zone == zone]
-    who = proxy_of(zone, s.w.nodes[mates[0]].peek("desk", "roll"))
+    who = relay_of_zone(zone, s.w.nodes[mates[0]].peek("desk", "roll"))
     assert who in mates and rolls(s) == {100}
     assert {s.w.nodes[i].peek("roster", "at_core") for i in mates if i != who} == {who}
     assert s.w.nodes[who].peek("roster", "at_core") in s.w.cores
@@ -207,7 +207,7 @@
     assert s.o.events["daemon-dead"] == 99         # the proxy alone, told by each
     fresh = [s.w.now - n.peek("news", "fresh") for n in s.w.nodes.values() if n.hub]
     assert max(fresh) < 3 * SEC
-    two = proxy_of(zone, s.w.nodes[mates[0] if mates[0] != who else mates[1]].peek("desk", "roll"))
+    two = relay_of_zone(zone, s.w.nodes[mates[0] if mates[0] != who else mates[1]].peek("desk", "roll"))
     s.w.cut([two], [n for n in s.w.nodes if n != two])
     s.w.run(8)
     assert {len(n.peek("desk", "roll")) for n in s.w.nodes.values() if n.hub and n.name != two} == {98}
@@ -244,8 +244,8 @@
     s = Scene(town="navrang")
     s.settle(5)
     for k in range(160):
-        s.w.after(span(50 * k), s.w.nodes["edge-surat-0"].hub.queue.append, ("roster", ("publish", "thing", "k", (k + 1,), k)))
-        s.w.after(span(50 * k), s.w.nodes["core-surat"].hub.queue.append, ("roster", ("publish", "thing", "c", (k + 1,), k)))
+        s.w.after(milliseconds(50 * k), s.w.nodes["edge-surat-0"].hub.queue.append, ("roster", ("publish", "thing", "k", (k + 1,), k)))
+        s.w.after(milliseconds(50 * k), s.w.nodes["core-surat"].hub.queue.append, ("roster", ("publish", "thing", "c", (k + 1,), k)))
     s.w.run(1)
     s.w.empty_disk("core-ahmedabad")
     s.w.run(0.3)
@@ -348,7 +348,7 @@
         if rng.random() < 0.05:
             s.w.run(0.1)
     s.w.run(8)
-    assert messages.checked(("told", (row[:5],))) and not messages.checked(("told", (row[:4],)))
+    assert messages.is_valid_message(("told", (row[:5],))) and not messages.is_valid_message(("told", (row[:4],)))
     assert n.hub is not None and n.feed(("pulse",)) is None
 
 
@@ -358,7 +358,7 @@
     assert differs("pace", (0, 0), (1, 0)) and differs("view", (1, "a", "b"), (2, "a", "b"))
     a = (("model", 3, 1.0, 4.0, 0.1, True),)
     assert not differs("parts", a, (("model", 3, 1.0, 4.4, 0.1, True),))
-    assert differs("parts", a, (("model", 4, 1.3, 4.0, 0.1, True),)) and span(1) > ZERO
+    assert differs("parts", a, (("model", 4, 1.3, 4.0, 0.1, True),)) and milliseconds(1) > ZERO
 
 
 def test_an_idle_daemon_is_woken_for_what_is_due_alone(monkeypatch):
@@ -378,7 +378,7 @@
     t.send((ZERO, ("msg", "x", ("told", tuple(("daemon", f"d{i}", (1, 1), (f"d{i}", *rec[1:]), "") for i in range(n))))))
     got = 0
     for k in range(40):
-        now = span(50 * (k + 1))
+        now = milliseconds(50 * (k + 1))
         t.send((now, ("msg", "d1", ("told", (("extra", "d1 pace", (1, k + 1), (k, 0), ""),)))))
         got += sum(e[:1] == ("cast",) for e in t.send((now, ("pulse",))))
     return got
--- a/tests/test_nevers.py
+++ b/tests/test_nevers.py
@@ -41,7 +41,7 @@
     "silverglade.configuration.updates",
 )
 USABLE = (
-    "silverglade.replicas.registry.usable",
+    "silverglade.replicas.registry.is_usable",
     "silverglade.replicas.candidate_selection.usable",
     "silverglade.tenant_requests.ingress.usable",
 )
@@ -174,7 +174,7 @@
                 ("if False:", "]", "held = v", "if True:"),
                 "silverglade.runtime.daemon_machine.news",
             ),
-            ("silverglade.control.replicated_state", "if iv > v and not", "if not", "silverglade.control.replicated_state.since"),
+            ("silverglade.control.replicated_state", "if iv > v and not", "if not", "silverglade.control.replicated_state.items_since"),
         ],
     ),
     (
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from silverglade.runtime.effects import span
+from silverglade.runtime.effects import milliseconds
 from silverglade.testbed.simulator.scenario import SEC
 
 from .nevers import hamlet
@@ -100,5 +100,5 @@
     assert all(len(g) == 1 for g in got) and [100] in got
     assert len(set(emptied(s).values())) == 1
     calm = call(s, names[0], True)
-    s.w.run(span(300) / SEC)
+    s.w.run(milliseconds(300) / SEC)
     assert calm == [100]
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -6,7 +6,7 @@
 
 from silverglade.control import outcomes, store
 from silverglade.control import replicated_state as bk
-from silverglade.runtime.effects import span
+from silverglade.runtime.effects import milliseconds
 from silverglade.runtime.settings import tuning
 from silverglade.testbed.simulator.scenario import SEC
 
@@ -26,7 +26,7 @@
     """So many evacuations begun and finished; all are acknowledged."""
     got = []
     for i in range(n):
-        s.w.after(span(40 * i), s.w.call, "core-north", "evac", ("north", False, f"e{i}.{s.w.num}"), lambda c, _: got.append(c))
+        s.w.after(milliseconds(40 * i), s.w.call, "core-north", "evac", ("north", False, f"e{i}.{s.w.num}"), lambda c, _: got.append(c))
     s.w.run(0.04 * n + 2)
     assert got == [100] * n
 
@@ -205,8 +205,8 @@
         s.rows.update({k: (v, x) for k, v, x in (outcomes.item(change=f"{i:0100d}", key=key, at=(1, i + 2), number=1),)})
         if i % 64 == 0:
             s.rows.update({k: (v, x) for k, v, x in outcomes.moved(s.rows, at=(1, i + 2), aged=(0, 0))})
-            for k in bk.pruned(s.rows):
+            for k in bk.pruned_keys(s.rows):
                 del s.rows[k]
     rows = [(k, *v) for k, v in s.rows.items() if outcomes.private(k)]
-    assert len(rows) <= outcomes.MOST + 65 and len(wire.pack(frm="", life="", body=("snap", rows))) < wire.CAP / 10
+    assert len(rows) <= outcomes.MOST + 65 and len(wire.encode_frame(frm="", life="", body=("snap", rows))) < wire.MAX_FRAME_BYTES / 10
     assert tuning()["outcome_keep"] == 600 * SEC
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -22,7 +22,7 @@
 
 from silverglade.configuration import schema as config  # noqa: E402
 from silverglade.http.dialect import OWN  # noqa: E402
-from silverglade.runtime.errors import Fault  # noqa: E402
+from silverglade.runtime.errors import SilvergladeError  # noqa: E402
 
 FILE = """
 node_name = "e-1"
@@ -87,13 +87,13 @@
 )
 def test_a_faulty_settings_file_is_one_clear_line_with_a_code(tmp_path, old, new):
     assert old in FILE
-    with pytest.raises(Fault) as e:
+    with pytest.raises(SilvergladeError) as e:
         settings.checked(file(tmp_path, FILE.replace(old, new)))
     assert e.value.code == 701 and "\n" not in str(e.value).strip()
 
 
 def test_without_a_file_it_is_said():
-    with pytest.raises(Fault) as e:
+    with pytest.raises(SilvergladeError) as e:
         settings.checked("/nowhere/node.toml")
     assert e.value.code == 701
 
@@ -139,7 +139,7 @@
 def translated(raw):
     """What an operator's text comes to: the product's configuration, or None for one that is not taken."""
     try:
-        got, bad = config.checked(faces.configuration(raw, ZONES))
+        got, bad = config.parse_configuration(faces.configuration(raw, ZONES))
     except (ValueError, KeyError, TypeError, AttributeError):
         return None
     return None if bad else got
@@ -156,8 +156,8 @@
 
 def test_what_was_checked_passes_again():
     for raw in (faces.configuration(CONFIG, ZONES), dict(zones={"z": {"region": "g"}}, tenants={})):
-        got, bad = config.checked(raw)
-        assert not bad and config.checked(got) == (got, ())
+        got, bad = config.parse_configuration(raw)
+        assert not bad and config.parse_configuration(got) == (got, ())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_prefill.py
+++ b/tests/test_prefill.py
@@ -9,7 +9,7 @@
 from silverglade.routing.prefill_backlog import FORGOTTEN_AFTER, Ledger, Lengths, Prompt, Question, prompt_of
 from silverglade.routing.prefill_placement import ANSWER_WITHIN, SILENT_FOR, Placement
 from silverglade.testbed.experiments.policy_day import play
-from silverglade.transport.message_schemas import checked
+from silverglade.transport.message_schemas import is_valid_message
 
 from .test_forward import Bench, one, rep, route
 
@@ -92,7 +92,7 @@
     ],
 )
 def test_messages_have_a_stated_shape(body, ok):
-    assert checked(body) == ok
+    assert is_valid_message(body) == ok
 
 
 class Asking(Bench):
--- a/tests/test_probe.py
+++ b/tests/test_probe.py
@@ -118,9 +118,9 @@
 
 
 def anywhere(self):
-    from silverglade.membership.rendezvous import first
+    from silverglade.membership.rendezvous import highest_ranked
 
-    self.mine = frozenset(i for i in self.places if first(i, [j for j, _ in self.live]) == self.me)
+    self.mine = frozenset(i for i in self.places if highest_ranked(i, [j for j, _ in self.live]) == self.me)
 
 
 def nobody_new(self):
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,7 +1,7 @@
 """The daemon that asks for its zone (design 5.7): what it holds, when it answers, and how old its proof is told to be."""
 
-from silverglade.membership.zone_relay import KEPT, proxy, proxy_of
-from silverglade.runtime.effects import ZERO, span, start
+from silverglade.membership.zone_relay import KEPT, proxy, relay_of_zone
+from silverglade.runtime.effects import ZERO, milliseconds, start
 from silverglade.runtime.settings import tuning
 from silverglade.testbed.simulator.scenario import SEC
 
@@ -19,7 +19,7 @@
         self.at(0, "roll", (RECORD,))
 
     def at(self, milliseconds, *event):
-        return self.part.send((span(milliseconds), event))
+        return self.part.send((milliseconds(milliseconds), event))
 
     def get(self, milliseconds, number):
         return self.at(milliseconds, "msg", "edge", ("get", number, (1, 1), 7))
@@ -36,7 +36,7 @@
     p.at(0, "core", "@10.0.0.1:1", False)
     assert p.get(100, 5) == () and ages(p.at(150, "pulse")) == []
     p.at(200, "core", "core", True)
-    assert ages(p.at(400, "fresh", span(300))) == [(5, 100)]
+    assert ages(p.at(400, "fresh", milliseconds(300))) == [(5, 100)]
 
 
 def test_an_ask_that_its_asker_has_given_up_is_dropped():
@@ -45,7 +45,7 @@
     p.get(100, 5)
     p.at(1600, "pulse")
     p.at(1700, "core", "core", True)
-    assert ages(p.at(1800, "fresh", span(1700))) == []
+    assert ages(p.at(1800, "fresh", milliseconds(1700))) == []
 
 
 def test_rows_told_while_no_core_is_asked_go_to_the_next_one_unless_they_are_old():
@@ -63,10 +63,10 @@
     p.at(0, "items", (), (1, 1))
     p.at(0, "core", "core", True)
     p.at(0, "spot", 7)
-    p.at(1000, "fresh", span(100))
+    p.at(1000, "fresh", milliseconds(100))
     p.get(1000, 1)
     assert ages(p.at(2020, "pulse")) == []  # the core's next answer is on its way
-    assert ages(p.at(2050, "fresh", span(1150))) == [(1, 900)]
+    assert ages(p.at(2050, "fresh", milliseconds(1150))) == [(1, 900)]
     p.get(2050, 2)
     assert ages(p.at(3250, "pulse")) == [] and ages(p.at(3300, "pulse")) == [(2, 2150)]  # none came: told as old as it is
 
@@ -80,6 +80,6 @@
         s.w.run(0.1)
         oldest = max(oldest, *(s.w.now - n.peek("news", "fresh") for n in daemons))
     assert {n.name: n.peek("roster", "at_core") for n in daemons} == asked
-    proxies = [n.name for n in daemons if proxy_of(n.zone, n.peek("desk", "roll")) == n.name]
+    proxies = [n.name for n in daemons if relay_of_zone(n.zone, n.peek("desk", "roll")) == n.name]
     assert len(proxies) == 9 and set(proxies) <= set(asked.values())
     assert oldest < 2.8 * SEC
--- a/tests/test_proxy_cut.py
+++ b/tests/test_proxy_cut.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from silverglade.membership.zone_relay import proxy_of
-from silverglade.runtime.effects import span
+from silverglade.membership.zone_relay import relay_of_zone
+from silverglade.runtime.effects import milliseconds
 from silverglade.testbed.simulator.scenario import SEC, Scene
 from silverglade.testbed.sites import TOWNS
 
@@ -34,7 +34,7 @@
 def zone_of(s):
     """-> the daemons of the zone, its proxy, the core that this asks."""
     mates = [n for n in s.w.nodes.values() if n.zone == ZONE]
-    proxy = proxy_of(ZONE, mates[0].peek("desk", "roll"))
+    proxy = relay_of_zone(ZONE, mates[0].peek("desk", "roll"))
     return mates, s.w.nodes[proxy], s.w.nodes[proxy].peek("roster", "at_core")
 
 
@@ -137,7 +137,7 @@
     for _ in range(100):
         s.w.run(0.1)
         fresh = proxy.peek("news", "fresh")
-        assert fresh <= s.w.nodes[core].control.proven_at + span(1)  # a core tells whole milliseconds, not rounded up
+        assert fresh <= s.w.nodes[core].control.proven_at + milliseconds(1)  # a core tells whole milliseconds, not rounded up
         assert all(n.peek("news", "fresh") <= fresh for n in mates)
     s.w.cut([core, *(n.name for n in mates)], [n for n in s.w.nodes if n != core and s.w.nodes[n].zone != ZONE])
     s.w.run(1)  # what was on its way has come
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -3,7 +3,7 @@
 import anyio
 import pytest
 
-from silverglade.runtime.effects import span
+from silverglade.runtime.effects import milliseconds
 from silverglade.runtime.settings import checked
 from silverglade.server.daemon import Daemon
 from silverglade.testbed.simulator.scenario import Scene
@@ -40,7 +40,7 @@
 
 def asked(daemon, start):
     """Addresses that a daemon without a roll asks in the 20 s from then on."""
-    to, now = set(), span(start)
+    to, now = set(), milliseconds(start)
     for _ in range(400):
         now += daemon.opt["pulse"]
         to |= {e[1] for e in daemon.hub.feed(now, ("pulse",)) if e[0] == "send" and e[2][0] == "get"}
@@ -51,7 +51,7 @@
     daemon, lines = reloaded(**NEW)
     assert daemon.lanes.next() == (event := ("seeds", ("127.0.0.1:4", "127.0.0.1:5")))
     assert asked(daemon, 0) == {"@127.0.0.1:3"}
-    daemon.hub.feed(span(20000), event)
+    daemon.hub.feed(milliseconds(20000), event)
     assert asked(daemon, 20000) == {"@127.0.0.1:4", "@127.0.0.1:5"}
     assert len(lines) == 1 and "event=settings " in lines[0] + " " and "127.0.0.1:4" in lines[0]
     anyio.run(daemon.reload)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -5,19 +5,19 @@
 from silverglade.configuration import schema as config
 from silverglade.runtime import errors as faults
 from silverglade.runtime import settings as options
-from silverglade.runtime.errors import Fault
+from silverglade.runtime.errors import SilvergladeError
 from silverglade.tenant_requests.admission import admit, sure
 
 GOOD = dict(name="e", zone="z", region="r", listen="127.0.0.1:1", http="127.0.0.1:2", seeds=["127.0.0.1:3"], cores=["a", "b", "c"])
 CFG = {
     "zones": {"z": {"region": "r"}},
-    "tenants": {"t": {"homes": ["z"], "keys": [config.digest("k")], "classes": {"chat": {"aim_ms": 100}}}},
+    "tenants": {"t": {"homes": ["z"], "keys": [config.key_digest("k")], "classes": {"chat": {"aim_ms": 100}}}},
 }
 
 
 def test_every_fault_of_the_settings_is_told_with_its_path(snapshot):
     bad = dict(GOOD, listen="nowhere", seeds=[], cores=["a", "a"], colour=1, tuning={"beat": -1, "x": 2}, log_level="LOUD")
-    with pytest.raises(Fault) as e:
+    with pytest.raises(SilvergladeError) as e:
         options.checked(bad)
     assert e.value.code == 701
     assert e.value.detail == snapshot
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("without", [["prefixes"], ["prefix", "prefix"], "prefix", [3], ["cold-shares"]])
 def test_a_switch_of_a_mechanism_that_is_not_known_is_refused(without):
-    with pytest.raises(Fault) as e:
+    with pytest.raises(SilvergladeError) as e:
         options.checked(dict(GOOD, tuning={"without": without}))
     assert e.value.code == 701 and "tuning.without" in e.value.detail
     assert options.checked(dict(GOOD, tuning={"without": ["prefix"]}))["tuning"]["without"] == ("prefix",)
@@ -42,7 +42,7 @@
         dict(GOOD, tolerance={"cores": 1}),
         dict(GOOD, first="yes"),
     ):
-        with pytest.raises(Fault):
+        with pytest.raises(SilvergladeError):
             options.checked(bad)
     late = options.checked(dict(GOOD, data="x", first=False))  # a core that joins those named
     assert late["data"] == "x" and late["tolerance"] == {"machines": 1, "zones": 1, "regions": 1}
@@ -57,15 +57,15 @@
             "u": {"homes": ["z", "z"], "keys": [], "classes": {"c": {"aim_ms": "9"}}},
         },
     }
-    assert config.checked(bad)[1] == snapshot
+    assert config.parse_configuration(bad)[1] == snapshot
     twice = {"zones": CFG["zones"], "tenants": {"t": CFG["tenants"]["t"], "u": dict(CFG["tenants"]["t"], homes=["x"])}}
-    assert config.checked(twice)[1] == (("tenants.u.homes[0]", "unknown zone x"), ("tenants.u.keys[0]", "also a key of t"))
-    good, bad = config.checked(CFG)
+    assert config.parse_configuration(twice)[1] == (("tenants.u.homes[0]", "unknown zone x"), ("tenants.u.keys[0]", "also a key of t"))
+    good, bad = config.parse_configuration(CFG)
     assert bad == () and good["tenants"]["t"]["classes"]["chat"]["due_ms"] == 30000
 
 
 def head(**kw):
-    base = dict(cfg=config.checked(CFG)[0], bearer="k", cls="chat", key="", due="", prefix="", attempt="", size=1, minted="m")
+    base = dict(cfg=config.parse_configuration(CFG)[0], bearer="k", cls="chat", key="", due="", prefix="", attempt="", size=1, minted="m")
     return admit(**{**base, **kw})
 
 
@@ -86,7 +86,7 @@
     ],
 )
 def test_a_bad_order_has_its_code_before_anything_is_handed_on(kw, code):
-    with pytest.raises(Fault) as e:
+    with pytest.raises(SilvergladeError) as e:
         head(**kw)
     assert e.value.code == code
 
@@ -97,9 +97,9 @@
 
 
 def test_every_code_has_a_name_of_its_own_and_stands_in_the_docs():
-    assert len({n for n, _, _ in faults.CODES.values()}) == len(faults.CODES)
+    assert len({n for n, _, _ in faults.RESULT_CODES.values()}) == len(faults.RESULT_CODES)
     doc = open("docs/faults.md", encoding="utf-8").read()
-    for code, (name, http, say) in faults.CODES.items():
+    for code, (name, http, say) in faults.RESULT_CODES.items():
         assert f"| {code} | {name} | {http or ''} | {say} |" in doc
 
 
@@ -132,7 +132,7 @@
         (dict(operator_key="x", replica_key="x"), "a key of its own"),
         (dict(files, operator_key="x"), "given twice"),
     ]:
-        with pytest.raises(Fault) as e:
+        with pytest.raises(SilvergladeError) as e:
             settings(**bad)
         assert e.value.code == 701 and why in e.value.detail
 
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -3,7 +3,7 @@
 import pytest
 
 from silverglade.cli import place, restore
-from silverglade.runtime.errors import Fault
+from silverglade.runtime.errors import SilvergladeError
 
 ZONES = {z: {"region": r, "capacity": 10} for z, r in (("a", "x"), ("b", "x"), ("c", "y"))}
 
@@ -28,21 +28,21 @@
 
 
 def test_what_cannot_be_met_names_the_constraints_that_conflict():
-    with pytest.raises(Fault) as e:
+    with pytest.raises(SilvergladeError) as e:
         homes(tenants={"t": {"homes": 1, "keep": ["a"], "avoid": ["a"]}, "u": {}})
     assert e.value.code == 704
     assert "t keeps a" in e.value.detail and "t avoids a" in e.value.detail
     assert "u wants" not in e.value.detail
-    with pytest.raises(Fault) as e:
+    with pytest.raises(SilvergladeError) as e:
         homes(tenants={"t": {"burden": 40, "homes": 1}})
     assert "capacity" in e.value.detail
 
 
 def test_a_faulty_constraints_file_is_refused_whole_with_paths():
-    with pytest.raises(Fault) as e:
+    with pytest.raises(SilvergladeError) as e:
         homes(tenants={"t": {"keep": ["nowhere"]}})
     assert e.value.code == 703 and "tenants.t.keep" in e.value.detail
-    with pytest.raises(Fault) as e:
+    with pytest.raises(SilvergladeError) as e:
         place.checked({"zones": [], "tenants": {}, "more": 1})
     assert "more: unknown key" in e.value.detail
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -7,7 +7,7 @@
 import pytest
 
 from silverglade.http import connection_pool as upstream
-from silverglade.http.connection_pool import Pool, Stale, Unsent
+from silverglade.http.connection_pool import ConnectionPool, RequestNotSentError, StaleConnectionError
 
 from .scripted import ID, SEC, answer, play, replica, scene, stream
 
@@ -32,7 +32,7 @@
     """A pool and a replica."""
     async def main():
         async with replica(script) as rep:
-            pool = Pool(**kw)
+            pool = ConnectionPool(**kw)
 
             async def take(i="i1", *, cap=4, attempt=None):
                 return await pool.take(addr=rep.addr, replica=i, cap=cap, timeout=SEC, attempt=attempt)
@@ -58,7 +58,7 @@
 def test_never_beyond_the_most():
     async def go(pool, take, rep):
         a = await take(cap=1)
-        with pytest.raises(Unsent) as e:
+        with pytest.raises(RequestNotSentError) as e:
             await take(cap=1)
         assert e.value.why == "pool-full"
         pool.release(a, keep=5)
@@ -96,7 +96,7 @@
     ({b"keep-alive": b"timeout=soon"}, 0, None), ({b"keep-alive": b"max=3"}, 0, 20), ({}, 0, 20), ({}, 0.05, 4),
     ({b"connection": b"keep-alive"}, 0, 20), ({b"connection": b"x, Close", b"keep-alive": b"timeout=5"}, 0, None)])
 def test_how_long_by_the_replicas_word_and_the_way_there(headers, trip, secs):
-    got = Pool(keep=timedelta(seconds=20)).patience(headers, trip)
+    got = ConnectionPool(keep=timedelta(seconds=20)).patience(headers, trip)
     assert got == (secs if secs is None else pytest.approx(secs))
 
 
@@ -151,7 +151,7 @@
     """Bytes arrive, and the loop has not turned since -> was that connection used?"""
     async def go():
         with listener() as lis:
-            pool = Pool()
+            pool = ConnectionPool()
             if sound:
                 upstream.Tcp.sound = sound
             try:
@@ -181,7 +181,7 @@
 def test_what_ends_between_take_and_the_first_byte_is_stale_not_lost():
     async def go():
         with listener() as lis:
-            pool = Pool()
+            pool = ConnectionPool()
             a, far = await raw_pair(pool, lis)
             pool.release(a, keep=5)
             b, _ = await pool.take(addr=a.key[0], replica="i1", cap=4, timeout=SEC), None
@@ -191,7 +191,7 @@
             far.sendall(b"x")
             while not a.tcp.got:
                 await asyncio.sleep(0)
-            with pytest.raises(Stale):
+            with pytest.raises(StaleConnectionError):
                 await a.tcp.read(10)
             assert not a.tcp.wrote
             far.setblocking(False)
@@ -243,7 +243,7 @@
             await asyncio.Event().wait()
         loop = asyncio.get_running_loop()
         monkeypatch.setattr(loop, "sock_connect", never, raising=False)
-        with pytest.raises(Unsent) as e:
+        with pytest.raises(RequestNotSentError) as e:
             await pool.take(addr=rep.addr, replica="i1", cap=1, timeout=10 * MS)
         return e.value.why, pool.all
     assert pooled(go) == ("connect-timeout", {})
@@ -380,7 +380,7 @@
     async def go():
         server = await asyncio.start_server(lambda r, w: w.close(), "127.0.0.1", 0)
         up = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
-        pool = upstream.Pool()
+        pool = upstream.ConnectionPool()
         reached = await pool.reaches(addr=up, timeout=SEC)
         server.close()
         refused = await pool.reaches(addr=up, timeout=SEC)  # nobody listens, but that word came from there
@@ -394,4 +394,4 @@
         raise TimeoutError
 
     monkeypatch.setattr(upstream, "connect", never)
-    assert asyncio.run(upstream.Pool().reaches(addr="127.0.0.1:9", timeout=SEC)) is False
+    assert asyncio.run(upstream.ConnectionPool().reaches(addr="127.0.0.1:9", timeout=SEC)) is False
