--- a/silverglade/testbed/checkers/forwarding_rules.py
+++ b/silverglade/testbed/checkers/forwarding_rules.py
@@ -1,7 +1,7 @@
 """The rules of the forwarding path, judged as things happen (design 15): what clients, replicas and operators saw.
 
 Whoever drives it says what was sent, arrived, ran, came back; `bad` collects what was broken. Each rule has a
-planted breach in tests/test_rules.py. Times are timedeltas on one clock, bounds are parameters.
+planted breach in tests/testbed/test_forwarding_rules.py. Times are timedeltas on one clock, bounds are parameters.
 """
 
 from bisect import bisect_left, bisect_right
--- a/tests/test_after_cuts.py
+++ b/tests/configuration/test_after_partitions.py
@@ -6,7 +6,7 @@
 from silverglade.testbed.simulator.scenario import SEC, Scene
 from silverglade.transport import connections as links
 
-from .test_members import until
+from ..membership.test_membership import until
 
 APPLIED = 3.0  # seconds within which a change is in force at every daemon in touch
 CONTACT = 4.0  # seconds after a cut until a daemon counts as in touch
--- a/tests/test_bad_input.py
+++ b/tests/configuration/test_bad_input.py
@@ -22,16 +22,16 @@
 from silverglade.transport import framing as wire
 from silverglade.transport.connections import PeerConnections
 
-from .nevers import hamlet
-from .scripted import Quiet
-from .test_front import Daemon, http
+from ..support.failure_scenarios import hamlet
+from ..support.scripted_replicas import Quiet
+from ..http.test_http_app import Daemon, http
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent / "platform"))
 
 import faces  # noqa: E402
 import words  # noqa: E402
 
-from .test_platform import CONFIG, ZONES  # noqa: E402
+from ..system.test_platform import CONFIG, ZONES  # noqa: E402
 
 TEXT = json.dumps(CONFIG).encode()
 TOO_LONG = b'{"version": 1, "routes": [' + b"[" * 100000
--- a/tests/test_operators.py
+++ b/tests/configuration/test_operators.py
@@ -5,7 +5,7 @@
 from silverglade.runtime.effects import milliseconds
 from silverglade.testbed.simulator.scenario import SEC
 
-from .nevers import hamlet
+from ..support.failure_scenarios import hamlet
 
 ZONE = "south"
 
--- a/tests/test_reload.py
+++ b/tests/configuration/test_reload.py
@@ -9,7 +9,7 @@
 from silverglade.testbed.simulator.scenario import Scene
 from silverglade.testbed.sites import TOWNS
 
-from .test_members import rolls, until
+from ..membership.test_membership import rolls, until
 
 BASE = dict(name="e", zone="z", region="r", listen="127.0.0.1:1", http="127.0.0.1:2", seeds=["127.0.0.1:3"], cores=["a", "b", "c"])
 NEW = dict(seeds=["127.0.0.1:4", "127.0.0.1:5"], cores=["a", "d", "f"], first=False)
--- a/tests/test_control_guards.py
+++ b/tests/control/test_control_guards.py
@@ -5,7 +5,7 @@
 from silverglade.control import seek
 
 from . import test_control_safety as safety
-from .guards import without
+from ..support.source_mutation import without
 
 PACKAGE = "silverglade.control."
 GUARDS = [
--- a/tests/test_control_late.py
+++ b/tests/control/test_control_late.py
@@ -9,7 +9,7 @@
 from silverglade.testbed.faults import control_faults as trials
 from silverglade.testbed.simulator import control_cluster as council
 
-from .guards import without
+from ..support.source_mutation import without
 from .test_control_staleness import settled
 
 EVERY, LATEST = 12, 25
--- a/tests/test_control_cuts.py
+++ b/tests/control/test_control_partitions.py
@@ -5,7 +5,7 @@
 from silverglade.testbed.faults import control_faults as trials
 from silverglade.testbed.simulator import control_cluster as council
 
-from .guards import without
+from ..support.source_mutation import without
 
 SIZES = [(3, (1, 1, 1)), (5, (2, 1, 1))]
 WAYS = ("both", "in", "out")
--- a/tests/test_control_staleness.py
+++ b/tests/control/test_control_staleness.py
@@ -12,7 +12,7 @@
 from silverglade.testbed.faults import control_faults as trials
 from silverglade.testbed.simulator import control_cluster as council
 
-from .guards import without
+from ..support.source_mutation import without
 
 HOUR = 3600
 
--- a/tests/test_core_state.py
+++ b/tests/control/test_core_state.py
@@ -195,7 +195,7 @@
 
 
 def test_a_fingerprint_is_the_same_in_every_process():
-    code = "from tests.test_core_state import a_machine; print(a_machine().fingerprint().hex())"
+    code = "from tests.control.test_core_state import a_machine; print(a_machine().fingerprint().hex())"
     got = {
         subprocess.run(
             [sys.executable, "-c", code], env={**os.environ, "PYTHONHASHSEED": s}, capture_output=True, text=True, check=True
--- a/tests/test_cut_evacuations.py
+++ b/tests/control/test_evacuations_in_partitions.py
@@ -5,8 +5,8 @@
 from silverglade.control import replicated_state as bk
 from silverglade.testbed.simulator import control_cluster as council
 
-from .guards import without
-from .test_control_cuts import SIZES, WAYS, cut, the_one
+from ..support.source_mutation import without
+from .test_control_partitions import SIZES, WAYS, cut, the_one
 
 
 class Evacuator:
--- a/tests/test_outcomes.py
+++ b/tests/control/test_outcomes.py
@@ -10,7 +10,7 @@
 from silverglade.runtime.settings import tuning
 from silverglade.testbed.simulator.scenario import SEC
 
-from .nevers import hamlet
+from ..support.failure_scenarios import hamlet
 
 RAW = {"zones": {z: {"region": z} for z in ("north", "middle", "south")}, "tenants": {}}
 
--- a/tests/test_upstream.py
+++ b/tests/http/test_connection_pool.py
@@ -9,7 +9,7 @@
 from silverglade.http import connection_pool as upstream
 from silverglade.http.connection_pool import ConnectionPool, RequestNotSentError, StaleConnectionError
 
-from .scripted import ID, SEC, answer, play, replica, scene, stream
+from ..support.scripted_replicas import ID, SEC, answer, play, replica, scene, stream
 
 MS = timedelta(milliseconds=1)
 
--- a/tests/test_early_answers.py
+++ b/tests/http/test_early_answers.py
@@ -4,7 +4,7 @@
 
 from silverglade.http.connection_pool import HIGH
 
-from .scripted import ID, NOT, answer, scene
+from ..support.scripted_replicas import ID, NOT, answer, scene
 
 SMALL, LARGE, HUGE = 40, 3 * HIGH, 40 * HIGH  # one packet; several writes; more than the kernel takes at once
 REFUSALS = [
--- a/tests/test_every_byte.py
+++ b/tests/http/test_every_byte.py
@@ -5,7 +5,7 @@
 import anyio.lowlevel
 import pytest
 
-from .scripted import ID, NOT, SEAL, answer, event, one, scene, stream
+from ..support.scripted_replicas import ID, NOT, SEAL, answer, event, one, scene, stream
 
 PLAIN = answer("a1", "whole body")
 REFUSED = answer("a1", "full", status="503 Full", seal="", more=(f"{NOT}: 1", "Retry-After: 0.5"))
--- a/tests/test_every_byte_breaches.py
+++ b/tests/http/test_every_byte_breaches.py
@@ -1,4 +1,4 @@
-"""Each guard of tests/test_every_byte.py taken out: the trouble becomes visible."""
+"""Each guard of tests/http/test_every_byte.py taken out: the trouble becomes visible."""
 
 import pytest
 
@@ -7,9 +7,9 @@
 from silverglade.routing import router as part
 from silverglade.server import request_forwarding as forwarding
 
-from . import scripted
+from ..support import scripted_replicas as scripted
 from . import test_every_byte as bytes_
-from . import test_forward_doubt as doubt
+from ..routing import test_doubtful_replicas as doubt
 
 S, P, T = forwarding.RequestForwarder, upstream.ConnectionPool, upstream.Tcp
 
--- a/tests/test_forwarding.py
+++ b/tests/http/test_forwarding.py
@@ -6,7 +6,7 @@
 
 from silverglade.server import request_forwarding as forwarding
 
-from .scripted import ID, NOT, SEAL, answer, chunk, event, one, scene, stream
+from ..support.scripted_replicas import ID, NOT, SEAL, answer, chunk, event, one, scene, stream
 
 
 async def ask(c, d, rep, client):
@@ -181,7 +181,7 @@
 
     def part(at):
         addr[:] = at
-        from .scripted import simple
+        from ..support.scripted_replicas import simple
 
         return simple(addr)
 
--- a/tests/test_forwarding_breaches.py
+++ b/tests/http/test_forwarding_breaches.py
@@ -8,10 +8,11 @@
 from silverglade.server import client_request as ask
 from silverglade.server import request_forwarding as forwarding
 
-from . import scripted, test_forwarding, test_forwarding_ends, test_upstream
-from .scripted import OWN
+from ..support import scripted_replicas as scripted
+from . import test_forwarding, test_forwarding_ends, test_connection_pool as test_upstream
+from ..support.scripted_replicas import OWN
 from .test_forwarding import CUT, PLAIN
-from .test_upstream import TWICE
+from .test_connection_pool import TWICE
 
 S, A, T, P, F = forwarding.RequestForwarder, ask.ClientRequest, upstream.Tcp, upstream.ConnectionPool, forward.ForwardingProtocol
 
--- a/tests/test_forwarding_ends.py
+++ b/tests/http/test_forwarding_ends.py
@@ -9,8 +9,8 @@
 from silverglade.server import request_forwarding as forwarding
 from silverglade.server import response_timeouts as silence
 
-from .scripted import Daemon, answer, chunk, event, one, scene, stream
-from .test_events import cuts, text, whole
+from ..support.scripted_replicas import Daemon, answer, chunk, event, one, scene, stream
+from .test_event_stream import cuts, text, whole
 from .test_forwarding import ask, rep_asked, says
 
 
--- a/tests/test_face.py
+++ b/tests/http/test_forwarding_protocol.py
@@ -13,8 +13,8 @@
 from silverglade.runtime import errors as faults
 from silverglade.server.client_request import Limits, small
 
-from . import scripted
-from .scripted import ID, SEAL, answer, chunk, event, scene, stream
+from ..support import scripted_replicas as scripted
+from ..support.scripted_replicas import ID, SEAL, answer, chunk, event, scene, stream
 
 MS = timedelta(milliseconds=1)
 FIRST = f"POST /p HTTP/1.1\r\nHost: h\r\n{ID}: a1\r\n"
--- a/tests/test_forgotten.py
+++ b/tests/membership/test_forgotten_members.py
@@ -5,7 +5,7 @@
 from silverglade.runtime.settings import tuning
 from silverglade.testbed.simulator.scenario import Scene
 
-from .test_members import rolls, until
+from .test_membership import rolls, until
 
 FORGET = 4
 
--- a/tests/test_members.py
+++ b/tests/membership/test_membership.py
@@ -12,9 +12,9 @@
 from silverglade.testbed.sites import TOWNS
 from silverglade.transport import message_schemas as messages
 
-from .guards import without
-from .nevers import hamlet
-from .test_codec import some
+from ..support.source_mutation import without
+from ..support.failure_scenarios import hamlet
+from ..transport.test_framing import some
 
 
 def rolls(s):
--- a/tests/test_proxy.py
+++ b/tests/membership/test_zone_relay.py
@@ -5,7 +5,7 @@
 from silverglade.runtime.settings import tuning
 from silverglade.testbed.simulator.scenario import SEC
 
-from .test_members import many
+from .test_membership import many
 
 ROW = ("thing", "k", (1,), 1, "")
 RECORD = ("edge", "life", 1, 1, "zone", "r", "a", "h", False, "ready", (), ())
--- a/tests/test_proxy_cut.py
+++ b/tests/membership/test_zone_relay_partitions.py
@@ -7,8 +7,8 @@
 from silverglade.testbed.simulator.scenario import SEC, Scene
 from silverglade.testbed.sites import TOWNS
 
-from .guards import without
-from .test_members import rolls, until
+from ..support.source_mutation import without
+from .test_membership import rolls, until
 
 ZONE = "far"
 APPLIED = 5  # seconds in which a daemon in touch holds what was acknowledged
--- a/tests/test_departure.py
+++ b/tests/routing/test_departure.py
@@ -9,7 +9,7 @@
 from silverglade.testbed.simulator import forwarding_scenario as callers
 from silverglade.testbed.simulator.forwarding_scenario import Scene
 
-from .test_forward import Bench, one, rep, route
+from .test_router import Bench, one, rep, route
 
 SECOND = timedelta(seconds=1)
 
--- a/tests/test_forward_doubt.py
+++ b/tests/routing/test_doubtful_replicas.py
@@ -1,6 +1,6 @@
 """Replicas in doubt (design 15.3, 15.4): their idle connections, and what is promised of a request that left one."""
 
-from .test_forward import Bench, one, rep, route
+from .test_router import Bench, one, rep, route
 
 
 def effects(b, *ev):
--- a/tests/test_suspicion.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -9,7 +9,7 @@
 from silverglade.routing import outlier_ejection as suspicion
 from silverglade.routing.outlier_ejection import HOLD, HOLD_MOST, SOUND, SUSPECT, TRIAL, Member, Suspicions
 
-from .test_forward import Bench, one, rep, route
+from .test_router import Bench, one, rep, route
 
 SEC = timedelta(seconds=1)
 MS = timedelta(milliseconds=1)
--- a/tests/test_prefill.py
+++ b/tests/routing/test_prefill_placement.py
@@ -11,7 +11,7 @@
 from silverglade.testbed.experiments.policy_day import play
 from silverglade.transport.message_schemas import is_valid_message
 
-from .test_forward import Bench, one, rep, route
+from .test_router import Bench, one, rep, route
 
 SEC = timedelta(seconds=1)
 LONG = ((("s", 2500), ("d", 4000), ("o1", 3000)), (9500, 100))
--- a/tests/test_reach.py
+++ b/tests/routing/test_reachability.py
@@ -9,7 +9,7 @@
 from silverglade.testbed.fake_servers.request_format import SEC
 from silverglade.testbed.simulator.forwarding_scenario import Scene
 
-from .test_forward import Bench, one, rep, route
+from .test_router import Bench, one, rep, route
 
 WAIT = timedelta(milliseconds=400)
 
--- a/tests/test_leaving.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -9,7 +9,7 @@
 from silverglade.runtime.shutdown_timetable import timetable
 from silverglade.server import shutdown as departure
 
-from .test_lanes import daemon
+from .test_priority_queues import daemon
 
 SEC = timedelta(seconds=1)
 
--- a/tests/test_lanes.py
+++ b/tests/server/test_priority_queues.py
@@ -15,7 +15,7 @@
 from silverglade.testbed.simulator.scenario import Scene
 from silverglade.testbed.simulator.tenant_replicas import SEC
 
-from .test_front import http
+from ..http.test_http_app import http
 
 
 class Quiet:
--- a/tests/nevers.py
+++ b/tests/support/failure_scenarios.py
@@ -1,4 +1,4 @@
-"""The failures that threaten what must never happen (docs/proof.md), one directed run each; tests/test_nevers.py plays them."""
+"""The failures that threaten what must never happen (docs/proof.md), one directed run each; tests/system/test_safety_rules.py plays them."""
 
 from datetime import timedelta
 
--- a/tests/test_nevers.py
+++ b/tests/system/test_safety_rules.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from .guards import without
-from .nevers import (
+from ..support.source_mutation import without
+from ..support.failure_scenarios import (
     a_cut_off_daemon_is_asked_again,
     a_daemon_is_told_by_a_core_that_is_behind,
     a_daemon_restarts_beside_a_core_that_is_behind,
--- a/tests/test_whole.py
+++ b/tests/system/test_whole_failures.py
@@ -4,7 +4,7 @@
 
 from silverglade.testbed.simulator.scenario import Scene
 
-from .nevers import SEC, hamlet
+from ..support.failure_scenarios import SEC, hamlet
 
 
 @pytest.mark.parametrize("name", ["core-north", "core-middle", "core-south", "edge-north-0", "edge-middle-0", "edge-south-0"])
--- a/tests/test_apart.py
+++ b/tests/tenant_shards/test_tenant_isolation.py
@@ -3,7 +3,7 @@
 from silverglade.runtime.settings import tuning
 from silverglade.testbed.experiments.recovery_figures import SEC, apart
 
-from .guards import without
+from ..support.source_mutation import without
 
 
 def crowd(**kw):
--- a/tests/test_check_model.py
+++ b/tests/testbed/test_check_model.py
@@ -14,7 +14,7 @@
 from silverglade.testbed.model_checker.scenarios import STARTING, acknowledged
 from silverglade.testbed.model_checker.world import World
 
-from .guards import without
+from ..support.source_mutation import without
 
 PACKAGE = "silverglade.control."
 NUMBER_IN_FORCE = """            if base != held:
--- a/tests/test_rules_fleet.py
+++ b/tests/testbed/test_fleet_rules.py
@@ -3,7 +3,7 @@
 import pytest
 
 from silverglade.testbed.fake_servers.request_format import answer
-from tests.plant import SEC, cfg, judged, kept
+from tests.support.planted_breaches import SEC, cfg, judged, kept
 
 BREACHES = []
 breach = kept(BREACHES)
--- a/tests/test_rules.py
+++ b/tests/testbed/test_forwarding_rules.py
@@ -7,7 +7,7 @@
 
 from silverglade.testbed.checkers import forwarding_rules as rules
 from silverglade.testbed.fake_servers.request_format import Ask, answer
-from tests.plant import judged, kept
+from tests.support.planted_breaches import judged, kept
 
 BREACHES = []
 breach = kept(BREACHES)
@@ -161,7 +161,7 @@
 
 
 def test_every_rule_has_a_planted_breach():
-    from tests.test_rules_fleet import BREACHES as fleet
+    from tests.testbed.test_fleet_rules import BREACHES as fleet
 
     named = set(re.findall(r'bad\(now, "([A-Z]+)"', inspect.getsource(rules)))
     assert named == {r for r, _ in (*BREACHES, *fleet)} and len(named) > 14
--- a/tests/test_linearizable.py
+++ b/tests/testbed/test_linearizability.py
@@ -11,7 +11,7 @@
 from silverglade.testbed.faults import control_faults as trials
 from silverglade.testbed.simulator.operators import Play, Trouble, played
 
-from .guards import without
+from ..support.source_mutation import without
 
 
 def op(name, action, begun, ended=None, result=None, left=None):
--- a/tests/test_engines.py
+++ b/tests/testbed/test_replica_servers.py
@@ -13,7 +13,7 @@
 from silverglade.testbed.fake_servers.http_exchange import Names
 from silverglade.testbed.fake_servers.replica_server import Server
 from silverglade.testbed.fake_servers.request_format import MS, SEC, Spec, pieces
-from tests.scripted import SEAL, front, play, simple
+from tests.support.scripted_replicas import SEAL, front, play, simple
 
 FAST = Spec(step=MS, per_slot=0 * MS, stride=4, cache_tokens=100000)
 PLAIN = Spec(work=5 * MS, capacity=2, queue=2)
--- a/tests/test_repairs.py
+++ b/tests/testbed/test_second_loss.py
@@ -8,8 +8,8 @@
 from silverglade.control.view import View
 from silverglade.testbed.experiments import second_loss as repairs
 
-from . import test_control_safety as safety
-from .guards import without
+from ..control import test_control_safety as safety
+from ..support.source_mutation import without
 
 SMALL = dict(size=3, tolerance=(1, 1, 1), catch_up=4.0)
 GROWN = dict(size=5, tolerance=(2, 1, 1), catch_up=6.0)
@@ -195,8 +195,8 @@
 @pytest.mark.parametrize(
     "module,old,target",
     [
-        ("core", " and state.recruited <= self.epoch", "tests.test_control_safety.core"),
-        ("core", " and state.met | state.leaving", "tests.test_control_safety.core"),
+        ("core", " and state.recruited <= self.epoch", "tests.control.test_control_safety.core"),
+        ("core", " and state.met | state.leaving", "tests.control.test_control_safety.core"),
         ("snapshots", "    if state.writes.leaving:\n        return False\n", "silverglade.control.snapshots.accept_recruiting"),
     ],
 )
