--- a/tests/control/test_control_staleness.py
+++ b/tests/control/test_control_staleness.py
@@ -142,7 +142,11 @@
         "stamps of all lives count from the clock alone",
         started_again_and_cut_off,
         "liveness",
-        ("sent = echo - core.state.stamp_origin", "stamp=state.stamp_origin + to_milliseconds(now)", "return sent if 0 <= sent <= to_milliseconds(now) else -1"),
+        (
+            "sent = echo - core.state.stamp_origin",
+            "stamp=state.stamp_origin + to_milliseconds(now)",
+            "return sent if 0 <= sent <= to_milliseconds(now) else -1",
+        ),
         ("sent = echo", "stamp=to_milliseconds(now)", "return sent"),
         ("own_echo", "send_heartbeat"),
     ),
--- a/tests/testbed/test_check_model.py
+++ b/tests/testbed/test_check_model.py
@@ -87,7 +87,12 @@
         "late copy",
         1,
         {"acknowledged-lost"},
-        cut("snapshots", "if state.served == view.epoch and newest < bk.newest_version(state.store):", "if False:", "snapshots.accept_opening"),
+        cut(
+            "snapshots",
+            "if state.served == view.epoch and newest < bk.newest_version(state.store):",
+            "if False:",
+            "snapshots.accept_opening",
+        ),
     ),
     (
         "answered before the backups have synced",
