--- a/tests/golden/test_golden_answers.py
+++ b/tests/golden/test_golden_answers.py
@@ -48,8 +48,8 @@
             "status": status,
             "status sent": faults.http_status(code),
             "sentence": sentence,
-            "error text": str(faults.SilvergladeError(code)),
-            "error text with a detail": str(faults.SilvergladeError(code, DETAIL)),
+            "error text": str(faults.RemoteError(code)),
+            "error text with a detail": str(faults.RemoteError(code, DETAIL)),
             "plain refusal": refusal(code),
             "refusal with a wait and a detail": refusal(code, ran="maybe", wait=WAIT_MS, detail=DETAIL),
         }
--- a/tests/system/test_safety_rules.py
+++ b/tests/system/test_safety_rules.py
@@ -125,7 +125,7 @@
         "outside-homes",
         [
             (REG, "and (homes is None or r[ZONE] in homes and any(h in homes for h in r[HOMES]))", "", *USABLE),
-            (ELECT, "for z in homes[1:]:", "for z in region:", "silverglade.tenant_shards.owner.elect"),
+            (ELECT, "for z in homes[1:]:", "for z in region:", "silverglade.tenant_shards.owner.select_candidates"),
         ],
     ),
     (
--- a/tests/testbed/test_check_model.py
+++ b/tests/testbed/test_check_model.py
@@ -19,7 +19,7 @@
 PACKAGE = "silverglade.control."
 NUMBER_IN_FORCE = """            if base != held:
                 return unlike(base, held, outcomes.horizon(book)[1]) or ("refuse", 501, f"in force is {held}")
-            cfg, bad = config.checked(raw)
+            cfg, bad = config.parse_configuration(raw)
             if not bad and not number == cfg["number"] > held:"""
 CONFIRMED = "    else:\n        replicate(core, view, pending)\n"
 
@@ -134,7 +134,7 @@
         cut(
             "replicated_state",
             NUMBER_IN_FORCE,
-            "            cfg, bad = config.checked(raw)\n            if False:",
+            "            cfg, bad = config.parse_configuration(raw)\n            if False:",
             "replicated_state.decide",
         ),
     ),
--- a/tests/testbed/test_control_cluster.py
+++ b/tests/testbed/test_control_cluster.py
@@ -170,9 +170,9 @@
         {"same-base", "both-won"},
         BOOK,
         'if base != held:\n                return unlike(base, held, outcomes.horizon(book)[1]) or ("refuse", 501, f"in force is {held}")'
-        "\n            cfg, bad = config.checked(raw)"
+        "\n            cfg, bad = config.parse_configuration(raw)"
         '\n            if not bad and not number == cfg["number"] > held:',
-        "cfg, bad = config.checked(raw)\n            if False:",
+        "cfg, bad = config.parse_configuration(raw)\n            if False:",
         BOOK + ".decide",
     ),
     (
