--- a/silverglade/replicas/candidate_selection.py
+++ b/silverglade/replicas/candidate_selection.py
@@ -1,41 +1,91 @@
-"""Which replicas an order may go to, in order of preference (design 7.2)."""
+"""Which replicas a tenant's request may go to, in order of preference (design 7.2)."""
 
-from ..configuration import schema as config
+from __future__ import annotations
+
+from collections.abc import Collection, Mapping
+from datetime import timedelta
+from typing import Any, NamedTuple
+
+from ..configuration.schema import homes_of_tenant
 from ..membership.rendezvous import hash_score
-from .registry import PREFIXES, S_CAP, S_USED, ZONE, is_usable
+from .records import ReplicaEntry, ReplicaStatus
+from .registry import is_usable
 
 
-def select_candidates(*, reps, cfg, tenant, kind, prefix, now, opt, evac, extra):
-    """-> (home ids, other ids): homes[0]'s region first, then the rest of the homes.
+class Candidates(NamedTuple):
+    """Ids of replicas, the preferred ones first.
 
-    extra: leases of our own that no status shows yet, by replica.
+    :ivar home: in the region of the tenant's first home.
+    :ivar elsewhere: in the regions of its other homes.
     """
-    homes = [z for z in config.homes_of_tenant(cfg, tenant) if z in cfg["zones"]]
+
+    home: list[str]
+    elsewhere: list[str]
+
+
+def select_candidates(
+    *,
+    replicas: Mapping[str, ReplicaEntry],
+    configuration: Mapping[str, Any],
+    tenant: str,
+    kind: str,
+    prefix: str,
+    now: timedelta,
+    tuning: Mapping[str, Any],
+    drained_zones: Collection[str],
+    own_leases: Mapping[str, int],
+) -> Candidates:
+    """Select the replicas that may get a request of this tenant and kind.
+
+    :param prefix: the prompt prefix that it declares; empty for none.
+    :param own_leases: how many leases this daemon holds of each replica; a status may not show them yet.
+    """
+    homes = [zone for zone in homes_of_tenant(configuration, tenant) if zone in configuration["zones"]]
     if not homes:
-        return [], []
-    region = {z: d["region"] for z, d in cfg["zones"].items()}
-    fit = {i: e for i, e in reps.items() if is_usable(e, now=now, opt=opt, evac=evac, homes=homes, kind=kind)}
-    by = {}
-    for i, (r, s, _) in fit.items():
-        by.setdefault(region[r[ZONE]], []).append(i)
-
-    def arranged(ids):
-        burden = {i: max(fit[i][1][S_USED], extra.get(i, 0)) for i in ids}
-        full = opt["hot"] * (sum(burden.values()) + 1) / max(1, len(ids))
-
-        def key(i):
-            hot = burden[i] >= max(1, full) or burden[i] >= fit[i][1][S_CAP]
-            if not prefix:
-                return (hot, burden[i] / max(1, fit[i][1][S_CAP]), hash_score(tenant, i))
-            k = int.from_bytes(hash_score(f"{tenant}/{prefix}", i), "big")
-            return (hot, prefix not in fit[i][0][PREFIXES], -k)
-
-        return sorted(ids, key=key)
-
-    home = region[homes[0]]
-    rest = []
-    for z in homes[1:]:
-        g = region[z]
-        if g != home:
-            rest += [i for i in arranged(by.get(g, [])) if i not in rest]
-    return arranged(by.get(home, [])), rest
+        return Candidates([], [])
+    regions = {zone: settings["region"] for zone, settings in configuration["zones"].items()}
+    by_region: dict[str, list[_Candidate]] = {}
+    for name, entry in replicas.items():
+        if is_usable(entry, now=now, tuning=tuning, drained_zones=drained_zones, homes=homes, kind=kind) and entry.status is not None:
+            candidate = _Candidate(name, entry, entry.status, max(entry.status.used, own_leases.get(name, 0)))
+            by_region.setdefault(regions[entry.record.zone], []).append(candidate)
+
+    def ranked(region: str) -> list[str]:
+        return _ranked(by_region.get(region, []), tenant=tenant, prefix=prefix, hot_factor=tuning["hot"])
+
+    home_region = regions[homes[0]]
+    elsewhere: list[str] = []
+    for zone in homes[1:]:
+        region = regions[zone]
+        if region != home_region:
+            elsewhere += [name for name in ranked(region) if name not in elsewhere]
+    return Candidates(ranked(home_region), elsewhere)
+
+
+class _Candidate(NamedTuple):
+    """A usable replica. load: its leases, by its status or by our own count."""
+
+    name: str
+    entry: ReplicaEntry
+    status: ReplicaStatus
+    load: int
+
+
+def _ranked(candidates: list[_Candidate], *, tenant: str, prefix: str, hot_factor: float) -> list[str]:
+    """The ids of a region's candidates: those with far more than the mean load last; then by prefix, or by load."""
+    mean_load = (sum([candidate.load for candidate in candidates]) + 1) / max(1, len(candidates))
+    hot_load = max(1, hot_factor * mean_load)
+
+    def is_hot(candidate: _Candidate) -> bool:
+        return candidate.load >= hot_load or candidate.load >= candidate.status.capacity
+
+    def by_load(candidate: _Candidate) -> tuple[bool, float, bytes]:
+        relative_load = candidate.load / max(1, candidate.status.capacity)
+        return is_hot(candidate), relative_load, hash_score(tenant, candidate.name)
+
+    def by_prefix(candidate: _Candidate) -> tuple[bool, bool, int]:
+        score = int.from_bytes(hash_score(f"{tenant}/{prefix}", candidate.name), "big")
+        return is_hot(candidate), prefix not in candidate.entry.record.prefixes, -score
+
+    ordered = sorted(candidates, key=by_prefix) if prefix else sorted(candidates, key=by_load)
+    return [candidate.name for candidate in ordered]
--- a/silverglade/replicas/records.py
+++ b/silverglade/replicas/records.py
@@ -15,6 +15,13 @@
 
     READY = "ready"
     STARTING = "starting"
+    LEAVING = "leaving"
+    DARK = "dark"  # it answers no health check
+
+
+def _matches(row: Any, types: tuple[type, ...]) -> bool:
+    """Whether a row from the network begins with fields of exactly these types."""
+    return isinstance(row, tuple) and len(row) >= len(types) and all(type(value) is kind for value, kind in zip(row, types))
 
 
 class ReplicaRecord(NamedTuple):
@@ -47,6 +54,27 @@
         """A record from its array; fields of a later program are dropped."""
         return row if isinstance(row, cls) else cls(*row[: len(cls._fields)])
 
+    @classmethod
+    def parse(cls, row: Any) -> ReplicaRecord | None:
+        """A record from a row of soft state, or None for one that is not well formed."""
+        return cls.of(row) if _matches(row, _RECORD_TYPES) else None
+
+    @property
+    def version(self) -> tuple[int, int]:
+        """(incarnation, heartbeat): the record with the higher one is the newer."""
+        return self.incarnation, self.heartbeat
+
+    def as_leaving(self) -> ReplicaRecord:
+        """The same record, of a replica that takes nothing new."""
+        return self._replace(is_leaving=True)
+
+    def differs_from(self, other: ReplicaRecord) -> bool:
+        """Whether anything but the heartbeat differs."""
+        return self._replace(heartbeat=0) != other._replace(heartbeat=0)
+
+
+_RECORD_TYPES = (str, int, int, str, str, str, tuple, tuple, int, bool)
+
 
 class ReplicaStatus(NamedTuple):
     """What the holder of a replica's slot leases measured.
@@ -55,7 +83,7 @@
     :ivar incarnation: of the replica.
     :ivar lease_epoch: epoch of the holder of the slot leases.
     :ivar sequence: of the status within the epoch.
-    :ivar state: a `ReplicaState` value, or "down".
+    :ivar state: a `ReplicaState` value, as a plain string.
     :ivar use: share of the replica's time that is used, 0 to 1.
     :ivar served: requests a second.
     :ivar running: requests that run.
@@ -79,6 +107,19 @@
         """A status from its array; fields of a later program are dropped."""
         return row if isinstance(row, cls) else cls(*row[: len(cls._fields)])
 
+    @classmethod
+    def parse(cls, row: Any) -> ReplicaStatus | None:
+        """A status from a row of soft state, or None for one that is not well formed."""
+        return cls.of(row) if _matches(row, _STATUS_TYPES) else None
+
+    @property
+    def rank(self) -> tuple[int, int, int]:
+        """(incarnation, lease epoch, sequence): the status with the higher one is the newer."""
+        return self.incarnation, self.lease_epoch, self.sequence
+
+
+_STATUS_TYPES = (str, int, int, int, str, float, float, int, int, int)
+
 
 class ReplicaEntry(NamedTuple):
     """All that a daemon knows of a replica: what it declared, its status if known, and when that was heard."""
--- a/silverglade/replicas/registry.py
+++ b/silverglade/replicas/registry.py
@@ -1,251 +1,335 @@
-"""What replicas declared and what probes found (design 7.1), known to every daemon.
+"""What replicas declared and what health checks measured (design 7.1), known to every daemon.
 
-record: id, incarnation, beat, address, zone, kind, homes, prefixes, slots, leaving
-status: id, incarnation, ledger epoch, number, state, use, served, running, cap, used
-Both merge monotonically and travel as soft state (4.1): kinds "replica", "mark" and "status".
+Both merge monotonically (replica_table.py) and travel as soft state (design 4.1): kinds "replica", "mark" and "status".
 """
 
-from ..configuration import validation as c
-from ..control import replicated_state as bk
-from ..runtime.effects import ZERO, log, milliseconds, post
+from __future__ import annotations
 
-RID, INC, BEAT, ADDR, ZONE, KIND, HOMES, PREFIXES, SLOTS, LEAVING = range(10)
-S_RID, S_INC, S_EPOCH, S_NUM, S_STATE, S_USE, S_SERVED, S_RUNNING, S_CAP, S_USED = range(10)
-REC = (str, int, int, str, str, str, tuple, tuple, int, bool)
-STAT = (str, int, int, int, str, float, float, int, int, int)
+from collections.abc import Collection, Iterable, Mapping
+from datetime import timedelta
+from typing import Any, ClassVar
 
-ANNOTATIONS = c.record(
+from ..configuration import validation
+from ..control.replicated_state import value_of
+from ..membership.records import members_of
+from ..runtime import result_codes
+from ..runtime.components import Component
+from ..runtime.effects import ZERO, Broadcast, Effect, Post, Reply, WakeAt, log_record
+from ..runtime.events import (
+    ApiCall,
+    Event,
+    MembershipChanged,
+    ProofRenewed,
+    ReplicasChanged,
+    ReplicaStatusMeasured,
+    ReplicaZonesChanged,
+    SoftStateChanged,
+    SoftStatePublished,
+    StoreUpdated,
+    TimerFired,
+)
+from .lease_holders import LeaseHolder, Store, lease_holders
+from .records import ReplicaEntry, ReplicaRecord, ReplicaState, ReplicaStatus
+from .replica_table import ReplicaTable
+from .status_publisher import StatusPublisher
+
+# positions in records and statuses, for packages that still read them so
+INC, ADDR, ZONE, KIND, HOMES, PREFIXES, SLOTS, LEAVING = 1, 3, 4, 5, 6, 7, 8, 9
+S_STATE, S_USE, S_RUNNING, S_CAP, S_USED = 4, 5, 7, 8, 9
+
+REPLICA_ROWS, MARK_ROWS, STATUS_ROWS = "replica", "mark", "status"
+"""Kinds of soft state."""
+
+DRAINED_ZONE_KEY = "evac/"
+"""Prefix of the store's keys that say whether a zone is drained."""
+
+HEARD_OF_BY_OTHERS = "heard"
+"""Why a replica counts as leaving: another daemon has published that."""
+
+TOMBSTONE_RANK = 1
+"""Appended to a row's rank, so that its tombstone wins over it."""
+
+ANNOTATIONS = validation.record(
     {
-        "incarnation": c.integer(least=1),
-        "address": c.address(),
-        "zone": c.text(),
-        "kind": c.text(default="model"),
-        "homes": c.list_of(c.text(), least=1, unique=True),
-        "prefixes": c.list_of(c.text(), default=(), unique=True),
-        "slots": c.integer(least=1, most=1024),
+        "incarnation": validation.integer(least=1),
+        "address": validation.address(),
+        "zone": validation.text(),
+        "kind": validation.text(default="model"),
+        "homes": validation.list_of(validation.text(), least=1, unique=True),
+        "prefixes": validation.list_of(validation.text(), default=(), unique=True),
+        "slots": validation.integer(least=1, most=1024),
     }
 )
+"""What a replica declares when it registers."""
 
 
-def sound(r, types):
-    return isinstance(r, tuple) and len(r) >= len(types) and all(type(v) is t for v, t in zip(r, types))
-
-
-def left(r):
-    """The record of a replica that leaves; what a later program added stays."""
-    return r[:LEAVING] + (True, *r[LEAVING + 1 :])
-
-
-def rough(s):
-    """What of a status is worth telling (design 7.1): its use in tenths, what it served in fifths."""
-    return s[S_INC], s[S_EPOCH], s[S_STATE], s[S_RUNNING], s[S_CAP], s[S_USED], round(s[S_USE], 1)
-
-
-def registry(*, me, core, opt):
-    """Casts ("replicas", {id: (record, status or None, when heard)})."""
-    recs, stats, heard, marks = {}, {}, {}, {}  # marks: id -> newest incarnation known to leave
-    fresh, gone = {}, {}  # id -> when its record last went forward; who was forgotten
-    due, last, out, dirty, zones, clock = ZERO, None, [], False, set(), ZERO
-    seen, live, sure, holds, told, changed = ZERO, (), None, {}, {}, True
-
-    def put(r):
-        """Newer by incarnation, then beat; leaving is never taken back in a life."""
-        old = recs.get(r[RID])
-        if r[RID] in gone:
-            if r[INC:ADDR] <= gone[r[RID]][0]:
-                return False  # forgotten here; somebody else has not yet
-            if r[INC] == gone[r[RID]][0][0] and gone[r[RID]][2]:
-                marks[r[RID]] = r[INC]  # leaving is not taken back by being forgotten
-            del gone[r[RID]]
-        if old is None or r[INC:ADDR] > old[INC:ADDR]:
-            fresh[r[RID]] = clock
-        if marks.get(r[RID], 0) >= r[INC]:
-            r = left(r)  # it was marked before it was known here
-        if old and r[INC] == old[INC] and (r[LEAVING] or old[LEAVING]):
-            r = left(r)
-            old_ = left(old)
-            if r[BEAT] <= old[BEAT] and old_ != old:
-                recs[r[RID]] = old_
-                return True
-        if old and (r[INC], r[BEAT]) <= (old[INC], old[BEAT]):
-            return False
-        recs[r[RID]] = r
-        return old is None or old[:BEAT] + old[BEAT + 1 :] != r[:BEAT] + r[BEAT + 1 :]
+MAY_CHANGE_RECORDS = (TimerFired, SoftStateChanged, ReplicaStatusMeasured, ApiCall)
+"""Events after which other replicas may be registered than before."""
 
-    def stat(s, now):
-        old = stats.get(s[S_RID])
-        if old and s[1:4] <= old[1:4]:
-            return False
-        stats[s[S_RID]], heard[s[S_RID]] = s, now
-        return old is None or old[S_STATE] != s[S_STATE]
-
-    def show():
-        out.append(
-            (
-                "cast",
-                ("replicas", {i: (r, s if (s := stats.get(i)) and s[S_INC] == r[INC] else None, heard.get(i)) for i, r in recs.items()}),
-            )
-        )
 
-    def tell(kind, rid, rank, value):
-        out.append(post("membership", "publish", kind, rid, rank, value))
-
-    def status(s, now):
-        """What my own probe found: told when it changed, under load not each time."""
-        was, at = told.get(s[S_RID], (None, now))
-        gap = max(opt["probe"], milliseconds(10 * len(live)))
-        new = was is None or was[:S_NUM] != s[:S_NUM] or was[S_STATE] != s[S_STATE]
-        if new or now - at >= gap and (rough(was) != rough(s) or abs(was[S_SERVED] - s[S_SERVED]) > 0.2 * s[S_SERVED]):
-            told[s[S_RID]] = s, now
-            tell("status", s[S_RID], s[S_INC:S_STATE], s)
-
-    def steady(now):
-        """A replica was heard of while the holder of its ledger lives and says nothing else (7.1)."""
-        if sure is not None:  # as of the proof of one's own news, no later
-            for rid, s in stats.items():
-                e, who = holds.get(rid, (0, ""))
-                if who in live and e == s[S_EPOCH] and s[S_INC] == recs.get(rid, (rid, 0))[INC]:
-                    heard[rid] = max(heard.get(rid, sure), sure)
-
-    def leave(rid, inc, why):
-        if marks.get(rid, 0) >= inc:
-            return False
-        if rid in gone and inc <= gone[rid][0][0]:
+class ReplicaRegistry:
+    """Component "replica_registry": broadcasts all replicas and their zones when they change.
+
+    :ivar table: what is known of all replicas.
+    """
+
+    handled_events: ClassVar[tuple[type[Event], ...]] = (
+        MembershipChanged,
+        ProofRenewed,
+        StoreUpdated,
+        TimerFired,
+        SoftStateChanged,
+        ReplicaStatusMeasured,
+        ApiCall,
+    )
+
+    def __init__(self, *, is_core: bool, tuning: Mapping[str, Any]) -> None:
+        self.table = ReplicaTable()
+        self._is_core = is_core
+        self._tuning = tuning
+        self._statuses = StatusPublisher(tuning)
+        self._effects: list[Effect] = []
+        self._replicas_changed = True  # not broadcast yet
+        self._zones_broadcast: tuple[tuple[str, str], ...] | None = None
+        self._next_check = ZERO
+        self._last_check = ZERO
+        self._live_daemons: frozenset[str] = frozenset()
+        self._proved_at: timedelta | None = None
+        self._lease_holders: dict[str, LeaseHolder] = {}
+        self._configured_zones: set[str] = set()
+
+    def step(self, now: timedelta, event: Event) -> list[Effect]:
+        """Handle one event and return the effects in their order."""
+        self._effects = []
+        self._on_event(event, now)
+        if self._replicas_changed:
+            self._broadcast_replicas()
+            self._replicas_changed = False
+        if isinstance(event, MAY_CHANGE_RECORDS):
+            self._broadcast_zones()
+        return self._effects
+
+    def _on_event(self, event: Event, now: timedelta) -> None:
+        match event:
+            case MembershipChanged():
+                self._live_daemons = frozenset([member.name for member in members_of(event.members)])
+            case ProofRenewed():
+                self._proved_at = event.proved_at
+            case StoreUpdated():
+                self._lease_holders = dict(lease_holders(event.store))
+                self._configured_zones = set((value_of(event.store, "config") or {"zones": ()})["zones"])
+            case TimerFired():
+                self._on_timer(now)
+            case SoftStateChanged():
+                self._on_soft_state(event, now)
+            case ReplicaStatusMeasured():
+                self._on_status_measured(ReplicaStatus.of(event.status), now)
+            case ApiCall():
+                self._on_call(event, now)
+
+    # --- time
+
+    def _on_timer(self, now: timedelta) -> None:
+        if now >= self._next_check:
+            self._next_check = now + self._tuning["stale"] / 4
+            self._forget_unrenewed(now)
+            self._count_quiet_replicas_as_heard_of()
+            self._replicas_changed |= bool(self.table.statuses)
+        self._effects.append(WakeAt(self._next_check))
+
+    def _forget_unrenewed(self, now: timedelta) -> None:
+        """A replica that was not renewed for long leaves no record; after as long again nothing at all."""
+        if now - self._last_check > self._tuning["late"]:  # paused, or the clock leapt: nothing was heard meanwhile
+            self.table.renew_all(now)
+        self._last_check = now
+        for name in self.table.not_renewed_for(self._tuning["forget"], now):
+            forgotten, status = self.table.forget(name, now)
+            self._statuses.forget(name)
+            if self._is_core:
+                incarnation = forgotten.version[0]
+                self._publish_tombstone(REPLICA_ROWS, name, forgotten.version)
+                self._publish_tombstone(MARK_ROWS, name, (incarnation,))
+                if status is not None:
+                    self._publish_tombstone(STATUS_ROWS, name, status.rank)
+            self._effects.append(log_record("replica-forgotten", replica=name))
+        self.table.drop_forgotten_before(now - self._tuning["forget"])
+
+    def _count_quiet_replicas_as_heard_of(self) -> None:
+        """While its lease holder lives and says nothing else, a replica is heard of; as of the proof held here, no later."""
+        if self._proved_at is None:
+            return
+        for name, status in self.table.statuses.items():
+            record = self.table.records.get(name)
+            holder = self._lease_holders.get(name)
+            if (
+                holder is not None
+                and holder.daemon in self._live_daemons
+                and holder.epoch == status.lease_epoch
+                and status.incarnation == (record.incarnation if record is not None else 0)
+            ):
+                self.table.heard_at[name] = max(self.table.heard_at.get(name, self._proved_at), self._proved_at)
+
+    # --- rows of other daemons, and statuses measured here
+
+    def _on_soft_state(self, event: SoftStateChanged, now: timedelta) -> None:
+        if event.kind == MARK_ROWS:
+            for name, (_, incarnation) in event.rows.items():
+                if type(incarnation) is int:
+                    self._replicas_changed |= self._mark_leaving(name, incarnation, HEARD_OF_BY_OTHERS, now)
+        elif event.kind == REPLICA_ROWS:
+            for name, (_, row) in event.rows.items():
+                record = ReplicaRecord.parse(row)
+                if record is not None and record.name == name:
+                    self._replicas_changed |= self.table.put(record, now)
+        elif event.kind == STATUS_ROWS:
+            for name, (_, row) in event.rows.items():
+                status = ReplicaStatus.parse(row)
+                if status is not None and status.name == name:
+                    self.table.put_status(status, now)
+                    self._replicas_changed = True
+
+    def _on_status_measured(self, status: ReplicaStatus, now: timedelta) -> None:
+        self._replicas_changed |= self.table.put_status(status, now)
+        if self._statuses.is_due(status, live_daemons=len(self._live_daemons), now=now):
+            self._publish(STATUS_ROWS, status.name, status.rank, tuple(status))
+        if status.state == ReplicaState.LEAVING:
+            self._replicas_changed |= self._mark_leaving(status.name, status.incarnation, "said so when probed", now)
+        self._broadcast_replicas()
+
+    def _mark_leaving(self, name: str, incarnation: int, why: str, now: timedelta) -> bool:
+        """Note that a replica leaves, and tell the other daemons, unless they said it; whether that is new."""
+        if not self.table.mark_leaving(name, incarnation, now):
             return False
-        marks[rid], r = inc, recs.get(rid)
-        fresh.setdefault(rid, clock)
-        if r and r[INC] <= inc and not r[LEAVING]:
-            recs[rid] = left(r)
-        if why != "heard":
-            tell("mark", rid, (inc,), inc)
-        out.append(log("replica-leaving", replica=rid, incarnation=inc, why=why))
+        if why != HEARD_OF_BY_OTHERS:
+            self._publish(MARK_ROWS, name, (incarnation,), incarnation)
+        self._effects.append(log_record("replica-leaving", replica=name, incarnation=incarnation, why=why))
         return True
 
-    def forget(now):
-        """A name that was not renewed for long leaves no record; nor does its mark."""
-        nonlocal seen
-        if now - seen > opt["late"]:  # frozen, or the clock leapt: nothing was heard meanwhile
-            for i in fresh:
-                fresh[i] = now
-        seen = now
-        for rid in [i for i, t in fresh.items() if now - t > opt["forget"]]:
-            r = recs.pop(rid, None)
-            gone[rid] = ((r[INC], r[BEAT]) if r else (marks[rid], 1 << 62), now, r is None or r[LEAVING])
-            if core:  # the soft state goes with it
-                for kind, rank in (
-                    ("replica", gone[rid][0]),
-                    ("mark", (gone[rid][0][0],)),
-                    ("status", stats[rid][S_INC:S_STATE] if rid in stats else None),
-                ):
-                    if rank:
-                        tell(kind, rid, (*rank, 1), None)
-            for d in (stats, heard, marks, fresh, told):
-                d.pop(rid, None)
-            out.append(log("replica-forgotten", replica=rid))
-        for rid in [i for i, (_, t, _) in gone.items() if now - t > opt["forget"]]:
-            del gone[rid]
-
-    while True:
-        now, ev = yield tuple(out)
-        out, dirty, clock = [], False, now
-        match ev:
-            case ("roll", roll):
-                live = frozenset(r[0] for r in roll)
-            case ("fresh", f):
-                sure = f
-            case ("book", b, _):
-                holds = {k[12:]: v[:2] for k, (_, v) in b.items() if k.startswith("duty/ledger/") and v}
-                zones = set((bk.value_of(b, "config") or {"zones": ()})["zones"])
-            case ("pulse",) if now < due:
-                out.append(("due", due))
-            case ("pulse",):
-                due = now + opt["stale"] / 4
-                forget(now)
-                steady(now)
-                changed |= bool(stats)
-                out.append(("due", due))
-            case ("told", "mark", got):
-                for rid, (_, inc) in got.items():
-                    dirty |= type(inc) is int and leave(rid, inc, "heard")
-            case ("told", "replica", got):
-                for rid, (_, r) in got.items():
-                    dirty |= sound(r, REC) and r[RID] == rid and put(r)
-            case ("told", "status", got):
-                for rid, (_, s) in got.items():
-                    changed |= sound(s, STAT) and s[S_RID] == rid and (stat(s, now) or True)
-            case ("status", s):
-                dirty = stat(s, now)
-                status(s, now)
-                if s[S_STATE] == "leaving":
-                    dirty |= leave(s[S_RID], s[S_INC], "said so when probed")
-                show()
-            case ("call", cid, "replica-put", (rid, raw)):
-                a, bad = c.validate(ANNOTATIONS, raw)
-                old = recs.get(rid)
-                if bad:
-                    out.append(("reply", cid, 508, {"detail": "; ".join(f"{p}: {s}" for p, s in bad)}))
-                elif zones and a["zone"] not in zones:
-                    out.append(("reply", cid, 508, {"detail": f"zone: unknown zone {a['zone']}"}))
-                elif old and a["incarnation"] == old[INC] and (a["address"], a["zone"], a["kind"]) != (old[ADDR], old[ZONE], old[KIND]):
-                    out.append(("reply", cid, 512, {"held": old[ADDR]}))
-                elif a["incarnation"] < (old or (rid, *gone.get(rid, ((0,),))[0]))[INC]:
-                    out.append(("reply", cid, 509, {"held": old[INC] if old else gone[rid][0][0]}))
-                else:
-                    top = old or (rid, *gone[rid][0]) if old or rid in gone else None
-                    r = (
-                        rid,
-                        a["incarnation"],
-                        top[BEAT] + 1 if top else 1,
-                        a["address"],
-                        a["zone"],
-                        a["kind"],
-                        a["homes"],
-                        a["prefixes"],
-                        a["slots"],
-                        False,
-                    )
-                    if (
-                        not old
-                        or r[:BEAT] + r[ADDR:LEAVING] != old[:BEAT] + old[ADDR:LEAVING]
-                        or (now - fresh.get(rid, now) > opt["forget"] / 4)
-                    ):
-                        dirty = put(r)
-                        tell("replica", rid, recs[rid][INC:ADDR], recs[rid])
-                    out.append(("reply", cid, 100, {"leaving": recs[rid][LEAVING]}))
-                    if dirty:
-                        out.append(log("replica", replica=rid, incarnation=a["incarnation"], zone=a["zone"], slots=a["slots"]))
-            case ("call", cid, "replica-leave", (rid,)):
-                dirty = rid in recs and leave(rid, recs[rid][INC], "signed off")
-                out.append(("reply", cid, 100 if rid in recs else 507, {}))
-            case ("call", cid, "platform", (rows,)):
-                for rid, inc, leaving in rows:
-                    if inc is None and rid in recs:
-                        inc = recs[rid][INC]  # the platform does not count lives: this one
-                    if leaving and inc is not None:
-                        dirty |= leave(rid, inc, "marked by the platform")
-                out.append(("reply", cid, 100, {"known": sorted(recs)}))
-        if dirty or changed:
-            show()
-            changed = False
-        if ev[0] in ("call", "told", "pulse", "status") and last != (ls := tuple(sorted((i, r[ZONE]) for i, r in recs.items()))):
-            last = ls
-            out.append(("cast", ("ledgers", ls)))
-
-
-def is_usable(e, *, now, opt, evac, homes=None, kind=None):
-    """May this replica get new work now (design 7.2)? Checked at election and before sending."""
-    r, s, at = e
+    # --- calls
+
+    def _on_call(self, call: ApiCall, now: timedelta) -> None:
+        match call.operation, call.arguments:
+            case "replica-put", (name, annotations):
+                self._register(call.call_id, name, annotations, now)
+            case "replica-leave", (name,):
+                self._sign_off(call.call_id, name, now)
+            case "platform", (rows,):
+                self._on_platform_marks(call.call_id, rows, now)
+
+    def _register(self, call_id: str, name: str, annotations: Any, now: timedelta) -> None:
+        """A replica registers, or renews its registration."""
+        declared, faults = validation.validate(ANNOTATIONS, annotations)
+        if faults:
+            detail = "; ".join(f"{path}: {sentence}" for path, sentence in faults)
+            self._effects.append(Reply(call_id, result_codes.BAD_ANNOTATION, {"detail": detail}))
+            return
+        refusal = self._refusal(call_id, name, declared)
+        if refusal is not None:
+            self._effects.append(refusal)
+            return
+        old = self.table.records.get(name)
+        known = self.table.known_version(name)
+        record = ReplicaRecord(
+            name=name,
+            incarnation=declared["incarnation"],
+            heartbeat=known[1] + 1 if known is not None else 1,
+            address=declared["address"],
+            zone=declared["zone"],
+            kind=declared["kind"],
+            homes=declared["homes"],
+            prefixes=declared["prefixes"],
+            slots=declared["slots"],
+            is_leaving=False,
+        )
+        is_new = False
+        if old is None or record.differs_from(old._replace(is_leaving=False)) or self._is_renewal_due(name, now):
+            is_new = self.table.put(record, now)
+            held = self.table.records[name]
+            self._publish(REPLICA_ROWS, name, held.version, tuple(held))
+        self._effects.append(Reply(call_id, result_codes.OK, {"leaving": self.table.records[name].is_leaving}))
+        if is_new:
+            self._replicas_changed = True
+            self._effects.append(log_record("replica", replica=name, incarnation=record.incarnation, zone=record.zone, slots=record.slots))
+
+    def _refusal(self, call_id: str, name: str, declared: Mapping[str, Any]) -> Reply | None:
+        """Why a replica may not register with what it declares, or None."""
+        if self._configured_zones and declared["zone"] not in self._configured_zones:
+            return Reply(call_id, result_codes.BAD_ANNOTATION, {"detail": f"zone: unknown zone {declared['zone']}"})
+        old = self.table.records.get(name)
+        if old is not None and declared["incarnation"] == old.incarnation:
+            if (declared["address"], declared["zone"], declared["kind"]) != (old.address, old.zone, old.kind):
+                return Reply(call_id, result_codes.NAME_TAKEN, {"held": old.address})
+        known = self.table.known_version(name)
+        if known is not None and declared["incarnation"] < known[0]:
+            return Reply(call_id, result_codes.OLD_INCARNATION, {"held": known[0]})
+        return None
+
+    def _is_renewal_due(self, name: str, now: timedelta) -> bool:
+        """A renewal that changes nothing is published only once in a while."""
+        renewed_at = self.table.renewed_at.get(name, now)
+        return bool(now - renewed_at > self._tuning["forget"] / 4)
+
+    def _sign_off(self, call_id: str, name: str, now: timedelta) -> None:
+        """A replica says that it leaves."""
+        record = self.table.records.get(name)
+        if record is not None:
+            self._replicas_changed |= self._mark_leaving(name, record.incarnation, "signed off", now)
+        self._effects.append(Reply(call_id, result_codes.OK if record is not None else result_codes.NOT_FOUND, {}))
+
+    def _on_platform_marks(self, call_id: str, rows: Iterable[tuple[str, int | None, bool]], now: timedelta) -> None:
+        """The platform says of replicas whether they leave. It may not count incarnations: the present one is meant then."""
+        for name, incarnation, is_leaving in rows:
+            if incarnation is None and name in self.table.records:
+                incarnation = self.table.records[name].incarnation
+            if is_leaving and incarnation is not None:
+                self._replicas_changed |= self._mark_leaving(name, incarnation, "marked by the platform", now)
+        self._effects.append(Reply(call_id, result_codes.OK, {"known": sorted(self.table.records)}))
+
+    # --- effects
+
+    def _broadcast_replicas(self) -> None:
+        self._effects.append(Broadcast(ReplicasChanged(self.table.entries())))
+
+    def _broadcast_zones(self) -> None:
+        zones = tuple(sorted([(name, record.zone) for name, record in self.table.records.items()]))
+        if zones != self._zones_broadcast:
+            self._zones_broadcast = zones
+            self._effects.append(Broadcast(ReplicaZonesChanged(zones)))
+
+    def _publish(self, kind: str, key: str, rank: tuple[int, ...], value: Any) -> None:
+        self._effects.append(Post(Component.MEMBERSHIP, SoftStatePublished(kind, key, rank, value)))
+
+    def _publish_tombstone(self, kind: str, key: str, rank: tuple[int, ...]) -> None:
+        self._publish(kind, key, (*rank, TOMBSTONE_RANK), None)
+
+
+def is_usable(
+    entry: ReplicaEntry,
+    *,
+    now: timedelta,
+    tuning: Mapping[str, Any],
+    drained_zones: Collection[str],
+    homes: Collection[str] | None = None,
+    kind: str | None = None,
+) -> bool:
+    """Whether this replica may get new work now (design 7.2); checked at selection and again before sending.
+
+    :param homes: the zones where the work may run; None for any.
+    :param kind: which requests it must serve; None for any.
+    """
+    record, status, heard_at = entry
     return (
-        s is not None
-        and s[S_STATE] == "ready"
-        and not r[LEAVING]
-        and r[ZONE] not in evac
-        and at is not None
-        and now - at <= opt["stale"]
-        and (kind is None or r[KIND] == kind)
-        and (homes is None or r[ZONE] in homes and any(h in homes for h in r[HOMES]))
+        status is not None
+        and status.state == ReplicaState.READY
+        and not record.is_leaving
+        and record.zone not in drained_zones
+        and heard_at is not None
+        and bool(now - heard_at <= tuning["stale"])
+        and (kind is None or record.kind == kind)
+        and (homes is None or record.zone in homes and any(home in homes for home in record.homes))
     )
 
 
-def evacuated_zones(book):
-    return {k[5:] for k, (_, on) in book.items() if k.startswith("evac/") and on}
+def evacuated_zones(store: Store) -> set[str]:
+    """The zones that an operator has drained: nothing new is started there."""
+    return {key[len(DRAINED_ZONE_KEY) :] for key, (_, on) in store.items() if key.startswith(DRAINED_ZONE_KEY) and on}
--- /dev/null
+++ b/silverglade/replicas/replica_table.py
@@ -0,0 +1,156 @@
+"""The merged knowledge of all replicas (design 7.1): records, statuses, marks of those that leave, and who was forgotten.
+
+Every merge is monotonic, so daemons that hear the same rows in any order agree. Leaving is never taken back within an incarnation.
+"""
+
+from __future__ import annotations
+
+from datetime import timedelta
+from typing import NamedTuple
+
+from .records import ReplicaEntry, ReplicaRecord, ReplicaStatus
+
+ANY_HEARTBEAT = 1 << 62
+"""Above the heartbeat of every record: of a replica that was forgotten while only its mark was known."""
+
+
+class ForgottenReplica(NamedTuple):
+    """A replica whose record was dropped.
+
+    :ivar version: the newest (incarnation, heartbeat) that was known.
+    :ivar forgotten_at: when it was dropped.
+    :ivar was_leaving: whether that incarnation was leaving.
+    """
+
+    version: tuple[int, int]
+    forgotten_at: timedelta
+    was_leaving: bool
+
+
+class ReplicaTable:
+    """What one daemon knows of all replicas.
+
+    :ivar records: what replicas declared, by id.
+    :ivar statuses: the newest status of each.
+    :ivar heard_at: when a replica was last heard of.
+    :ivar leaving_marks: id to the newest incarnation that is known to leave.
+    :ivar renewed_at: when a replica's record or mark last became newer.
+    :ivar forgotten: replicas that were dropped, kept for as long again.
+    """
+
+    __slots__ = ("records", "statuses", "heard_at", "leaving_marks", "renewed_at", "forgotten")
+
+    def __init__(self) -> None:
+        self.records: dict[str, ReplicaRecord] = {}
+        self.statuses: dict[str, ReplicaStatus] = {}
+        self.heard_at: dict[str, timedelta] = {}
+        self.leaving_marks: dict[str, int] = {}
+        self.renewed_at: dict[str, timedelta] = {}
+        self.forgotten: dict[str, ForgottenReplica] = {}
+
+    def put(self, record: ReplicaRecord, now: timedelta) -> bool:
+        """Merge a record.
+
+        :returns: whether anything but the heartbeat changed.
+        """
+        name = record.name
+        if name in self.forgotten and not self._recall(record):
+            return False
+        old = self.records.get(name)
+        if old is None or record.version > old.version:
+            self.renewed_at[name] = now
+        if self.leaving_marks.get(name, 0) >= record.incarnation:
+            record = record.as_leaving()  # it was marked before it was known here
+        if old is not None and record.incarnation == old.incarnation and (record.is_leaving or old.is_leaving):
+            record = record.as_leaving()
+            old_leaving = old.as_leaving()
+            if record.heartbeat <= old.heartbeat and old_leaving != old:
+                self.records[name] = old_leaving
+                return True
+        if old is not None and record.version <= old.version:
+            return False
+        self.records[name] = record
+        return old is None or record.differs_from(old)
+
+    def _recall(self, record: ReplicaRecord) -> bool:
+        """Take a forgotten replica up again, unless the record is one that was forgotten here and not yet elsewhere."""
+        forgotten = self.forgotten[record.name]
+        if record.version <= forgotten.version:
+            return False
+        if record.incarnation == forgotten.version[0] and forgotten.was_leaving:
+            self.leaving_marks[record.name] = record.incarnation
+        del self.forgotten[record.name]
+        return True
+
+    def put_status(self, status: ReplicaStatus, now: timedelta) -> bool:
+        """Merge a status.
+
+        :returns: whether the replica's state changed.
+        """
+        old = self.statuses.get(status.name)
+        if old is not None and status.rank <= old.rank:
+            return False
+        self.statuses[status.name] = status
+        self.heard_at[status.name] = now
+        return old is None or old.state != status.state
+
+    def mark_leaving(self, name: str, incarnation: int, now: timedelta) -> bool:
+        """Note that an incarnation of a replica leaves.
+
+        :returns: whether that was not known before.
+        """
+        if self.leaving_marks.get(name, 0) >= incarnation:
+            return False
+        if name in self.forgotten and incarnation <= self.forgotten[name].version[0]:
+            return False
+        self.leaving_marks[name] = incarnation
+        self.renewed_at.setdefault(name, now)
+        record = self.records.get(name)
+        if record is not None and record.incarnation <= incarnation and not record.is_leaving:
+            self.records[name] = record.as_leaving()
+        return True
+
+    def known_version(self, name: str) -> tuple[int, int] | None:
+        """The newest (incarnation, heartbeat) known of a replica, also of one that was forgotten; None for a new name."""
+        record = self.records.get(name)
+        if record is not None:
+            return record.version
+        return self.forgotten[name].version if name in self.forgotten else None
+
+    def renew_all(self, now: timedelta) -> None:
+        """Count every replica as renewed now."""
+        for name in self.renewed_at:
+            self.renewed_at[name] = now
+
+    def not_renewed_for(self, duration: timedelta, now: timedelta) -> list[str]:
+        """The replicas whose record was not renewed for longer than that."""
+        return [name for name, renewed_at in self.renewed_at.items() if now - renewed_at > duration]
+
+    def forget(self, name: str, now: timedelta) -> tuple[ForgottenReplica, ReplicaStatus | None]:
+        """Drop all that is known of a replica, but that it was forgotten.
+
+        :returns: what is kept of it, and its last status.
+        """
+        record = self.records.pop(name, None)
+        if record is not None:
+            forgotten = ForgottenReplica(record.version, now, record.is_leaving)
+        else:
+            forgotten = ForgottenReplica((self.leaving_marks[name], ANY_HEARTBEAT), now, True)
+        self.forgotten[name] = forgotten
+        self.heard_at.pop(name, None)
+        self.leaving_marks.pop(name, None)
+        self.renewed_at.pop(name, None)
+        return forgotten, self.statuses.pop(name, None)
+
+    def drop_forgotten_before(self, time: timedelta) -> None:
+        """Keep nothing at all of replicas that were forgotten before that time."""
+        for name in [name for name, forgotten in self.forgotten.items() if forgotten.forgotten_at < time]:
+            del self.forgotten[name]
+
+    def entries(self) -> dict[str, ReplicaEntry]:
+        """Every registered replica with its status, if that is of the same incarnation."""
+        return {name: ReplicaEntry(record, self._current_status(record), self.heard_at.get(name)) for name, record in self.records.items()}
+
+    def _current_status(self, record: ReplicaRecord) -> ReplicaStatus | None:
+        status = self.statuses.get(record.name)
+        return status if status is not None and status.incarnation == record.incarnation else None
--- a/silverglade/replicas/slot_leases.py
+++ b/silverglade/replicas/slot_leases.py
@@ -1,162 +1,230 @@
-"""Slot ledgers (design 7.3): one holder per replica hands out its slots, under an epoch."""
-
-from ..runtime.effects import IDLE, ZERO, log, post, send
-from .registry import ADDR, INC, LEAVING, S_EPOCH, S_NUM, SLOTS, ZONE, evacuated_zones
-
-
-class Slots:
-    """One replica's ledger: leases, cold ramp, who waits for room."""
-
-    def __init__(self, *, epoch, inc, now):
-        self.epoch, self.inc, self.num, self.born = epoch, inc, 0, now
-        self.ghosts = []  # leases ended with the run perhaps going on
-        self.leases, self.hungry = {}, {}  # lease -> (owner, tenant, till); tenant -> (owner, at)
-        self.cap, self.state, self.warm, self.run = 1, "starting", False, 0
-        self.use, self.served, self.due, self.heard = 0.0, 0.0, ZERO, None
-
-    def used(self):
-        return max(len(self.leases) + len(self.ghosts), self.run)
-
-    def held(self, tenant):
-        return sum(t == tenant for _, t, _ in self.leases.values())
-
-
-def ledger(*, me, opt):
-    reps, mine, duties, evac, out = {}, {}, {}, set(), []
-    roll, fresh = (), None
-
-    def open_(now):
-        """Ledgers wanted (duties that name me) against ledgers held."""
-        want = {r: e for r, e in duties.items() if r in reps}
-        for rid in [r for r in mine if r not in want]:
-            del mine[rid]
-        for rid, e in want.items():
-            inc = reps[rid][0][INC]
-            m = mine.get(rid)
-            if m is None or m.inc != inc:
-                mine[rid] = Slots(epoch=e, inc=inc, now=now)
-            m = mine[rid]
-            m.epoch, s = e, reps[rid][1]
-            if s and s[S_EPOCH] == e and s[S_NUM] > m.num:
-                m.num = s[S_NUM]  # told in an earlier life of mine: go on from there
-
-    def room(m, rid, now):
-        r = reps[rid][0]
+"""Slot leases (design 7.3): one lease holder a replica hands out its slots, under an epoch."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from datetime import timedelta
+from typing import Any, ClassVar
+
+from ..membership.records import members_of
+from ..runtime.components import Component
+from ..runtime.effects import IDLE, Effect, Post, ProbeReplica, WakeAt, log_record
+from ..runtime.events import (
+    Event,
+    MembershipChanged,
+    MessageReceived,
+    ProcessPaused,
+    ProofRenewed,
+    ReplicaProbed,
+    ReplicasChanged,
+    ReplicaStatusMeasured,
+    StoreUpdated,
+    TimerFired,
+)
+from ..tenant_shards.messages import (
+    LeaseDenied,
+    LeaseGranted,
+    LeaseOffer,
+    LeaseRelease,
+    LeaseRenewal,
+    LeaseRequest,
+    Message,
+    decode,
+    send,
+)
+from .lease_holders import lease_holders
+from .records import ReplicaEntry, ReplicaState
+from .registry import evacuated_zones
+from .replica_slots import ReplicaSlots, SlotLease, WaitingTenant, report_of
+
+WAITING_SETTLES = 2
+"""A tenant waits for so many times the `settle` time after it asked."""
+
+NOT_THE_HOLDER, NO_FREE_SLOT = "moved", "full"
+"""Why a lease is denied."""
+
+
+class SlotLeases:
+    """Component "slot_leases": the leases of all replicas whose lease holder this daemon is.
+
+    :ivar slots: replica id to its slots.
+    """
+
+    handled_events: ClassVar[tuple[type[Event], ...]] = (
+        ProofRenewed,
+        MembershipChanged,
+        StoreUpdated,
+        ReplicasChanged,
+        ProcessPaused,
+        TimerFired,
+        ReplicaProbed,
+        MessageReceived,
+    )
+
+    def __init__(self, *, own_name: str, tuning: Mapping[str, Any]) -> None:
+        self.slots: dict[str, ReplicaSlots] = {}
+        self._own_name = own_name
+        self._tuning = tuning
+        self._effects: list[Effect] = []
+        self._replicas: Mapping[str, ReplicaEntry] = {}
+        self._own_epochs: dict[str, int] = {}  # of the replicas whose holder this daemon is to be
+        self._drained_zones: set[str] = set()
+        self._live_daemons: set[str] = set()
+        self._proved_at: timedelta | None = None
+
+    def step(self, now: timedelta, event: Event) -> list[Effect]:
+        """Handle one event and return the effects in their order."""
+        self._effects = []
+        match event:
+            case ProofRenewed():
+                self._proved_at = event.proved_at
+            case MembershipChanged():
+                self._live_daemons = {member.name for member in members_of(event.members)}
+            case StoreUpdated():
+                self._on_store_updated(event, now)
+            case ReplicasChanged():
+                self._replicas = event.replicas  # type: ignore[assignment]  # the registry broadcasts entries
+                self._follow_assignments(now)
+            case ProcessPaused():
+                self.slots.clear()  # leases may have ended and been handed out elsewhere meanwhile
+                self._follow_assignments(now)
+            case TimerFired():
+                self._on_timer(now)
+            case ReplicaProbed():
+                self._on_probed(event, now)
+            case MessageReceived():
+                self._on_message(event.sender, decode(event.body), now)
+        return self._effects
+
+    # --- which replicas are ours
+
+    def _on_store_updated(self, event: StoreUpdated, now: timedelta) -> None:
+        self._drained_zones = evacuated_zones(event.store)
+        self._own_epochs = {name: holder.epoch for name, holder in lease_holders(event.store) if holder.daemon == self._own_name}
+        self._follow_assignments(now)
+
+    def _follow_assignments(self, now: timedelta) -> None:
+        """Begin with the replicas that control assigned to this daemon, and end with those it did not."""
+        wanted = {name: epoch for name, epoch in self._own_epochs.items() if name in self._replicas}
+        for name in [name for name in self.slots if name not in wanted]:
+            del self.slots[name]
+        for name, epoch in wanted.items():
+            record, status, _ = self._replicas[name]
+            slots = self.slots.get(name)
+            if slots is None or slots.incarnation != record.incarnation:
+                slots = self.slots[name] = ReplicaSlots(epoch=epoch, incarnation=record.incarnation, opened_at=now)
+            slots.epoch = epoch
+            slots.follow_status(status)
+
+    # --- time and health checks
+
+    def _on_timer(self, now: timedelta) -> None:
+        for name, slots in self.slots.items():
+            if now >= slots.probe_at:
+                self._probe(name, slots, now)
+            slots.end_lost_leases(live_daemons=self._live_daemons, now=now, count_until=now + self._tuning["stale"])
+            self._offer_free_slots(name, slots, now)
+        if all([slots.is_idle() for slots in self.slots.values()]):
+            self._effects.append(WakeAt(min([slots.probe_at for slots in self.slots.values()], default=IDLE)))
+
+    def _probe(self, name: str, slots: ReplicaSlots, now: timedelta) -> None:
+        slots.probe_at = now + self._tuning["probe"]
+        self._effects.append(ProbeReplica(name, slots.incarnation, self._replicas[name].record.address))
+        if slots.heard_at and now - slots.heard_at > self._tuning["stale"] / 2 and slots.state != ReplicaState.DARK:
+            slots.turn_dark()
+            self._effects.append(log_record("replica-dark", replica=name))
+            self._report_status(name, slots)
+
+    def _on_probed(self, event: ReplicaProbed, now: timedelta) -> None:
+        name = event.replica
+        slots = self.slots.get(name)
+        report = report_of(event.report)
+        if slots is None or event.incarnation != slots.incarnation:
+            return
+        if report is None or report.incarnation != slots.incarnation:
+            return
+        if report.state != slots.state:
+            self._effects.append(log_record("replica-state", replica=name, was=slots.state, now=report.state))
+        slots.take_report(report, declared_slots=self._declared_slots(name), now=now)
+        self._report_status(name, slots)
+        self._offer_free_slots(name, slots, now)
+
+    def _report_status(self, name: str, slots: ReplicaSlots) -> None:
+        status = slots.next_status(name, declared_slots=self._declared_slots(name))
+        self._effects.append(Post(Component.REPLICA_REGISTRY, ReplicaStatusMeasured(status)))
+
+    # --- leases
+
+    def _on_message(self, sender: str, message: Message | None, now: timedelta) -> None:
+        match message:
+            case LeaseRequest():
+                self._on_request(sender, message, now)
+            case LeaseRenewal():
+                self._on_renewal(sender, message, now)
+            case LeaseRelease():
+                self._on_release(message, now)
+
+    def _on_request(self, sender: str, request: LeaseRequest, now: timedelta) -> None:
+        name, lease_id = request.replica, request.lease_id
+        slots = self.slots.get(name)
+        if slots is None or request.epoch != slots.epoch:
+            self._effects.append(send(sender, LeaseDenied(lease_id, name, NOT_THE_HOLDER)))
+        elif lease_id in slots.leases:
+            self._effects.append(send(sender, LeaseGranted(lease_id, name, slots.epoch)))
+        elif self._free_slots(name, slots, now) and self._is_fair(slots, request.tenant, now):
+            self._lease(slots, lease_id, sender, request.tenant, now)
+            self._effects.append(send(sender, LeaseGranted(lease_id, name, slots.epoch)))
+        else:
+            slots.waiting[request.tenant] = WaitingTenant(sender, now)
+            self._effects.append(send(sender, LeaseDenied(lease_id, name, NO_FREE_SLOT)))
+
+    def _on_renewal(self, sender: str, renewal: LeaseRenewal, now: timedelta) -> None:
+        """An owner names the leases that it holds; a new lease holder so learns which are out."""
+        slots = self.slots.get(renewal.replica)
+        if slots is not None and renewal.epoch == slots.epoch:
+            for lease_id, tenant in renewal.leases:
+                self._lease(slots, lease_id, sender, tenant, now)
+
+    def _on_release(self, release: LeaseRelease, now: timedelta) -> None:
+        name = release.replica
+        slots = self.slots.get(name)
+        if slots is None or slots.leases.pop(release.lease_id, None) is None:
+            return
+        slots.release(succeeded=release.succeeded, declared_slots=self._declared_slots(name), count_until=now + self._tuning["stale"])
+        self._offer_free_slots(name, slots, now)
+
+    def _lease(self, slots: ReplicaSlots, lease_id: str, owner: str, tenant: str, now: timedelta) -> None:
+        slots.leases[lease_id] = SlotLease(owner, tenant, now + self._tuning["lease"])
+
+    def _free_slots(self, name: str, slots: ReplicaSlots, now: timedelta) -> int:
+        """How many slots may be leased now."""
+        record = self._replicas[name].record
         if (
-            m.state != "ready"
-            or now - m.born < opt["learn"]
-            or r[LEAVING]
-            or r[ZONE] in evac
-            or fresh is None
-            or now - fresh > opt["alone"]
+            slots.state != ReplicaState.READY
+            or now - slots.opened_at < self._tuning["learn"]  # owners are heard first: which leases are out?
+            or record.is_leaving
+            or record.zone in self._drained_zones
+            or self._proved_at is None
+            or now - self._proved_at > self._tuning["alone"]
         ):
             return 0
-        return max(0, min(m.cap, r[SLOTS]) - m.used())
+        return max(0, min(slots.capacity, record.slots) - slots.used())
 
-    def fair(m, tenant, now):
+    def _is_fair(self, slots: ReplicaSlots, tenant: str, now: timedelta) -> bool:
         """A tenant that holds more yields to one that waits with fewer."""
-        m.hungry = {t: h for t, h in m.hungry.items() if now - h[1] < opt["settle"] * 2}
-        return all(m.held(t) >= m.held(tenant) for t in m.hungry if t != tenant)
-
-    def lease(m, lid, owner, tenant, now):
-        m.leases[lid] = (owner, tenant, now + opt["lease"])
-
-    def offer(rid, m, now):
-        n = 0
-        while room(m, rid, now) and m.hungry:
-            t = min(m.hungry, key=lambda t: (m.held(t), m.hungry[t][1]))
-            owner, at = m.hungry.pop(t)
-            if now - at < opt["settle"] * 2:
-                n, m.num = n + 1, m.num + 1
-                lid = f"{rid}/{m.epoch}/{m.num}"
-                lease(m, lid, owner, t, now)
-                out.append(send(owner, "offer", rid, m.epoch, lid, t))
-
-    def tell(rid, m):
-        m.num += 1
-        out.append(
-            post(
-                "replica_registry",
-                "status",
-                (rid, m.inc, m.epoch, m.num, m.state, m.use, m.served, m.run, min(m.cap, reps[rid][0][SLOTS]), m.used()),
-            )
-        )
-
-    while True:
-        now, ev = yield tuple(out)
-        out = []
-        match ev:
-            case ("fresh", f):
-                fresh = f
-            case ("roll", r):
-                roll = {x[0] for x in r}
-            case ("book", b, _):
-                evac = evacuated_zones(b)
-                duties = {k[12:]: v[0] for k, (_, v) in b.items() if k.startswith("duty/ledger/") and v[1] == me}
-                open_(now)
-            case ("replicas", rs):
-                reps = rs
-                open_(now)
-            case ("froze",):
-                mine.clear()  # a frozen holder distrusts its leases
-                open_(now)
-            case ("pulse",):
-                for rid, m in mine.items():
-                    if now >= m.due:
-                        m.due = now + opt["probe"]
-                        out.append(("probe", rid, m.inc, reps[rid][0][ADDR]))
-                        if m.heard and now - m.heard > opt["stale"] / 2 and m.state != "dark":
-                            m.state, m.warm, m.cap = "dark", False, 1
-                            out.append(log("replica-dark", replica=rid))
-                            tell(rid, m)
-                    dead = [i for i, (o, _, till) in m.leases.items() if now > till or o not in roll]
-                    for i in dead:
-                        del m.leases[i]
-                        m.ghosts.append(now + opt["stale"])
-                    m.ghosts = [t for t in m.ghosts if t > now]
-                    offer(rid, m, now)
-                if not any(m.leases or m.ghosts or m.hungry for m in mine.values()):
-                    out.append(("due", min((m.due for m in mine.values()), default=IDLE)))
-            case ("probed", rid, inc, got):
-                m = mine.get(rid)
-                if m is None or inc != m.inc:
-                    continue
-                if got is None or got[0] != m.inc:  # silent, or another life of it
-                    continue
-                _, state, m.use, m.served, m.run, warm = got
-                m.heard = now
-                m.ghosts = m.ghosts[: m.run]
-                if warm and not m.warm:
-                    m.cap = reps[rid][0][SLOTS]
-                if state != m.state:
-                    out.append(log("replica-state", replica=rid, was=m.state, now=state))
-                m.warm, m.state = warm, state
-                tell(rid, m)
-                offer(rid, m, now)
-            case ("msg", frm, ("lease", str(rid), int(e), str(lid), str(tenant))):
-                m = mine.get(rid)
-                if m is None or e != m.epoch:
-                    out.append(send(frm, "unleased", lid, rid, "moved"))
-                elif lid in m.leases:
-                    out.append(send(frm, "leased", lid, rid, m.epoch))
-                elif room(m, rid, now) and fair(m, tenant, now):
-                    lease(m, lid, frm, tenant, now)
-                    out.append(send(frm, "leased", lid, rid, m.epoch))
-                else:
-                    m.hungry[tenant] = (frm, now)
-                    out.append(send(frm, "unleased", lid, rid, "full"))
-            case ("msg", frm, ("renew", str(rid), int(e), tuple(held))):
-                m = mine.get(rid)
-                if m and e == m.epoch:  # a holder new to it learns what is out
-                    for lid, tenant in held:
-                        lease(m, lid, frm, tenant, now)
-            case ("msg", frm, ("release", str(rid), str(lid), bool(good))):
-                m = mine.get(rid)
-                if m and m.leases.pop(lid, None):
-                    if not good:
-                        m.ghosts.append(now + opt["stale"])
-                    elif m.run > len(m.leases) + len(m.ghosts):
-                        m.run -= 1  # until the next probe says
-                    if good and m.cap < reps[rid][0][SLOTS]:
-                        m.cap += 1  # the cold ramp
-                    offer(rid, m, now)
+        slots.forget_waiting_since(now - self._tuning["settle"] * WAITING_SETTLES)
+        return slots.is_fair_to_lease(tenant)
+
+    def _offer_free_slots(self, name: str, slots: ReplicaSlots, now: timedelta) -> None:
+        """Offer free slots to the waiting tenants that hold least."""
+        while self._free_slots(name, slots, now) and slots.waiting:
+            tenant = slots.neediest_tenant()
+            waiting = slots.waiting.pop(tenant)
+            if now - waiting.asked_at < self._tuning["settle"] * WAITING_SETTLES:
+                slots.sequence += 1
+                lease_id = f"{name}/{slots.epoch}/{slots.sequence}"
+                self._lease(slots, lease_id, waiting.owner, tenant, now)
+                self._effects.append(send(waiting.owner, LeaseOffer(name, slots.epoch, lease_id, tenant)))
+
+    def _declared_slots(self, name: str) -> int:
+        return self._replicas[name].record.slots
--- a/silverglade/runtime/daemon_machine.py
+++ b/silverglade/runtime/daemon_machine.py
@@ -15,15 +15,16 @@
 from ..membership.core_table import table
 from ..membership.member import roster
 from ..membership.zone_relay import proxy
-from ..replicas.registry import registry
-from ..replicas.slot_leases import ledger
+from ..replicas.registry import ReplicaRegistry
+from ..replicas.slot_leases import SlotLeases
 from ..routing.endpoint_list import catalog
 from ..routing.router import forward
 from ..tenant_requests.ingress import ingress
-from ..tenant_shards.follower import follower
-from ..tenant_shards.owner import owner
+from ..tenant_shards.follower import ClaimFollower
+from ..tenant_shards.owner import ShardOwner
 from ..transport.message_schemas import is_valid_message, known_fields
 from .effects import ZERO, log, start
+from .state_machine import MachineComponent
 
 # which part hears which message between daemons
 MESSAGE_RECEIVERS = {
@@ -90,10 +91,10 @@
         self.me = me
         p = self.parts = {
             "membership": roster(me=me, life=life, place=(zone, region, addr, http, bool(disk)), opt=opt),
-            "replica_registry": registry(me=me, core=bool(disk), opt=opt),
+            "replica_registry": MachineComponent(ReplicaRegistry(is_core=bool(disk), tuning=opt)),
             "updater": news(me=me, zone=zone, region=region, core=bool(disk), addr=addr, seeds=tuple(seeds), opt=opt, rng=rng),
-            "slot_leases": ledger(me=me, opt=opt),
-            "shard_owner": owner(me=me, zone=zone, cores=cores, opt=opt, rng=rng),
+            "slot_leases": MachineComponent(SlotLeases(own_name=me, tuning=opt)),
+            "shard_owner": MachineComponent(ShardOwner(own_name=me, zone=zone, tuning=opt)),
             "tenant_ingress": ingress(me=me, life=life, zone=zone, opt=opt),
             "router": forward(me=me, region=region, opt=opt),
             "endpoint_list": catalog(me=me, region=region, lists=lists, opt=opt),
@@ -108,7 +109,7 @@
             )
             p["core_table"] = table(me=me, life=life, addr=addr, seeds=tuple(seeds), opt=opt)
             p["role_assigner"] = keeper(cores=cores, opt=opt)
-            p["claim_follower"] = follower(me=me, saved=saved, opt=opt)
+            p["claim_follower"] = MachineComponent(ClaimFollower(own_name=me, saved=saved, tuning=opt))
         else:
             p["zone_relay"] = proxy(zone=zone, opt=opt)
         for g in p.values():
--- a/silverglade/tenant_requests/ingress.py
+++ b/silverglade/tenant_requests/ingress.py
@@ -50,8 +50,8 @@
             if is_usable(
                 e,
                 now=now,
-                opt=self.opt,
-                evac=self.evac,
+                tuning=self.opt,
+                drained_zones=self.evac,
                 homes=homes_of_tenant(bk.value_of(self.book, "config"), f["tenant"]),
                 kind=f["kind"],
             )
--- /dev/null
+++ b/silverglade/tenant_shards/admission.py
@@ -0,0 +1,238 @@
+"""Admission of requests at a shard owner (design 6.2): a slot's lease, then the claim of the key, then the grant."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from datetime import timedelta
+from typing import Any
+
+from ..replicas.candidate_selection import select_candidates
+from ..replicas.lease_holders import lease_holder
+from ..replicas.records import ReplicaState
+from ..runtime import result_codes
+from .context import OwnerContext
+from .messages import (
+    Claimed,
+    ClaimRefused,
+    Grant,
+    LeaseDenied,
+    LeaseGranted,
+    LeaseOffer,
+    LeaseRelease,
+    LeaseRequest,
+    Ran,
+    Refusal,
+)
+from .queued_request import QueuedRequest, RequestStep
+from .request_queue import RequestQueue, ran_by_claim
+from .shard import Shard
+
+RETRY_SOON_MS = 500
+"""After how many milliseconds a client may come back where the shard's owner or follower is about to change."""
+
+OVERFLOW_PART = 4
+"""A request may overflow after this part of the time that it had left."""
+
+
+def _request_of_lease(lease_id: str) -> str:
+    """The request that a lease was asked for (see `Admission.ask_next_candidate`)."""
+    return lease_id.rsplit("/", 1)[0]
+
+
+class Admission:
+    """Moves requests on, from waiting to the grant."""
+
+    __slots__ = ("_context", "_queue", "_last_lease")
+
+    def __init__(self, context: OwnerContext, queue: RequestQueue) -> None:
+        self._context = context
+        self._queue = queue
+        self._last_lease = 0
+
+    # --- a slot's lease
+
+    def advance(self, request: QueuedRequest, now: timedelta) -> None:
+        """Look for a slot for a request that waits."""
+        shard = self._context.shards.get(request.tenant)
+        if shard is None:
+            self._queue.deny(request, result_codes.NO_OWNER, retry_after_ms=RETRY_SOON_MS)
+            return
+        if not request.is_resumable and not shard.is_open:
+            return  # it waits for the follower for a while; the timer gives up
+        if self.refuse_if_claimed(shard, request):
+            return
+        request.candidates = self._candidates(request, now)
+        self.ask_next_candidate(request, now)
+
+    def ask_next_candidate(self, request: QueuedRequest, now: timedelta) -> None:
+        """Ask the lease holder of the next candidate for a slot; without one the request waits on."""
+        replicas = self._context.replicas
+        request.candidates = [name for name in request.candidates if name in replicas]
+        while request.candidates:
+            replica = request.candidates.pop(0)
+            holder = lease_holder(self._context.store, replica)
+            if holder is None:
+                continue
+            self._last_lease += 1
+            request.begin(RequestStep.LEASING, until=now + self._context.tuning["owner_wait"])
+            request.replica, request.lease_id = replica, ""
+            request.lease_request_id = f"{request.request_id}/{self._last_lease}"
+            self._context.send(holder.daemon, LeaseRequest(replica, holder.epoch, request.lease_request_id, request.tenant))
+            return
+        request.step = RequestStep.WAITING
+        request.next_attempt_at = now + self._context.tuning["beat"]
+
+    def on_lease_granted(self, sender: str, message: LeaseGranted, now: timedelta) -> None:
+        """A lease holder has leased the slot that was asked for, perhaps too late."""
+        request = self._leasing_request(message.lease_id)
+        if request is not None and message.replica in self._context.replicas:
+            self._take_slot(request, message.replica, message.lease_id, now)
+        else:
+            self._context.send(sender, LeaseRelease(message.replica, message.lease_id, False))
+
+    def on_lease_denied(self, message: LeaseDenied, now: timedelta) -> None:
+        """A lease holder has no slot."""
+        request = self._leasing_request(message.lease_id)
+        if request is not None:
+            self.ask_next_candidate(request, now)
+
+    def on_lease_offer(self, sender: str, message: LeaseOffer, now: timedelta) -> None:
+        """A slot came free: the request with the earliest deadline that may use it gets it."""
+        request = self._request_for_offer(message, now)
+        if request is not None:
+            self._take_slot(request, message.replica, message.lease_id, now)
+        else:
+            self._context.send(sender, LeaseRelease(message.replica, message.lease_id, False))
+
+    def _leasing_request(self, lease_id: str) -> QueuedRequest | None:
+        request = self._context.requests.get(_request_of_lease(lease_id))
+        if request is not None and request.step is RequestStep.LEASING and request.lease_request_id == lease_id:
+            return request
+        return None
+
+    def _request_for_offer(self, offer: LeaseOffer, now: timedelta) -> QueuedRequest | None:
+        shard = self._context.shards.get(offer.tenant)
+        if shard is None or offer.replica not in self._context.replicas:
+            return None
+        for request in sorted(self._queue.waiting(offer.tenant), key=lambda waiting: waiting.deadline):
+            if (request.is_resumable or shard.is_open) and offer.replica in self._candidates(request, now):
+                return request
+        return None
+
+    # --- candidates
+
+    def _candidates(self, request: QueuedRequest, now: timedelta) -> list[str]:
+        """The replicas that the request may go to now, the preferred ones first (design 7.2, 7.4)."""
+        context = self._context
+        configuration = context.configuration
+        assert configuration is not None  # without one no request is queued
+        home, elsewhere = select_candidates(
+            replicas=context.replicas,
+            configuration=configuration,
+            tenant=request.tenant,
+            kind=request.kind,
+            prefix=request.prefix,
+            now=now,
+            tuning=context.tuning,
+            drained_zones=context.drained_zones,
+            own_leases=context.leases_held,
+        )
+        if not home and not elsewhere:
+            return []
+        if not home or (self._is_home_short(request, configuration) and self._may_overflow(request, now)):
+            request.is_overflow = bool(elsewhere)
+            home = home + elsewhere
+        return [name for name in home if name not in request.refused_by]
+
+    def _is_home_short(self, request: QueuedRequest, configuration: Mapping[str, Any]) -> bool:
+        """Whether fewer replicas are ready in the home region than the scaler requires."""
+        zones = configuration["zones"]
+        home_zone = configuration["tenants"][request.tenant]["homes"][0]
+        region = zones[home_zone]["region"]
+        ready = 0
+        for record, status, _ in self._context.replicas.values():
+            is_ready = status is not None and status.state == ReplicaState.READY
+            if is_ready and record.kind == request.kind and record.zone in zones and zones[record.zone]["region"] == region:
+                ready += 1
+        return self._context.required_replicas.get((region, request.kind), 0) > ready
+
+    def _may_overflow(self, request: QueuedRequest, now: timedelta) -> bool:
+        """Whether the request has looked for a slot at home for long enough."""
+        patience: timedelta = min(self._context.tuning["spill_wait"], request.time_left / OVERFLOW_PART)
+        return now - request.asked_at >= patience
+
+    # --- the claim, and the grant
+
+    def refuse_if_claimed(self, shard: Shard, request: QueuedRequest) -> bool:
+        """Look the key up, once the claims are known, and answer the request if another one has claimed it.
+
+        :returns: whether it was answered.
+        """
+        if request.is_resumable or request.is_key_checked or not shard.is_open:
+            return False
+        request.is_key_checked = True
+        claim = shard.claim_of(request.key_digest)
+        if claim is None or claim.request_id == request.request_id:
+            return False
+        self._queue.deny(request, result_codes.SEEN, ran=ran_by_claim(claim))
+        return True
+
+    def _take_slot(self, request: QueuedRequest, replica: str, lease_id: str, now: timedelta) -> None:
+        """The request holds a slot: grant it, or claim its key first where it must not run twice."""
+        context = self._context
+        request.replica, request.lease_id = replica, lease_id
+        context.leases_held[replica] = context.leases_held.get(replica, 0) + 1
+        if request.is_resumable:
+            context.shards[request.tenant].granted_keys[request.key_digest] = True
+            self.grant(request, now)
+            return
+        shard = context.shards.get(request.tenant)
+        if shard is None or not shard.is_open:
+            self._queue.deny(request, result_codes.NO_FOLLOWER, retry_after_ms=RETRY_SOON_MS)
+            return
+        request.is_key_checked = False  # its key may have been claimed while it waited
+        if self.refuse_if_claimed(shard, request):
+            return
+        request.begin(RequestStep.CLAIMING, until=now + context.tuning["claim_wait"])
+        request.holds_claim = True
+        context.effects.append(shard.claim(request.key_digest, request.request_id))
+
+    def on_claimed(self, message: Claimed, now: timedelta) -> None:
+        """The follower has synced the claim: the request may run."""
+        request = self._context.requests.get(message.call_id)
+        shard = self._context.shards.get(message.shard)
+        if request is None or request.step is not RequestStep.CLAIMING:
+            return
+        if shard is not None and shard.epoch == message.epoch and request.replica in self._context.replicas:
+            self.grant(request, now)
+
+    def on_claim_refused(self, message: ClaimRefused) -> None:
+        """The follower did not take the claim: the key was claimed before, or it follows another owner."""
+        request = self._context.requests.get(message.call_id)
+        if request is None or request.step is not RequestStep.CLAIMING:
+            return
+        if message.reason == Refusal.ALREADY_CLAIMED:
+            request.holds_claim = False
+            self._queue.deny(request, result_codes.SEEN, ran=Ran.MAYBE.value)
+            return
+        self._context.shards[message.shard].on_claim_refused(message.epoch, message.reason)
+        self._queue.deny(request, result_codes.NO_FOLLOWER, retry_after_ms=RETRY_SOON_MS)
+
+    def grant(self, request: QueuedRequest, now: timedelta) -> None:
+        """Tell the ingress that the request may run on its replica."""
+        context = self._context
+        record = context.replicas[request.replica].record
+        request.begin(RequestStep.GRANTED, until=now + request.time_left + context.tuning["grant"])
+        context.send(
+            request.ingress,
+            Grant(
+                request_id=request.request_id,
+                asking=request.asking,
+                replica=request.replica,
+                incarnation=record.incarnation,
+                address=record.address,
+                epoch=context.shards[request.tenant].epoch,
+                is_overflow=request.is_overflow,
+                is_retry=request.is_retry,
+            ),
+        )
--- a/silverglade/tenant_shards/follower.py
+++ b/silverglade/tenant_shards/follower.py
@@ -1,99 +1,184 @@
-"""A core's follower part (design 6.3): claims synced before any grant exists.
+"""The follower of shards on a core (design 6.3): it syncs claims to disk before any grant exists.
 
-Tables: "shard" shard -> epoch; "claim" "shard\\0key digest" -> (grant, state, number).
-States: "claimed" (may run), "ran" (a replica had it), "done".
+Tables on disk: "shard" holds shard -> epoch; "claim" holds shard, separator and key digest -> (request id, state, number).
 """
 
-from ..control import replicated_state as bk
-from ..runtime.effects import send
-from .shard import aged
+from __future__ import annotations
 
+from collections.abc import Iterable, Mapping
+from datetime import timedelta
+from typing import Any, ClassVar
 
-def passed(book, me, sh, e):
-    """Is this shard followed elsewhere by now, under a later epoch, or dropped for good (6.3)?
+from ..runtime.components import Component
+from ..runtime.effects import DiskOperation, Effect, WriteToDisk
+from ..runtime.events import DiskWriteCompleted, Event, MessageReceived, StoreUpdated
+from .claims import Claim, ClaimState, claims_of, expired_keys, rows_of
+from .messages import (
+    Adopted,
+    AdoptionRefused,
+    AdoptRequest,
+    Claimed,
+    ClaimMark,
+    ClaimRefused,
+    ClaimRequest,
+    ClaimsCopied,
+    ClaimsCopy,
+    Message,
+    Refusal,
+    decode,
+    send,
+)
+from .shard_roles import is_followed_elsewhere
 
-    Whoever follows it was given every claim before it was named.
+SHARD_TABLE, CLAIM_TABLE = "shard", "claim"
+
+KEY_SEPARATOR = "\0"
+
+
+def _claim_key(shard: str, key_digest: str) -> str:
+    return f"{shard}{KEY_SEPARATOR}{key_digest}"
+
+
+def _put_shard(shard: str, epoch: int) -> DiskOperation:
+    return ("put", SHARD_TABLE, shard, epoch)
+
+
+def _put_claim(shard: str, key_digest: str, claim: Claim) -> DiskOperation:
+    return ("put", CLAIM_TABLE, _claim_key(shard, key_digest), tuple(claim))
+
+
+def _delete_claims(shard: str, key_digests: Iterable[str]) -> list[DiskOperation]:
+    return [("del", CLAIM_TABLE, _claim_key(shard, key_digest)) for key_digest in key_digests]
+
+
+class ClaimFollower:
+    """Component "claim_follower" of a core.
+
+    :ivar epochs: shard to the epoch of the owner that it follows.
+    :ivar claims: shard to key digest to claim.
     """
-    d = bk.value_of(book, f"duty/shard/{sh}")
-    return d[0] > e and d[2] != me if d else e <= bk.value_of(book, "floor/shard", 0)
-
-
-def follower(*, me, saved, opt):
-    epochs = dict(saved.get("shard", {}))
-    claims = {sh: {} for sh in epochs}
-    for k, v in saved.get("claim", {}).items():
-        sh, kd = k.rsplit("\0", 1)  # a tenant may be named by any text
-        claims.setdefault(sh, {})[kd] = v
-    tok, wait, out = 0, {}, []
-
-    def write(todo, *answer):
-        nonlocal tok
-        tok += 1
-        wait[tok] = answer
-        out.append(("disk", ("claim_follower", tok), tuple(todo)))
-
-    while True:
-        now, ev = yield tuple(out)
-        out = []
-        match ev:
-            case ("msg", frm, ("claim", str(sh), int(e), cid, str(kd), str(gid), int(no))):
-                held = epochs.get(sh)
-                if held is None or held != e:
-                    out.append(send(frm, "unclaimed", sh, e, cid, "none" if held is None else "old"))
-                    continue
-                was = claims[sh].get(kd)
-                if was and was[0] != gid:
-                    out.append(send(frm, "unclaimed", sh, e, cid, "seen"))
-                    continue
-                claims[sh][kd] = (gid, "claimed", no)
-                old = aged(claims[sh], opt["claims_most"])
-                for k in old:
-                    del claims[sh][k]
-                write(
-                    [("put", "claim", f"{sh}\0{kd}", (gid, "claimed", no))] + [("del", "claim", f"{sh}\0{k}") for k in old],
-                    frm,
-                    "claimed",
-                    sh,
-                    e,
-                    cid,
-                )
-            case ("msg", frm, ("mark", str(sh), int(e), str(kd), str(gid), str(st))):
-                if epochs.get(sh) != e or kd not in claims[sh] or claims[sh][kd][0] != gid:
-                    continue
-                if st == "free":  # surely never ran: the key may be claimed anew
-                    del claims[sh][kd]
-                    write([("del", "claim", f"{sh}\0{kd}")])
-                elif claims[sh][kd][1] != "done":
-                    c = claims[sh][kd] = (gid, st, claims[sh][kd][2])
-                    write([("put", "claim", f"{sh}\0{kd}", c)])
-            case ("msg", frm, ("adopt", str(sh), int(e))):
-                held = epochs.get(sh)
-                if held is None or e < held:
-                    out.append(send(frm, "unadopted", sh, e, "none" if held is None else "old"))
-                    continue
-                epochs[sh] = e
-                write([("put", "shard", sh, e)], frm, "adopted", sh, e, tuple((k, *v) for k, v in sorted(claims[sh].items())))
-            case ("msg", frm, ("copy", str(sh), int(e), int(n), tuple(cs))):
-                if e < epochs.get(sh, 0):
-                    out.append(send(frm, "unadopted", sh, e, "old"))
-                    continue
-                old = claims.get(sh, {})
-                epochs[sh], claims[sh] = e, {k: tuple(c) for k, *c in cs}
-                write(
-                    [("put", "shard", sh, e)]
-                    + [("del", "claim", f"{sh}\0{k}") for k in old]
-                    + [("put", "claim", f"{sh}\0{k}", tuple(c)) for k, *c in cs],
-                    frm,
-                    "copied",
-                    sh,
-                    e,
-                    n,
-                )
-            case ("book", b, _):
-                for sh in [sh for sh in epochs if passed(b, me, sh, epochs[sh])]:
-                    write([("del", "shard", sh)] + [("del", "claim", f"{sh}\0{k}") for k in claims[sh]])
-                    del epochs[sh], claims[sh]
-            case ("disk", ("claim_follower", n), ok, _):
-                ans = wait.pop(n, ())
-                if ok and ans:
-                    out.append(send(*ans))
+
+    handled_events: ClassVar[tuple[type[Event], ...]] = (MessageReceived, StoreUpdated, DiskWriteCompleted)
+
+    def __init__(self, *, own_name: str, saved: Mapping[str, Mapping[str, Any]], tuning: Mapping[str, Any]) -> None:
+        """:param saved: the tables as last synced."""
+        self.epochs: dict[str, int] = dict(saved.get(SHARD_TABLE, {}))
+        self.claims: dict[str, dict[str, Claim]] = {shard: {} for shard in self.epochs}
+        for key, row in saved.get(CLAIM_TABLE, {}).items():
+            shard, key_digest = key.rsplit(KEY_SEPARATOR, 1)  # a tenant's name may hold the separator too
+            self.claims.setdefault(shard, {})[key_digest] = Claim(*row)
+        self._own_name = own_name
+        self._tuning = tuning
+        self._last_write = 0
+        self._answers: dict[int, tuple[str, Message] | None] = {}  # write -> whom to answer once it is synced, and what
+        self._effects: list[Effect] = []
+
+    def step(self, now: timedelta, event: Event) -> list[Effect]:
+        """Handle one event and return the effects in their order."""
+        self._effects = []
+        match event:
+            case MessageReceived():
+                self._on_message(event.sender, decode(event.body))
+            case StoreUpdated():
+                self._on_store_updated(event)
+            case DiskWriteCompleted():
+                self._on_written(event)
+        return self._effects
+
+    def _on_message(self, sender: str, message: Message | None) -> None:
+        match message:
+            case ClaimRequest():
+                self._on_claim(sender, message)
+            case ClaimMark():
+                self._on_mark(message)
+            case AdoptRequest():
+                self._on_adopt(sender, message)
+            case ClaimsCopy():
+                self._on_copy(sender, message)
+
+    def _on_claim(self, sender: str, request: ClaimRequest) -> None:
+        """Take a claim of the epoch that is followed, unless another request has claimed the key."""
+        shard, key_digest = request.shard, request.key_digest
+        epoch = self.epochs.get(shard)
+        if epoch is None or epoch != request.epoch:
+            reason = Refusal.UNKNOWN_SHARD.value if epoch is None else Refusal.OTHER_EPOCH.value
+            self._effects.append(send(sender, ClaimRefused(shard, request.epoch, request.call_id, reason)))
+            return
+        claims = self.claims[shard]
+        held = claims.get(key_digest)
+        if held is not None and held.request_id != request.request_id:
+            self._effects.append(send(sender, ClaimRefused(shard, request.epoch, request.call_id, Refusal.ALREADY_CLAIMED.value)))
+            return
+        claim = claims[key_digest] = Claim(request.request_id, ClaimState.CLAIMED.value, request.number)
+        expired = expired_keys(claims, self._tuning["claims_most"])
+        for expired_key in expired:
+            del claims[expired_key]
+        self._write(
+            [_put_claim(shard, key_digest, claim), *_delete_claims(shard, expired)],
+            answer=(sender, Claimed(shard, request.epoch, request.call_id)),
+        )
+
+    def _on_mark(self, mark: ClaimMark) -> None:
+        """Change the state of a claim, or take it back; a request that is done stays so."""
+        shard, key_digest = mark.shard, mark.key_digest
+        if self.epochs.get(shard) != mark.epoch:
+            return
+        claim = self.claims[shard].get(key_digest)
+        if claim is None or claim.request_id != mark.request_id:
+            return
+        if mark.state == ClaimState.FREE:
+            del self.claims[shard][key_digest]
+            self._write(_delete_claims(shard, [key_digest]))
+        elif claim.state != ClaimState.DONE:
+            claim = self.claims[shard][key_digest] = claim._replace(state=mark.state)
+            self._write([_put_claim(shard, key_digest, claim)])
+
+    def _on_adopt(self, sender: str, request: AdoptRequest) -> None:
+        """Follow a new owner and tell it all claims; no claim of an earlier epoch is taken any more."""
+        shard, epoch = request.shard, self.epochs.get(request.shard)
+        if epoch is None or request.epoch < epoch:
+            reason = Refusal.UNKNOWN_SHARD.value if epoch is None else Refusal.OTHER_EPOCH.value
+            self._effects.append(send(sender, AdoptionRefused(shard, request.epoch, reason)))
+            return
+        self.epochs[shard] = request.epoch
+        answer = Adopted(shard, request.epoch, rows_of(self.claims[shard]))
+        self._write([_put_shard(shard, request.epoch)], answer=(sender, answer))
+
+    def _on_copy(self, sender: str, copy: ClaimsCopy) -> None:
+        """Begin to follow a shard with all its claims; what was held of it is dropped."""
+        shard = copy.shard
+        if copy.epoch < self.epochs.get(shard, 0):
+            self._effects.append(send(sender, AdoptionRefused(shard, copy.epoch, Refusal.OTHER_EPOCH.value)))
+            return
+        dropped = self.claims.get(shard, {})
+        claims = claims_of(copy.claims)
+        self.epochs[shard] = copy.epoch
+        self.claims[shard] = claims
+        self._write(
+            [
+                _put_shard(shard, copy.epoch),
+                *_delete_claims(shard, dropped),
+                *[_put_claim(shard, key_digest, claim) for key_digest, claim in claims.items()],
+            ],
+            answer=(sender, ClaimsCopied(shard, copy.epoch, copy.number)),
+        )
+
+    def _on_store_updated(self, event: StoreUpdated) -> None:
+        """Drop the shards that another daemon follows by now."""
+        for shard, epoch in list(self.epochs.items()):
+            if is_followed_elsewhere(event.store, shard, epoch=epoch, own_name=self._own_name):
+                self._write([("del", SHARD_TABLE, shard), *_delete_claims(shard, self.claims[shard])])
+                del self.epochs[shard], self.claims[shard]
+
+    def _write(self, operations: list[DiskOperation], *, answer: tuple[str, Message] | None = None) -> None:
+        """Write to disk, and send the answer only once that is synced."""
+        self._last_write += 1
+        self._answers[self._last_write] = answer
+        self._effects.append(WriteToDisk((Component.CLAIM_FOLLOWER.value, self._last_write), tuple(operations)))
+
+    def _on_written(self, event: DiskWriteCompleted) -> None:
+        _, number = event.token
+        answer = self._answers.pop(number, None)
+        if event.succeeded and answer is not None:
+            to, message = answer
+            self._effects.append(send(to, message))
--- /dev/null
+++ b/silverglade/tenant_shards/request_queue.py
@@ -0,0 +1,112 @@
+"""The requests at a shard owner: which wait, what may be said of their keys, and how they end (design 6.2, 6.5)."""
+
+from __future__ import annotations
+
+from datetime import timedelta
+
+from ..replicas.lease_holders import lease_holder
+from ..runtime import result_codes
+from .claims import Claim, ClaimState
+from .context import OwnerContext
+from .messages import Denial, LeaseRelease, Ran, RequestAbandoned, RunEnded, RunOutcome
+from .queued_request import QueuedRequest, RequestStep
+
+NOBODY = ""
+"""Whom a lease is given back to while no lease holder is named; the message is dropped."""
+
+
+def ran_by_claim(claim: Claim) -> str:
+    """What another request's claim of a key says of whether the key ran."""
+    return Ran.YES.value if claim.state == ClaimState.DONE else Ran.MAYBE.value
+
+
+class RequestQueue:
+    """Looks at the requests of the context, and ends them."""
+
+    __slots__ = ("_context",)
+
+    def __init__(self, context: OwnerContext) -> None:
+        self._context = context
+
+    def waiting(self, tenant: str) -> list[QueuedRequest]:
+        """The tenant's requests that wait for a slot, in the order of their arrival."""
+        return [request for request in self._context.requests.values() if request.tenant == tenant and request.step is RequestStep.WAITING]
+
+    def ran(self, request: QueuedRequest) -> str:
+        """What this owner can say of whether the request's key ran, as a `Ran` value."""
+        shard = self._context.shards.get(request.tenant)
+        for other in self._context.requests.values():
+            if other.key_digest == request.key_digest and other is not request:
+                return Ran.MAYBE.value  # its client asked twice at once
+        if request.is_resumable:
+            was_granted = shard is not None and request.key_digest in shard.granted_keys
+            return Ran.MAYBE.value if was_granted else Ran.UNKNOWN.value
+        claim = shard.claim_of(request.key_digest) if shard is not None else None
+        if claim is not None and claim.request_id != request.request_id:
+            return ran_by_claim(claim)  # another request with the key has come first
+        return Ran.NO.value if request.is_key_checked else Ran.UNKNOWN.value
+
+    def deny(self, request: QueuedRequest, code: int, *, ran: str | None = None, retry_after_ms: int | None = None) -> None:
+        """Answer a request that will not be granted, and drop it.
+
+        :param ran: what to say of whether its key ran; None for what this owner knows.
+        """
+        if ran is None:
+            ran = self.ran(request)
+        self._context.requests.pop(request.request_id, None)
+        self.release_lease(request, succeeded=False)
+        if request.holds_claim and ran == Ran.NO:
+            self._mark_claim(request, ClaimState.FREE.value)
+        self._context.send(request.ingress, Denial(request.request_id, request.asking, code, ran, retry_after_ms))
+
+    def drop(self, request: QueuedRequest) -> None:
+        """Drop a request of which nobody wants to hear any more; its claim stays, since it may have run."""
+        self.release_lease(request, succeeded=False)
+        self._context.requests.pop(request.request_id)
+
+    def release_lease(self, request: QueuedRequest, *, succeeded: bool) -> None:
+        """Give the request's slot back, if it holds one."""
+        if not request.lease_id:
+            return
+        replica, leases_held = request.replica, self._context.leases_held
+        leases_held[replica] = max(0, leases_held.get(replica, 0) - 1)
+        holder = lease_holder(self._context.store, replica)
+        to = holder.daemon if holder is not None else NOBODY
+        self._context.send(to, LeaseRelease(replica, request.lease_id, succeeded))
+        request.lease_id = ""
+
+    def withdraw_unconfigured(self) -> None:
+        """Answer the requests that wait for a tenant or class which the configuration no longer has (design 6.7)."""
+        for request in list(self._context.requests.values()):
+            is_waiting = request.step not in (RequestStep.GRANTED, RequestStep.REFUSED)
+            if is_waiting and not self._context.has_class(request.tenant, request.request_class):
+                self.deny(request, result_codes.WITHDRAWN)
+
+    def on_run_ended(self, sender: str, message: RunEnded, now: timedelta) -> None:
+        """A granted request has ended; if its replica did not run it, the ingress may ask again under its claim."""
+        request = self._context.requests.get(message.request_id)
+        if request is None or request.asking != message.asking or request.ingress != sender:
+            return
+        self.release_lease(request, succeeded=message.outcome == RunOutcome.DONE)
+        if message.outcome in (RunOutcome.REFUSED, RunOutcome.NOT_SENT) and request.replica:
+            request.refused_by.add(request.replica)
+            request.begin(RequestStep.REFUSED, until=now + self._context.tuning["grant"])
+            request.was_not_sent = message.outcome == RunOutcome.NOT_SENT
+            return
+        del self._context.requests[request.request_id]
+        if request.holds_claim:
+            self._mark_claim(request, message.outcome)
+
+    def on_request_abandoned(self, sender: str, message: RequestAbandoned) -> None:
+        """The ingress will never send the request: its key is free."""
+        request = self._context.requests.pop(message.request_id, None)
+        if request is None or request.ingress != sender:
+            return
+        self.release_lease(request, succeeded=False)
+        if request.holds_claim:
+            self._mark_claim(request, ClaimState.FREE.value)
+
+    def _mark_claim(self, request: QueuedRequest, state: str) -> None:
+        shard = self._context.shards.get(request.tenant)
+        if shard is not None:
+            self._context.effects.extend(shard.mark(request.key_digest, request.request_id, state))
--- /dev/null
+++ b/silverglade/tenant_shards/request_timeouts.py
@@ -0,0 +1,75 @@
+"""What the passing of time means for the requests at a shard owner (design 6.2)."""
+
+from __future__ import annotations
+
+from datetime import timedelta
+
+from ..runtime import result_codes
+from .admission import Admission
+from .context import OwnerContext
+from .messages import Ran
+from .queued_request import QueuedRequest, RequestStep
+from .request_queue import RequestQueue
+
+RETRY_LATER_MS = 1000
+"""After how many milliseconds a client may come back."""
+
+
+class RequestTimeouts:
+    """Ends the requests whose time is over, and moves the others on."""
+
+    __slots__ = ("_context", "_queue", "_admission")
+
+    def __init__(self, context: OwnerContext, queue: RequestQueue, admission: Admission) -> None:
+        self._context = context
+        self._queue = queue
+        self._admission = admission
+
+    def check(self, live_daemons: set[str], now: timedelta) -> None:
+        """Check every request."""
+        for request in list(self._context.requests.values()):
+            is_ingress_live = request.ingress in live_daemons
+            if request.step is RequestStep.GRANTED and not is_ingress_live:
+                self._queue.drop(request)
+            elif request.step in (RequestStep.GRANTED, RequestStep.REFUSED):
+                if request.is_step_over(now):
+                    self._queue.drop(request)
+            elif not is_ingress_live:
+                self._queue.deny(request, result_codes.LINK_LOST, ran=Ran.MAYBE.value)
+            elif now >= request.deadline:
+                self._queue.deny(request, result_codes.NO_SLOT, retry_after_ms=RETRY_LATER_MS)
+            else:
+                self._check_step(request, now)
+
+    def _check_step(self, request: QueuedRequest, now: timedelta) -> None:
+        """A request before its grant, in time and with a live ingress."""
+        if request.step is RequestStep.WAITING:
+            self._check_waiting(request, now)
+        elif request.is_step_over(now):
+            if request.step is RequestStep.CLAIMING:
+                self._give_up_claim(request, now)
+            elif request.step is RequestStep.LEASING:
+                self._admission.ask_next_candidate(request, now)
+
+    def _give_up_claim(self, request: QueuedRequest, now: timedelta) -> None:
+        """The follower lives but does not sync: another core is to follow."""
+        shard = self._context.shards.get(request.tenant)
+        if shard is not None:
+            shard.unresponsive[shard.follower] = now
+        self._queue.deny(request, result_codes.NO_FOLLOWER, retry_after_ms=RETRY_LATER_MS)
+
+    def _check_waiting(self, request: QueuedRequest, now: timedelta) -> None:
+        waited = now - request.asked_at
+        if not request.is_resumable and self._is_claiming_hopeless(request, waited):
+            self._queue.deny(request, result_codes.NO_FOLLOWER, retry_after_ms=RETRY_LATER_MS)
+        elif waited > self._context.tuning["queue_wait"]:
+            self._queue.deny(request, result_codes.NO_SLOT, retry_after_ms=RETRY_LATER_MS)
+        elif now >= request.next_attempt_at:
+            self._admission.advance(request, now)
+
+    def _is_claiming_hopeless(self, request: QueuedRequest, waited: timedelta) -> bool:
+        """Whether the shard has not been open for too long, or will not open by itself."""
+        shard = self._context.shards.get(request.tenant)
+        if shard is not None and shard.is_open:
+            return False
+        return bool(waited > self._context.tuning["claim_wait"]) or (shard is not None and shard.is_shut)
--- a/silverglade/tenant_shards/shard.py
+++ b/silverglade/tenant_shards/shard.py
@@ -1,141 +1,259 @@
-"""One shard in its owner's hands (design 6.3, 6.4).
+"""One shard at its owner (design 6.3, 6.4): its claims, and the way on which owner and follower agree on them.
 
-Steps: adopt (fetch the follower's claims under my epoch), open, copy (a new follower gets
-every claim, then control names it, then adopt again). Unresumable orders wait while not open.
+Requests that are not resumable wait while the shard is not open.
 """
 
-from boltons.cacheutils import LRI
+from __future__ import annotations
 
-from ..runtime.effects import log, send
+from collections.abc import Mapping
+from datetime import timedelta
+from enum import Enum
+from typing import Any
 
+from boltons.cacheutils import LRI  # type: ignore[import-untyped]
 
-def aged(claims, most):
-    """Keys whose claims are older than the newest `most`, once an eighth more has gathered (6.3)."""
-    if len(claims) <= most + most // 8:
-        return ()
-    floor = max(c[2] for c in claims.values()) - most
-    return tuple(k for k, c in claims.items() if c[2] <= floor)
+from ..runtime.effects import ZERO, Effect, LogRecord, Send, log_record
+from .claims import Claim, ClaimState, claims_of, expired_keys, rows_of
+from .follower_choice import FollowerAssignment, FollowerCandidates
+from .messages import (
+    Adopted,
+    AdoptionRefused,
+    AdoptRequest,
+    ClaimMark,
+    ClaimRequest,
+    ClaimsCopied,
+    ClaimsCopy,
+    Refusal,
+    send,
+)
+
+NO_CORE = ""
+
+UNRESPONSIVE_GONE_TIMES = 2
+"""A core that did not answer is passed over for so many times the `gone` time."""
+
+ASKS_PER_TAKEOVER = 3
+"""A follower is asked again so many times within the `takeover` time."""
+
+
+class ShardStep(Enum):
+    """Where an owner is with its shard."""
+
+    ADOPT = "adopt"  # fetch the follower's claims under this epoch
+    OPEN = "open"
+    COPY = "copy"  # give a new follower every claim
+    ASSIGN = "assign"  # have control name the new follower
+    SHUT = "shut"  # the follower lost its claims, and this owner does not know them either
 
 
 class Shard:
-    def __init__(self, *, name, epoch, follower, me, claims, most):
-        self.name, self.epoch, self.follower, self.me = name, epoch, follower, me
-        self.claims = claims  # None: not known here
-        self.open, self.sent, self.to, self.num = False, None, "", 0
-        self.life = None  # the follower's life as last seen
-        self.bad, self.since = {}, (None, None)  # cores that let me wait; (step, to) since when
-        self.most, self.top = most, max((c[2] for c in (claims or {}).values()), default=0)
-        self.tried = LRI(max_size=most)  # resumable keys granted here, the last of them
-        self.asked = LRI(max_size=most)  # key digest -> the order that first asked with it
-        self.step = "adopt" if follower else "copy"
-        if not follower:
-            self.claims = {}  # no follower yet: nothing was ever claimed
-
-    def full(self, epoch):
-        """Are my claims still whole under this epoch? Only if nobody owned it between."""
-        return self.claims is not None and epoch == self.epoch + 1
-
-    def claim(self, kd, gid):
-        old = self.claims.get(kd)
-        if not old:
-            self.top += 1
-        no = old[2] if old else self.top
-        self.claims[kd] = (gid, "claimed", no)
-        for k in aged(self.claims, self.most):
-            del self.claims[k]
-        return [send(self.follower, "claim", self.name, self.epoch, gid, kd, gid, no)]
-
-    def tries(self, kd):
-        self.tried[kd] = True
-
-    def mark(self, kd, gid, st):
-        c = (self.claims or {}).get(kd)
-        if not c or c[0] != gid:
+    """A shard that this daemon owns.
+
+    :ivar claims: key digest to claim; None while they are not known here.
+    :ivar granted_keys: the last resumable keys that were granted here.
+    :ivar first_requests: key digest to the request that first asked with it.
+    :ivar unresponsive: cores that did not answer in time, and when that was seen.
+    """
+
+    __slots__ = (
+        "name",
+        "epoch",
+        "follower",
+        "step",
+        "claims",
+        "granted_keys",
+        "first_requests",
+        "unresponsive",
+        "_owner",
+        "_claims_limit",
+        "_last_number",
+        "_asked_at",
+        "_copy_target",
+        "_copy_number",
+        "_follower_process",
+        "_attempt",
+        "_attempt_since",
+    )
+
+    def __init__(self, *, name: str, epoch: int, follower: str, owner: str, claims: dict[str, Claim] | None, claims_limit: int) -> None:
+        """:param claims: what is known from an earlier epoch, if nobody owned the shard in between."""
+        self.name = name
+        self.epoch = epoch
+        self.follower = follower
+        self.step = ShardStep.ADOPT if follower else ShardStep.COPY
+        self.claims = claims if follower else {}  # without a follower nothing was ever claimed
+        self.granted_keys = LRI(max_size=claims_limit)
+        self.first_requests = LRI(max_size=claims_limit)
+        self.unresponsive: dict[str, timedelta] = {}
+        self._owner = owner
+        self._claims_limit = claims_limit
+        self._last_number = max([claim.number for claim in (claims or {}).values()], default=0)
+        self._asked_at: timedelta | None = None
+        self._copy_target = NO_CORE
+        self._copy_number = 0
+        self._follower_process: str | None = None  # as last seen
+        self._attempt: tuple[ShardStep, str] | None = None  # the step and the copy's target, and since when they are the same
+        self._attempt_since = ZERO
+
+    @property
+    def is_open(self) -> bool:
+        """Whether requests may be claimed."""
+        return self.step is ShardStep.OPEN
+
+    @property
+    def is_shut(self) -> bool:
+        """Whether the claims are lost: the shard opens only with another epoch, or when its follower has them again."""
+        return self.step is ShardStep.SHUT
+
+    def claims_for(self, epoch: int) -> dict[str, Claim] | None:
+        """The claims, if they are still complete under this epoch: nobody owned the shard in between."""
+        return self.claims if epoch == self.epoch + 1 else None
+
+    # --- claims
+
+    def claim_of(self, key_digest: str) -> Claim | None:
+        """The claim of a key, if it is known."""
+        return self.claims.get(key_digest) if self.claims is not None else None
+
+    def claim(self, key_digest: str, request_id: str) -> Send:
+        """Claim a key for a request, and ask the follower to sync that; the shard must be open."""
+        assert self.claims is not None
+        held = self.claims.get(key_digest)
+        if held is None:
+            self._last_number += 1
+        number = held.number if held is not None else self._last_number
+        self.claims[key_digest] = Claim(request_id, ClaimState.CLAIMED.value, number)
+        for expired_key in expired_keys(self.claims, self._claims_limit):
+            del self.claims[expired_key]
+        return send(self.follower, ClaimRequest(self.name, self.epoch, request_id, key_digest, request_id, number))
+
+    def mark(self, key_digest: str, request_id: str, state: str) -> list[Effect]:
+        """Change the state of a request's claim, or take it back (`ClaimState.FREE`)."""
+        claim = self.claim_of(key_digest)
+        if self.claims is None or claim is None or claim.request_id != request_id:
             return []
-        if st == "free":
-            del self.claims[kd]
+        if state == ClaimState.FREE:
+            del self.claims[key_digest]
         else:
-            self.claims[kd] = (gid, st, c[2])
-        return [send(self.follower, "mark", self.name, self.epoch, kd, gid, st)]
-
-    def doubt(self):
-        """After a freeze: another may own it by now, so ask the follower again."""
-        if self.step == "open":
-            self.open, self.step, self.sent = False, "adopt", None
-
-    def follow(self, life):
-        """A follower in a new life may have lost its disk: ask what it holds (6.4)."""
-        if life is not None and life != self.life:
-            if self.life is not None:
-                self.doubt()
-            self.life = life
-
-    def lost(self, e, why):
-        """The follower refused a claim: it is empty, or follows a newer epoch."""
-        if e == self.epoch and why in ("none", "old"):
-            self.open, self.sent = False, None
-            self.step = "copy" if why == "none" else "adopt"
-
-    def hear(self, frm, kind, e, rest):
-        if e != self.epoch:
+            self.claims[key_digest] = claim._replace(state=state)
+        return [send(self.follower, ClaimMark(self.name, self.epoch, key_digest, request_id, state))]
+
+    # --- what puts the agreement with the follower in doubt
+
+    def adopt_again(self) -> None:
+        """Another daemon may own the shard by now, or the follower may have lost its disk: ask it again what it holds."""
+        if self.is_open:
+            self._begin(ShardStep.ADOPT)
+
+    def see_follower_process(self, process_id: str | None) -> None:
+        """A follower in another process may have lost its disk (design 6.4)."""
+        if process_id is not None and process_id != self._follower_process:
+            if self._follower_process is not None:
+                self.adopt_again()
+            self._follower_process = process_id
+
+    def on_claim_refused(self, epoch: int, reason: str) -> None:
+        """The follower holds nothing of the shard, or follows another epoch."""
+        if epoch != self.epoch:
+            return
+        if reason == Refusal.UNKNOWN_SHARD:
+            self._begin(ShardStep.COPY)
+        elif reason == Refusal.OTHER_EPOCH:
+            self._begin(ShardStep.ADOPT)
+
+    def _begin(self, step: ShardStep) -> None:
+        self.step, self._asked_at = step, None
+
+    # --- answers of the follower
+
+    def on_adopted(self, sender: str, message: Adopted) -> list[LogRecord]:
+        """The follower's claims have come: the shard opens, unless the follower holds less than this owner."""
+        if message.epoch != self.epoch or sender != self.follower or self.step is not ShardStep.ADOPT:
+            return []
+        received = claims_of(message.claims)
+        own = self.claims or {}
+        self.claims = {**received, **own}
+        self._last_number = max([self._last_number, *[claim.number for claim in received.values()]])
+        oldest_kept = self._last_number - self._claims_limit
+        if any([key not in received and claim.number > oldest_kept for key, claim in own.items()]):
+            self._begin(ShardStep.COPY)
             return []
-        if kind == "adopted" and frm == self.follower and self.step == "adopt":
-            got = {k: (g, s, n) for k, g, s, n in rest[0]}
-            mine = self.claims or {}
-            self.claims = {**got, **mine}
-            self.top = max([self.top] + [c[2] for c in got.values()])
-            if any(k not in got and c[2] > self.top - self.most for k, c in mine.items()):  # it holds less than I do: copy anew
-                self.step, self.sent = "copy", None
-                return []
-            self.open, self.step = True, "open"
-            return [log("shard-open", shard=self.name, epoch=e, claims=len(got))]
-        if kind == "unadopted" and self.step == "adopt" and rest[0] == "none":
-            if self.claims is not None:
-                self.step, self.sent = "copy", None
-                return []
-            self.step = "shut"
-            return [log("claims-lost", shard=self.name, follower=frm)]
-        if kind == "copied" and frm == self.to and self.step == "copy" and rest == [self.num]:
-            if self.to == self.follower:
-                self.step, self.sent = "adopt", None
-                return []
-            self.step, self.sent = "name", None
-        return []
-
-    def pulse(self, now, live, spare, near, opt):
-        """near: cores of my own zone, when there are others: one loss must not take both."""
-        if self.since[0] != (self.step, self.to):
-            self.since = ((self.step, self.to), now)
-        late = now - self.since[1] > opt["claim_wait"]
-        if late and self.step == "copy" and self.to:
-            self.bad[self.to] = now
-        elif late and self.step == "adopt" and self.claims is not None:
-            self.bad[self.follower] = now
-        self.bad = {c: t for c, t in self.bad.items() if now - t < opt["gone"] * 2}
-        if self.step == "open" and self.follower in live and self.follower not in self.bad and self.follower not in near:
+        self.step = ShardStep.OPEN
+        return [log_record("shard-open", shard=self.name, epoch=self.epoch, claims=len(received))]
+
+    def on_adoption_refused(self, sender: str, message: AdoptionRefused) -> list[LogRecord]:
+        """A follower without claims gets them from here; where they are not known either, the shard shuts."""
+        if message.epoch != self.epoch or self.step is not ShardStep.ADOPT or message.reason != Refusal.UNKNOWN_SHARD:
             return []
-        cs = [c for c in spare(self.name) if c not in self.bad]
-        gone = self.follower not in live or ((self.follower in self.bad or self.follower in near) and bool(cs))
-        if self.step in ("open", "adopt") and self.follower and gone and self.claims is not None:
-            self.open, self.step, self.sent = False, "copy", None
-        if self.step == "shut" and not gone and (self.sent is None or now - self.sent > opt["gone"]):
-            self.step = "adopt"
-        if self.step == "open" or (self.sent is not None and now - self.sent < opt["takeover"] / 3):
+        if self.claims is not None:
+            self._begin(ShardStep.COPY)
             return []
-        self.sent = now
-        if self.step == "adopt":
-            return [send(self.follower, "adopt", self.name, self.epoch)]
-        if self.step == "copy":
-            self.to = self.follower if not gone else cs[0] if cs else ""
-            self.num += 1
-            return (
-                [send(self.to, "copy", self.name, self.epoch, self.num, tuple((k, *v) for k, v in sorted(self.claims.items())))]
-                if self.to
-                else []
-            )
-        if self.step == "name":
-            if self.to not in live:
-                self.step = "copy"
-                return []
-            return [("name", ("shard", self.name, self.epoch, self.me, self.to))]
-        return []
+        self.step = ShardStep.SHUT
+        return [log_record("claims-lost", shard=self.name, follower=sender)]
+
+    def on_copied(self, sender: str, message: ClaimsCopied) -> None:
+        """The copy is synced: it adopts, if it is the follower already; else control is to name it."""
+        if message.epoch != self.epoch or self.step is not ShardStep.COPY:
+            return
+        if sender == self._copy_target and message.number == self._copy_number:
+            self._begin(ShardStep.ADOPT if sender == self.follower else ShardStep.ASSIGN)
+
+    # --- time
+
+    def advance(self, now: timedelta, cores: FollowerCandidates, tuning: Mapping[str, Any]) -> Send | FollowerAssignment | None:
+        """Do what the present step needs: ask the follower, copy the claims, or have control name another follower."""
+        self._note_unresponsive(now, tuning)
+        is_live = self.follower in cores.live
+        is_unfit = self.follower in self.unresponsive or self.follower in cores.same_zone
+        if self.is_open and is_live and not is_unfit:
+            return None
+        spare_cores = [core for core in cores.ranked(self.name) if core not in self.unresponsive]
+        must_replace = not is_live or (is_unfit and bool(spare_cores))
+        self._change_step(must_replace, now, tuning)
+        if self.is_open or (self._asked_at is not None and now - self._asked_at < tuning["takeover"] / ASKS_PER_TAKEOVER):
+            return None
+        self._asked_at = now
+        if self.step is ShardStep.ADOPT:
+            return send(self.follower, AdoptRequest(self.name, self.epoch))
+        if self.step is ShardStep.COPY:
+            return self._copy_to(self.follower if not must_replace else next(iter(spare_cores), NO_CORE))
+        if self.step is ShardStep.ASSIGN:
+            return self._assign(cores.live)
+        return None
+
+    def _note_unresponsive(self, now: timedelta, tuning: Mapping[str, Any]) -> None:
+        """Note the core that has let this owner wait for too long, and forget those that did so long ago."""
+        attempt = (self.step, self._copy_target)
+        if self._attempt != attempt:
+            self._attempt, self._attempt_since = attempt, now
+        if now - self._attempt_since > tuning["claim_wait"]:
+            if self.step is ShardStep.COPY and self._copy_target:
+                self.unresponsive[self._copy_target] = now
+            elif self.step is ShardStep.ADOPT and self.claims is not None:
+                self.unresponsive[self.follower] = now
+        if self.unresponsive:
+            kept_for = tuning["gone"] * UNRESPONSIVE_GONE_TIMES
+            self.unresponsive = {core: seen_at for core, seen_at in self.unresponsive.items() if now - seen_at < kept_for}
+
+    def _change_step(self, must_replace: bool, now: timedelta, tuning: Mapping[str, Any]) -> None:
+        """Replace the follower where that must and can be; a shard that is shut tries again when its follower is back."""
+        is_agreed = self.step in (ShardStep.OPEN, ShardStep.ADOPT)
+        if is_agreed and self.follower and must_replace and self.claims is not None:
+            self._begin(ShardStep.COPY)
+        if self.step is ShardStep.SHUT and not must_replace:
+            if self._asked_at is None or now - self._asked_at > tuning["gone"]:
+                self.step = ShardStep.ADOPT
+
+    def _copy_to(self, target: str) -> Send | None:
+        self._copy_target = target
+        self._copy_number += 1
+        if not target:
+            return None
+        assert self.claims is not None
+        return send(target, ClaimsCopy(self.name, self.epoch, self._copy_number, rows_of(self.claims)))
+
+    def _assign(self, live: set[str]) -> FollowerAssignment | None:
+        if self._copy_target not in live:
+            self.step = ShardStep.COPY
+            return None
+        return FollowerAssignment("shard", self.name, self.epoch, self._owner, self._copy_target)
--- a/silverglade/testbed/simulator/inspection.py
+++ b/silverglade/testbed/simulator/inspection.py
@@ -81,12 +81,12 @@
     @property
     def replica_records(self) -> Any:
         """Replicas that registered: id to record."""
-        return self._held("replica_registry", "recs")
+        return self._held("replica_registry", "table").records
 
     @property
     def leaving_replicas(self) -> Any:
         """Replicas that are known to leave: id to incarnation."""
-        return self._held("replica_registry", "marks")
+        return self._held("replica_registry", "table").leaving_marks
 
     @property
     def tenant_context(self) -> Any:
--- a/tests/golden/core_store.py
+++ b/tests/golden/core_store.py
@@ -9,10 +9,10 @@
 import ormsgpack
 
 from silverglade.control.core import core
-from silverglade.runtime.effects import start
 from silverglade.runtime.settings import tuning
+from silverglade.runtime.state_machine import MachineComponent
 from silverglade.server.disk import FILE, DataFolder
-from silverglade.tenant_shards.follower import follower
+from silverglade.tenant_shards.follower import ClaimFollower
 
 DATA = pathlib.Path(__file__).parent / "data"
 RECORDED, EXPECTED = DATA / "core_store.json", DATA / "core_store_expected.json"
@@ -70,7 +70,7 @@
 
 def follower_answers(name, saved, opt):
     """What a follower says of each shard to an owner that adopts it: the shard's epoch, and every claim."""
-    part, answers = start(follower(me=name, saved=saved, opt=opt)), {}
+    part, answers = MachineComponent(ClaimFollower(own_name=name, saved=saved, tuning=opt)), {}
     for shard, epoch in sorted(saved["shard"].items()):
         for effect in part.send((NOW, ("msg", "owner", ("adopt", shard, epoch)))):
             if effect[0] == "disk":
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -363,8 +363,9 @@
 
 def test_an_idle_daemon_is_woken_for_what_is_due_alone(monkeypatch):
     assert measure(daemons=12, secs=5)["woken_edge"] < 18
-    without(monkeypatch, "silverglade.tenant_shards.owner", 'out.append(("due", turn if shards or budget.log else IDLE))', "pass",
-            "silverglade.runtime.daemon_machine.owner")
+    without(monkeypatch, "silverglade.tenant_shards.owner",
+            "context.effects.append(WakeAt(self._next_round if is_needed else IDLE))", "pass",
+            "silverglade.runtime.daemon_machine.ShardOwner")
     assert measure(daemons=12, secs=5)["woken_edge"] > 25
 
 
--- a/tests/replicas/test_candidate_selection.py
+++ b/tests/replicas/test_candidate_selection.py
@@ -4,10 +4,11 @@
 
 import pytest
 
-from silverglade.replicas import slot_leases as lg
 from silverglade.replicas.candidate_selection import select_candidates
-from silverglade.runtime.effects import start
+from silverglade.replicas.records import ReplicaEntry, ReplicaRecord, ReplicaStatus
+from silverglade.replicas.slot_leases import SlotLeases
 from silverglade.runtime.settings import tuning
+from silverglade.runtime.state_machine import MachineComponent
 from silverglade.testbed.experiments.recovery_figures import isolation
 from silverglade.testbed.simulator.scenario import Scene
 from silverglade.testbed.sites import hamlet
@@ -17,24 +18,24 @@
 
 
 def rep(i, zone, *, prefixes=(), used=0, homes=None, state="ready", leaving=False, kind="model", age=0):
-    return (
-        (i, 1, 1, "a", zone, kind, tuple(homes or [zone]), tuple(prefixes), 4, leaving),
-        (i, 1, 1, 1, state, 0.0, 0.0, 0, 4, used),
-        10 * SEC - age * SEC,
+    return ReplicaEntry(
+        record=ReplicaRecord(i, 1, 1, "a", zone, kind, tuple(homes or [zone]), tuple(prefixes), 4, leaving),
+        status=ReplicaStatus(i, 1, 1, 1, state, 0.0, 0.0, 0, 4, used),
+        heard_at=10 * SEC - age * SEC,
     )
 
 
 def go(reps, prefix="", tenant="pair", evac=(), kind="model"):
     return select_candidates(
-        reps={r[0][0]: r for r in reps},
-        cfg=hamlet()["config"],
+        replicas={r.record.name: r for r in reps},
+        configuration=hamlet()["config"],
         tenant=tenant,
         kind=kind,
         prefix=prefix,
         now=10 * SEC,
-        opt=OPT,
-        evac=set(evac),
-        extra={},
+        tuning=OPT,
+        drained_zones=set(evac),
+        own_leases={},
     )
 
 
@@ -67,7 +68,7 @@
 
 
 def test_freed_slots_go_to_the_waiting_tenant_that_holds_least():
-    g = start(lg.ledger(me="h", opt=OPT))
+    g = MachineComponent(SlotLeases(own_name="h", tuning=OPT))
     out = []
 
     def send(t, *ev):
--- a/tests/system/test_safety_rules.py
+++ b/tests/system/test_safety_rules.py
@@ -31,11 +31,11 @@
 )
 from ..support.source_mutation import without
 
-REG, ELECT, LEDGER, OWNER, ORDER, REPLICATION, NEWS = (
+REG, SELECTION, LEASES, ADMISSION, ORDER, REPLICATION, NEWS = (
     "silverglade.replicas.registry",
     "silverglade.replicas.candidate_selection",
     "silverglade.replicas.slot_leases",
-    "silverglade.tenant_shards.owner",
+    "silverglade.tenant_shards.admission",
     "silverglade.tenant_requests.request",
     "silverglade.control.replication",
     "silverglade.configuration.updates",
@@ -53,11 +53,16 @@
         [
             (
                 "silverglade.tenant_shards.shard",
-                "got = {k: (g, s, n) for k, g, s, n in rest[0]}",
-                "got = {}",
-                "silverglade.tenant_shards.owner.Shard",
+                "received = claims_of(message.claims)",
+                "received = {}",
+                "silverglade.tenant_shards.owned_shards.Shard",
+            ),
+            (
+                "silverglade.tenant_shards.follower",
+                "if held is not None and held.request_id != request.request_id:",
+                "if False:",
+                "silverglade.runtime.daemon_machine.ClaimFollower",
             ),
-            ("silverglade.tenant_shards.follower", "if was and was[0] != gid:", "if False:", "silverglade.runtime.daemon_machine.follower"),
         ],
     ),
     (
@@ -82,12 +87,13 @@
         a_key_is_asked_twice_and_the_first_ask_is_held_up,
         "not-run-but-ran",
         [
+            (ADMISSION, "        request.is_key_checked = False  # its", "        # its", "silverglade.tenant_shards.owner.Admission"),
             (
-                OWNER,
-                ("        x.seen = False  # its", 'if c and c[0] != x.oid:\n            return "yes"'),
-                ("        # its", 'if False:\n            return "yes"'),
-                "silverglade.runtime.daemon_machine.owner",
-            )
+                "silverglade.tenant_shards.request_queue",
+                "if claim is not None and claim.request_id != request.request_id:\n            return ran_by_claim",
+                "if False:\n            return ran_by_claim",
+                "silverglade.tenant_shards.owner.RequestQueue",
+            ),
         ],
     ),
     (a_replica_skips_a_piece, "pieces", [(ORDER, "if k != piece + 1:", "if False:", "silverglade.tenant_requests.ingress.order")]),
@@ -124,38 +130,55 @@
         the_home_has_no_replica_left,
         "outside-homes",
         [
-            (REG, "and (homes is None or r[ZONE] in homes and any(h in homes for h in r[HOMES]))", "", *USABLE),
-            (ELECT, "for z in homes[1:]:", "for z in region:", "silverglade.tenant_shards.owner.select_candidates"),
+            (REG, "and (homes is None or record.zone in homes and any(home in homes for home in record.homes))", "", *USABLE),
+            (SELECTION, "for zone in homes[1:]:", "for zone in regions:", "silverglade.tenant_shards.admission.select_candidates"),
         ],
     ),
     (
         a_leaving_replica_stays_up,
         "work-after-leaving",
-        [(REG, "and not r[LEAVING]\n", "\n", *USABLE), (LEDGER, "or r[LEAVING]\n", "\n", "silverglade.runtime.daemon_machine.ledger")],
+        [
+            (REG, "and not record.is_leaving\n", "\n", *USABLE),
+            (LEASES, "or record.is_leaving\n", "\n", "silverglade.runtime.daemon_machine.SlotLeases"),
+        ],
     ),
     (
         a_replica_is_marked_where_it_is_not_known_yet,
         "work-after-leaving",
         [
             (
-                REG,
-                ("if marks.get(r[RID], 0) >= r[INC]:", 'if why != "heard":'),
-                ("if False:", "if False:"),
-                "silverglade.runtime.daemon_machine.registry",
-            )
+                "silverglade.replicas.replica_table",
+                "if self.leaving_marks.get(name, 0) >= record.incarnation:",
+                "if False:",
+                "silverglade.replicas.replica_table.ReplicaTable",
+            ),
+            (REG, "if why != HEARD_OF_BY_OTHERS:", "if False:", "silverglade.runtime.daemon_machine.ReplicaRegistry"),
         ],
     ),
     (
         a_zone_is_emptied,
         "work-after-emptying",
-        [(REG, "and r[ZONE] not in evac", "", *USABLE), (LEDGER, "or r[ZONE] in evac", "", "silverglade.runtime.daemon_machine.ledger")],
+        [
+            (REG, "and record.zone not in drained_zones", "", *USABLE),
+            (LEASES, "or record.zone in self._drained_zones", "", "silverglade.runtime.daemon_machine.SlotLeases"),
+        ],
     ),
     (
         a_zone_is_emptied_while_cut_off,
         "work-after-emptying",
         [
-            (LEDGER, ("or fresh is None\n", 'or now - fresh > opt["alone"]\n'), ("\n", "\n"), "silverglade.runtime.daemon_machine.ledger"),
-            (OWNER, 'if fresh is None or now - fresh > opt["alone"]:', "if False:", "silverglade.runtime.daemon_machine.owner"),
+            (
+                LEASES,
+                ("or self._proved_at is None\n", 'or now - self._proved_at > self._tuning["alone"]\n'),
+                ("\n", "\n"),
+                "silverglade.runtime.daemon_machine.SlotLeases",
+            ),
+            (
+                "silverglade.tenant_shards.intake",
+                'if self._context.proved_at is None or now - self._context.proved_at > self._context.tuning["alone"]:',
+                "if False:",
+                "silverglade.tenant_shards.owner.RequestIntake",
+            ),
             (
                 "silverglade.tenant_requests.ingress",
                 'return self.heard is not None and now - self.heard <= self.opt["alone"]',
@@ -207,10 +230,10 @@
         "flooded",
         [
             (
-                LEDGER,
-                "self.cap, self.state, self.warm, self.run = 1,",
-                "self.cap, self.state, self.warm, self.run = 99,",
-                "silverglade.runtime.daemon_machine.ledger",
+                "silverglade.replicas.replica_slots",
+                "capacity: int = INITIAL_CAPACITY",
+                "capacity: int = 99",
+                "silverglade.replicas.slot_leases.ReplicaSlots",
             )
         ],
     ),
@@ -220,7 +243,7 @@
         [
             (
                 "silverglade.tenant_shards.retry_budget",
-                'if self.n["again"] + 1 > mine or gone + 1 > share * fleet:',
+                "if self._retries + 1 > own_allowance or fleet_retries + 1 > share * fleet_first_requests:",
                 "if False:",
                 "silverglade.tenant_shards.owner.RetryBudget",
             )
--- a/tests/tenant_shards/test_claims.py
+++ b/tests/tenant_shards/test_claims.py
@@ -2,17 +2,22 @@
 
 import random
 
-from silverglade.runtime.effects import ZERO, start
+from silverglade.runtime.effects import ZERO
 from silverglade.runtime.settings import tuning
-from silverglade.tenant_shards.follower import follower
+from silverglade.runtime.state_machine import MachineComponent
+from silverglade.tenant_shards.follower import ClaimFollower
 
 OPT = tuning(claims_most=16)
 
 
+def follower(*, saved):
+    return MachineComponent(ClaimFollower(own_name="f", saved=saved, tuning=OPT))
+
+
 def test_a_follower_answers_as_the_model_does_and_comes_back_from_disk_the_same():
     for seed in range(40):
         rng, disk, epoch, held, top = random.Random(seed), {}, None, {}, 0
-        g = start(follower(me="f", saved={}, opt=OPT))
+        g = follower(saved={})
 
         def send(*body):
             """The answer, once its write is synced."""
@@ -34,7 +39,7 @@
             kd, gid = f"k{rng.randrange(40)}", f"g{rng.randrange(60)}"
             e = (epoch or 1) + rng.choice([0, 0, 0, 0, 0, 0, -1, 1])
             if k < 0.02:
-                g = start(follower(me="f", saved={t: dict(d) for t, d in disk.items()}, opt=OPT))  # power
+                g = follower(saved={t: dict(d) for t, d in disk.items()})  # power
             elif k < 0.06:
                 if send("adopt", "s", e):
                     pass
@@ -73,11 +78,11 @@
     """A configuration takes any text for a name; a core that could not read its own claims would never start again."""
     for name in ("plain", "with a space", "a\0b", "\0", "a\0"):
         disk = {}
-        g = start(follower(me="f", saved={}, opt=OPT))
+        g = follower(saved={})
         for body in (("copy", name, 1, 1, (("k", "g", "claimed", 1),)), ("claim", name, 1, "c", "k2", "g2", 2)):
             for effect in g.send((ZERO, ("msg", "o", body))):
                 for op in effect[2] if effect[0] == "disk" else ():
                     disk.setdefault(op[1], {})[op[2]] = op[3]
-        again = start(follower(me="f", saved=disk, opt=OPT))
+        again = follower(saved=disk)
         ((_, _, answer),) = [e for e in again.send((ZERO, ("msg", "o", ("claim", name, 1, "c", "k", "g3", 3)))) if e[0] == "send"]
         assert answer == ("unclaimed", name, 1, "c", "seen")
--- a/tests/tenant_shards/test_tenant_isolation.py
+++ b/tests/tenant_shards/test_tenant_isolation.py
@@ -22,9 +22,9 @@
     without(
         monkeypatch,
         "silverglade.replicas.slot_leases",
-        ("return all(m.held(t) >= m.held(tenant) for t in m.hungry if t != tenant)", "while room(m, rid, now) and m.hungry:"),
+        ("return slots.is_fair_to_lease(tenant)", "while self._free_slots(name, slots, now) and slots.waiting:"),
         ("return True", "while False:"),
-        "silverglade.runtime.daemon_machine.ledger",
+        "silverglade.runtime.daemon_machine.SlotLeases",
     )
     assert crowd()[1] > 0
 
