--- a/silverglade/runtime/effects.py
+++ b/silverglade/runtime/effects.py
@@ -11,7 +11,7 @@
 from datetime import timedelta
 from typing import Any, ClassVar
 
-from .events import Event, event_to_tuple, field_names
+from .events import Event, event_to_tuple, fields_of
 
 ZERO = timedelta(0)
 
@@ -275,9 +275,9 @@
     """The tuple form of an effect, and of an event within it. A tuple is returned as it is."""
     if isinstance(effect, tuple):
         return effect
-    fields = [getattr(effect, name) for name in field_names(type(effect))]
-    if isinstance(effect, Post | Broadcast):
-        fields[-1] = event_to_tuple(fields[-1])
+    fields = fields_of(effect)
+    if isinstance(effect, (Post, Broadcast)):
+        fields = (*fields[:-1], event_to_tuple(fields[-1]))
     if effect.SPREADS_REST:
         return (effect.TAG, *fields[:-1], *fields[-1])
     return (effect.TAG, *fields)
--- a/silverglade/runtime/events.py
+++ b/silverglade/runtime/events.py
@@ -8,6 +8,7 @@
 
 from __future__ import annotations
 
+import operator
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 from datetime import timedelta
@@ -607,6 +608,25 @@
     return names
 
 
+_FIELD_READERS: dict[type, Callable[[Any], tuple[Any, ...]]] = {}
+
+
+def _field_reader(record_class: type) -> Callable[[Any], tuple[Any, ...]]:
+    names = field_names(record_class)
+    if len(names) > 1:
+        return operator.attrgetter(*names)
+    return lambda record: tuple([getattr(record, name) for name in names])
+
+
+def fields_of(record: Any) -> tuple[Any, ...]:
+    """The values of a dataclass's fields in their order; every message passes here, so how to read a class is kept."""
+    record_class = type(record)
+    reader = _FIELD_READERS.get(record_class)
+    if reader is None:
+        reader = _FIELD_READERS[record_class] = _field_reader(record_class)
+    return reader(record)
+
+
 class EventDecoder:
     """From the tuple form to the events that one component handles."""
 
@@ -627,7 +647,7 @@
 
 def event_to_tuple(event: Event) -> RawEvent:
     """The tuple form of an event."""
-    fields = [getattr(event, name) for name in field_names(type(event))]
+    fields = fields_of(event)
     if event.COLLECTS_REST:
         return (event.TAG, *fields[:-1], *fields[-1])
     return (event.TAG, *fields)
