--- a/silverglade/tenant_requests/request_context.py
+++ b/silverglade/tenant_requests/request_context.py
@@ -147,6 +147,6 @@
         if known.heard_at is None or now - known.heard_at > self.tuning["stale"]:
             return DispatchBarrier.NOT_HEARD_OF
         homes = homes_of_tenant(self.configuration, facts.tenant)
-        if is_usable(known, now=now, opt=self.tuning, evac=self.drained_zones, homes=homes, kind=facts.kind):
+        if is_usable(known, now=now, tuning=self.tuning, drained_zones=self.drained_zones, homes=homes, kind=facts.kind):
             return None
         return DispatchBarrier.NOT_USABLE
