--- a/silverglade/runtime/events.py
+++ b/silverglade/runtime/events.py
@@ -336,6 +336,14 @@
     position: Any
 
 
+@dataclass(frozen=True, slots=True)
+class HeartbeatReceived(Event):
+    """For a core's table: a heartbeat of this daemon reached the core, so it lives."""
+
+    TAG: ClassVar[str] = "alive"
+    daemon: str
+
+
 @dataclass(frozen=True, slots=True)
 class DaemonAskedHere(Event):
     """A daemon has asked this core for updates: it lives."""
