--- a/silverglade/runtime/daemon_machine.py
+++ b/silverglade/runtime/daemon_machine.py
@@ -12,9 +12,9 @@
 from ..configuration.operator_api import desk
 from ..configuration.updates import keeper, news
 from ..control.core import core
-from ..membership.core_table import table
-from ..membership.member import roster
-from ..membership.zone_relay import proxy
+from ..membership.core_table import CoreTable
+from ..membership.member import Membership
+from ..membership.zone_relay import ZoneRelay
 from ..replicas.registry import ReplicaRegistry
 from ..replicas.slot_leases import SlotLeases
 from ..routing.endpoint_list import catalog
@@ -90,7 +90,18 @@
     ):
         self.me = me
         p = self.parts = {
-            "membership": roster(me=me, life=life, place=(zone, region, addr, http, bool(disk)), opt=opt),
+            "membership": MachineComponent(
+                Membership(
+                    name=me,
+                    process_id=life,
+                    zone=zone,
+                    region=region,
+                    peer_address=addr,
+                    http_address=http,
+                    is_core=bool(disk),
+                    tuning=opt,
+                )
+            ),
             "replica_registry": MachineComponent(ReplicaRegistry(is_core=bool(disk), tuning=opt)),
             "updater": news(me=me, zone=zone, region=region, core=bool(disk), addr=addr, seeds=tuple(seeds), opt=opt, rng=rng),
             "slot_leases": MachineComponent(SlotLeases(own_name=me, tuning=opt)),
@@ -107,11 +118,11 @@
             p["control"] = core(
                 me=me, disk=disk, cores=cores, saved=saved, opt=opt, rng=rng, place=(zone, region), tolerance=tolerance, first=first
             )
-            p["core_table"] = table(me=me, life=life, addr=addr, seeds=tuple(seeds), opt=opt)
+            p["core_table"] = MachineComponent(CoreTable(name=me, process_id=life, peer_address=addr, seeds=seeds, tuning=opt))
             p["role_assigner"] = keeper(cores=cores, opt=opt)
             p["claim_follower"] = MachineComponent(ClaimFollower(own_name=me, saved=saved, tuning=opt))
         else:
-            p["zone_relay"] = proxy(zone=zone, opt=opt)
+            p["zone_relay"] = MachineComponent(ZoneRelay(zone=zone, tuning=opt))
         for g in p.values():
             start(g)
         self.hear = {k: n for n, ks in MESSAGE_RECEIVERS.items() for k in ks if n in p}
