--- a/silverglade/configuration/schema.py
+++ b/silverglade/configuration/schema.py
@@ -1,142 +1,189 @@
-"""The operator's configuration (design 8.2): whole, typed, refused whole."""
+"""The operators' configuration (design 8.2): what its fields may be, checked and refused as a whole.
 
+A configuration is kept as a dictionary, as it travels and is stored. Field names are part of the API; those that end in `_ms` are
+milliseconds.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, Mapping
 from hashlib import blake2b
+from typing import Any
+
+from .validation import (
+    ValidationError,
+    boolean,
+    integer,
+    list_of,
+    mapping_of,
+    number,
+    one_of,
+    optional,
+    record,
+    text,
+    validate,
+)
+
+Configuration = dict[str, Any]
+"""A configuration that was checked, with defaults filled in."""
 
-from . import validation as c
-from .validation import Kind
+Errors = tuple[tuple[str, str], ...]
+"""(path, message) of each error."""
 
-CLASS = c.record(
+MEBIBYTE = 1024 * 1024
+MINUTE_MS = 60 * 1000
+HOUR_MS = 60 * MINUTE_MS
+DAY_MS = 24 * HOUR_MS
+KEY_DIGEST_BYTES = 16
+
+REQUEST_CLASS = record(
     {
-        "kind": c.text(default="model"),
-        "stream": c.boolean(default=False),
-        "resumable": c.boolean(default=False),
-        "aim_ms": c.integer(least=1),
-        "due_ms": c.integer(default=30000, least=1, most=600000),
+        "kind": text(default="model"),
+        "stream": boolean(default=False),
+        "resumable": boolean(default=False),
+        "aim_ms": integer(least=1),  # latency target
+        "due_ms": integer(default=30000, least=1, most=10 * MINUTE_MS),
     }
 )
-SERVICE = c.record(
-    {  # what routes lead to (design 15.2)
-        "health": c.text(default="", least=0),
-        "conns": c.integer(default=256, least=1, most=100000),  # connections that one replica takes from all daemons
-        "cold_ms": c.integer(default=0, most=3600000),  # a replica that was started is slow so long
-        "cold_per_s": c.number(default=0.0, most=1e6),  # requests that it bears meanwhile; 0: no bound
-        "slots": c.integer(default=0, most=100000),  # requests at once; 0: as each replica declares
-        "keeps": c.integer(default=0),  # tokens of prompts and runs that it holds
-        "stride": c.integer(default=1, least=1, most=100000),  # tokens in one event of a stream
+"""A class of a tenant's requests."""
+
+SERVICE = record(
+    {
+        "health": text(default="", least=0),
+        "conns": integer(default=256, least=1, most=100000),  # connections that one replica takes from all daemons
+        "cold_ms": integer(default=0, most=HOUR_MS),  # how long a replica that was started is slow
+        "cold_per_s": number(default=0.0, most=1e6),  # requests a second that it bears meanwhile; 0: no bound
+        "slots": integer(default=0, most=100000),  # requests at once; 0: as each replica declares
+        "keeps": integer(default=0),  # tokens of prompts and answers that a replica's prefix cache holds
+        "stride": integer(default=1, least=1, most=100000),  # tokens in one event of a stream
     }
 )
-ROUTE = c.record(
+"""A service that routes lead to (design 15.2)."""
+
+ROUTE = record(
     {
-        "name": c.text(),
-        "host": c.text(most=255),
-        "prefix": c.text(most=2000),
-        "kind": c.one_of("pure", "effectful", "streaming"),
-        "due_ms": c.integer(least=1, most=86400000),
-        "aim_ms": c.number(default=1000.0, least=0.001),
-        "gap_ms": c.number(default=0.0),  # longest pause between events that is in time; 0: none set
-        "rank": c.integer(default=0, most=1000),
-        "tries": c.integer(default=1, least=1, most=100),  # replicas to which one try may be sent
-        "homes": c.list_of(c.text(), default=(), unique=True),  # regions; none: any
-        "by_prefix": c.boolean(default=False),
-        "resumable": c.boolean(default=False),
-        "shares": c.list_of(c.record({"service": c.text(), "weight": c.number()}), least=1),
+        "name": text(),
+        "host": text(most=255),
+        "prefix": text(most=2000),
+        "kind": one_of("pure", "effectful", "streaming"),
+        "due_ms": integer(least=1, most=DAY_MS),
+        "aim_ms": number(default=1000.0, least=0.001),  # latency target
+        "gap_ms": number(default=0.0),  # longest pause between events of a stream that is in time; 0: none set
+        "rank": integer(default=0, most=1000),
+        "tries": integer(default=1, least=1, most=100),  # replicas that one arrival may be sent to
+        "homes": list_of(text(), default=(), unique=True),  # regions; none: any
+        "by_prefix": boolean(default=False),
+        "resumable": boolean(default=False),
+        "shares": list_of(record({"service": text(), "weight": number()}), least=1),
     }
 )
-LIMITS = c.record(
+"""A route of forwarded requests (design 15.2)."""
+
+CLIENT_LIMITS = record(
     {
-        "header_bytes": c.integer(default=16384, least=256, most=1 << 20),
-        "body_bytes": c.integer(default=4 * 1024 * 1024, most=64 * 1024 * 1024),
-        "header_ms": c.integer(default=5000, least=1),
-        "idle_ms": c.integer(default=30000, least=1),
+        "header_bytes": integer(default=16384, least=256, most=MEBIBYTE),
+        "body_bytes": integer(default=4 * MEBIBYTE, most=64 * MEBIBYTE),
+        "header_ms": integer(default=5000, least=1),
+        "idle_ms": integer(default=30000, least=1),
     }
 )
+"""What clients may send, and how slowly."""
 
+ZONE = record({"region": text(), "least": integer(default=1, least=0, most=10000)})
+"""A zone; `least`: how many replicas it must have."""
 
-def maybe(kind):
-    """A part that may be left out; what was kept of one left out is taken again."""
-    return Kind(lambda v, p, bad: None if v is None else kind.fn(v, p, bad), default=None)
-
-
-SPEC = c.record(
+TENANT = record(
     {
-        "number": c.integer(default=0),  # the operator's own version; 0: told apart by control's alone
-        "routes": c.list_of(ROUTE, default=()),
-        "services": maybe(c.mapping_of(SERVICE)),
-        "limits": maybe(LIMITS),
-        "zones": c.mapping_of(
-            c.record(
-                {
-                    "region": c.text(),
-                    "least": c.integer(default=1, least=0, most=10000),
-                }
-            ),
-            least=1,
-        ),
-        "tenants": c.mapping_of(
-            c.record(
-                {
-                    "homes": c.list_of(c.text(), least=1, unique=True),
-                    "keys": c.list_of(c.text(least=32, most=64), least=1, unique=True),
-                    "classes": c.mapping_of(CLASS, least=1),
-                }
-            )
-        ),
-        "body_cap": c.integer(default=1024 * 1024, least=1, most=4 * 1024 * 1024),
+        "homes": list_of(text(), least=1, unique=True),  # zones
+        "keys": list_of(text(least=32, most=64), least=1, unique=True),  # digests of its keys
+        "classes": mapping_of(REQUEST_CLASS, least=1),
     }
 )
+"""A tenant."""
 
-
-def key_digest(s, /):
-    """What is kept of a key: a digest, never the key (design 2.1)."""
-    return blake2b(s.encode(), digest_size=16).hexdigest()
-
-
-def parse_configuration(raw, /):
-    """-> (configuration, faults); a fault is (path, sentence)."""
-    out, bad = c.validate(SPEC, raw)
-    if bad:
-        return None, bad
-    bad, keys = routed(out), {}
-    for t, d in out["tenants"].items():
-        for i, z in enumerate(d["homes"]):
-            if z not in out["zones"]:
-                bad.append((f"tenants.{t}.homes[{i}]", f"unknown zone {z}"))
-        for i, k in enumerate(d["keys"]):
-            if k in keys:
-                bad.append((f"tenants.{t}.keys[{i}]", f"also a key of {keys[k]}"))
-            keys[k] = t
-    return (None, tuple(bad)) if bad else (out, ())
-
-
-def routed(cfg):
-    """Faults between routes, services and regions (design 15.2)."""
-    bad, seen, regions = [], {}, {z["region"] for z in cfg["zones"].values()}
-    for i, r in enumerate(cfg["routes"]):
-        p, place = f"routes[{i}]", (r["host"].lower(), r["prefix"])
-        if not (r["prefix"].startswith("/") and r["prefix"].endswith("/")):
-            bad.append((f"{p}.prefix", "wants to begin and end with /"))
-        if place in seen:
-            bad.append((f"{p}.prefix", f"stands at the same place as {seen[place]}"))
-        seen[place] = r["name"]
-        for j, s in enumerate(r["shares"]):
-            if s["service"] not in (cfg["services"] or {}):
-                bad.append((f"{p}.shares[{j}].service", f"unknown service {s['service']}"))
-        if not sum(s["weight"] for s in r["shares"]) > 0:
-            bad.append((f"{p}.shares", "the weights sum to 0"))
-        for j, h in enumerate(r["homes"]):
-            if h not in regions:
-                bad.append((f"{p}.homes[{j}]", f"unknown region {h}"))
-    return bad
-
-
-def homes_of_tenant(cfg, tenant, /):
-    """A tenant's homes; none without a configuration, or when it was taken out."""
-    return cfg["tenants"].get(tenant, {"homes": ()})["homes"] if cfg else ()
-
-
-def tenant_of_key(cfg, key, /):
-    d = key_digest(key)
-    for t, x in cfg["tenants"].items():
-        if d in x["keys"]:
-            return t
+CONFIGURATION = record(
+    {
+        "number": integer(default=0),  # the operator's own version; 0: it uses control's alone
+        "routes": list_of(ROUTE, default=()),
+        "services": optional(mapping_of(SERVICE)),
+        "limits": optional(CLIENT_LIMITS),
+        "zones": mapping_of(ZONE, least=1),
+        "tenants": mapping_of(TENANT),
+        "body_cap": integer(default=MEBIBYTE, least=1, most=4 * MEBIBYTE),  # bytes of a tenant's request
+    }
+)
+"""The whole configuration."""
+
+
+def key_digest(key: str, /) -> str:
+    """Digest a key: only its digest is kept, never the key (design 2.1)."""
+    return blake2b(key.encode(), digest_size=KEY_DIGEST_BYTES).hexdigest()
+
+
+def parse_configuration(raw: Any, /) -> tuple[Any, Errors]:
+    """Check a configuration and fill in its defaults.
+
+    :param raw: the configuration as an operator sent it, or one that was parsed already.
+    :returns: a `Configuration` and no errors, or None and all errors as `ValidationError`s.
+    """
+    configuration, errors = validate(CONFIGURATION, raw)
+    if not errors:
+        errors = (*_route_errors(configuration), *_tenant_errors(configuration))
+    return (None, errors) if errors else (configuration, ())
+
+
+def _tenant_errors(configuration: Configuration) -> Iterator[ValidationError]:
+    """Errors between tenants and zones, and keys that two tenants share."""
+    tenant_by_key: dict[str, str] = {}
+    for name, tenant in configuration["tenants"].items():
+        for index, zone in enumerate(tenant["homes"]):
+            if zone not in configuration["zones"]:
+                yield ValidationError(f"tenants.{name}.homes[{index}]", f"unknown zone {zone}")
+        for index, key in enumerate(tenant["keys"]):
+            if key in tenant_by_key:
+                yield ValidationError(f"tenants.{name}.keys[{index}]", f"also a key of {tenant_by_key[key]}")
+            tenant_by_key[key] = name
+
+
+def _route_errors(configuration: Configuration) -> Iterator[ValidationError]:
+    """Errors between routes, services and regions (design 15.2)."""
+    route_by_place: dict[tuple[str, str], str] = {}
+    regions = {zone["region"] for zone in configuration["zones"].values()}
+    for index, route in enumerate(configuration["routes"]):
+        path = f"routes[{index}]"
+        place = (route["host"].lower(), route["prefix"])
+        if not (route["prefix"].startswith("/") and route["prefix"].endswith("/")):
+            yield ValidationError(f"{path}.prefix", "wants to begin and end with /")
+        if place in route_by_place:
+            yield ValidationError(f"{path}.prefix", f"stands at the same place as {route_by_place[place]}")
+        route_by_place[place] = route["name"]
+        yield from _share_errors(route["shares"], f"{path}.shares", configuration["services"] or {})
+        for home_index, home in enumerate(route["homes"]):
+            if home not in regions:
+                yield ValidationError(f"{path}.homes[{home_index}]", f"unknown region {home}")
+
+
+def _share_errors(shares: tuple[Mapping[str, Any], ...], path: str, services: Mapping[str, Any]) -> Iterator[ValidationError]:
+    """Errors in how a route is divided between services."""
+    for index, share in enumerate(shares):
+        if share["service"] not in services:
+            yield ValidationError(f"{path}[{index}].service", f"unknown service {share['service']}")
+    if not sum(share["weight"] for share in shares) > 0:
+        yield ValidationError(path, "the weights sum to 0")
+
+
+def homes_of_tenant(configuration: Mapping[str, Any] | None, tenant: str, /) -> tuple[str, ...]:
+    """The zones where a tenant's requests may run; none without a configuration, or when the tenant was taken out of it."""
+    if not configuration:
+        return ()
+    homes: tuple[str, ...] = configuration["tenants"].get(tenant, {"homes": ()})["homes"]
+    return homes
+
+
+def tenant_of_key(configuration: Mapping[str, Any], key: str, /) -> str | None:
+    """The tenant that a key belongs to, or None."""
+    digest = key_digest(key)
+    for name, tenant in configuration["tenants"].items():
+        if digest in tenant["keys"]:
+            return str(name)
     return None
--- a/silverglade/configuration/validation.py
+++ b/silverglade/configuration/validation.py
@@ -1,148 +1,238 @@
-"""The small checker of typed dictionaries (design 8): every fault with its path."""
+"""Validation of nested dictionaries against typed rules (design 8.2): every error is reported with its path.
+
+A `FieldRule` is built by one of the functions below (`text`, `integer`, `record`, ...). `validate` applies a rule to a value and
+returns the value to keep, with defaults filled in, and all errors. The value is to be used only if there is none.
+"""
+
+from __future__ import annotations
 
 import ipaddress
+from collections.abc import Callable, Mapping
 from datetime import timedelta
+from typing import Any, NamedTuple
 
 MISSING = object()
+"""The default of a field that must be given."""
+
+MAX_NAME_LENGTH = 100
+"""Characters of a name in a `mapping_of`."""
+
+MAX_PORT = 65535
+
+
+class ValidationError(NamedTuple):
+    """One error in a value.
+
+    :ivar path: where it lies, as "routes[0].prefix"; empty for the whole value.
+    :ivar message: what is wrong, as "wants a list".
+    """
+
+    path: str
+    message: str
+
+
+Check = Callable[[Any, str, list[ValidationError]], Any]
+"""A function (value, path, errors) that appends what is wrong to `errors` and returns the value to keep."""
+
+
+class FieldRule:
+    """What the value of a field must be.
+
+    :ivar check: the function that checks a value.
+    :ivar default: the value of a field that is left out, or `MISSING`.
+    """
+
+    __slots__ = ("check", "default")
+
+    def __init__(self, check: Check, /, *, default: Any = MISSING) -> None:
+        self.check = check
+        self.default = default
+
+
+def _is_number(value: Any) -> bool:
+    """Whether a value is an int or a float; a bool is none."""
+    return type(value) in (int, float)
+
 
+def text(*, default: Any = MISSING, least: int = 1, most: int = 200) -> FieldRule:
+    """Rule for text of `least` to `most` characters."""
 
-class Kind:
-    """A field's rule: a function (value, path, faults) -> value kept."""
+    def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
+        if not isinstance(value, str) or not least <= len(value) <= most:
+            errors.append(ValidationError(path, f"wants text of {least} to {most} letters"))
+        return value
 
-    def __init__(self, fn, /, *, default=MISSING):
-        self.fn, self.default = fn, default
+    return FieldRule(check, default=default)
 
 
-def text(*, default=MISSING, least=1, most=200):
-    def f(v, p, bad):
-        if not isinstance(v, str) or not least <= len(v) <= most:
-            bad.append((p, f"wants text of {least} to {most} letters"))
-        return v
+def integer(*, default: Any = MISSING, least: int = 0, most: int = 2**53) -> FieldRule:
+    """Rule for a whole number from `least` to `most`."""
 
-    return Kind(f, default=default)
+    def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
+        if type(value) is not int or not least <= value <= most:
+            errors.append(ValidationError(path, f"wants a whole number from {least} to {most}"))
+        return value
 
+    return FieldRule(check, default=default)
 
-def integer(*, default=MISSING, least=0, most=2**53):
-    def f(v, p, bad):
-        if type(v) is not int or not least <= v <= most:
-            bad.append((p, f"wants a whole number from {least} to {most}"))
-        return v
 
-    return Kind(f, default=default)
+def number(*, default: Any = MISSING, least: float = 0.0, most: float = 1e12) -> FieldRule:
+    """Rule for a number from `least` to `most`, which is kept as a float."""
 
+    def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
+        if not _is_number(value) or not least <= value <= most:
+            errors.append(ValidationError(path, f"wants a number from {least} to {most}"))
+            return value
+        return float(value)
 
-def number(*, default=MISSING, least=0.0, most=1e12):
-    def f(v, p, bad):
-        if type(v) not in (int, float) or not least <= v <= most:
-            bad.append((p, f"wants a number from {least} to {most}"))
-            return v
-        return float(v)
+    return FieldRule(check, default=default)
 
-    return Kind(f, default=default)
 
+def duration(*, default: Any = MISSING, most: float = 86400.0) -> FieldRule:
+    """Rule for a duration of more than 0 and at most `most` seconds, which is kept as a timedelta."""
 
-def duration(*, default=MISSING, most=86400.0):
-    """Seconds in, timedelta kept."""
+    def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
+        if isinstance(value, timedelta):
+            return value
+        if not _is_number(value) or not 0 < value <= most:
+            errors.append(ValidationError(path, f"wants seconds above 0, at most {most:g}"))
+            return value
+        return timedelta(seconds=value)
 
-    def f(v, p, bad):
-        if isinstance(v, timedelta):
-            return v
-        if type(v) not in (int, float) or not 0 < v <= most:
-            bad.append((p, f"wants seconds above 0, at most {most:g}"))
-            return v
-        return timedelta(seconds=v)
+    return FieldRule(check, default=default)
 
-    return Kind(f, default=default)
 
+def boolean(*, default: Any = MISSING) -> FieldRule:
+    """Rule for true or false."""
 
-def boolean(*, default=MISSING):
-    def f(v, p, bad):
-        if type(v) is not bool:
-            bad.append((p, "wants true or false"))
-        return v
+    def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
+        if type(value) is not bool:
+            errors.append(ValidationError(path, "wants true or false"))
+        return value
 
-    return Kind(f, default=default)
+    return FieldRule(check, default=default)
 
 
-def address(*, default=MISSING):
-    def f(v, p, bad):
-        try:
-            ip, port = v.rsplit(":", 1)
-            ipaddress.ip_address(ip)
-            if not 0 < int(port) < 65536:
-                raise ValueError
-        except (ValueError, AttributeError):
-            bad.append((p, "wants an address IP:PORT"))
-        return v
+def address(*, default: Any = MISSING) -> FieldRule:
+    """Rule for an address IP:PORT."""
 
-    return Kind(f, default=default)
+    def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
+        if not _is_address(value):
+            errors.append(ValidationError(path, "wants an address IP:PORT"))
+        return value
 
+    return FieldRule(check, default=default)
 
-def one_of(*words, default=MISSING):
-    def f(v, p, bad):
-        if v not in words:
-            bad.append((p, "wants one of " + ", ".join(words)))
-        return v
 
-    return Kind(f, default=default)
+def _is_address(value: Any) -> bool:
+    """Whether a value is text of the form IP:PORT."""
+    try:
+        host, port = value.rsplit(":", 1)
+        ipaddress.ip_address(host)
+        return 0 < int(port) <= MAX_PORT
+    except (ValueError, AttributeError):
+        return False
 
 
-def list_of(kind, *, default=MISSING, least=0, unique=False):
-    def f(v, p, bad):
-        if not isinstance(v, (list, tuple)):
-            bad.append((p, "wants a list"))
-            return v
-        if len(v) < least:
-            bad.append((p, f"wants at least {least}"))
-        out = tuple(kind.fn(x, f"{p}[{i}]", bad) for i, x in enumerate(v))
-        if unique and len({repr(x) for x in out}) < len(out):
-            bad.append((p, "has the same entry twice"))
-        return out
+def one_of(*words: str, default: Any = MISSING) -> FieldRule:
+    """Rule for one of these words."""
 
-    return Kind(f, default=default)
+    def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
+        if value not in words:
+            errors.append(ValidationError(path, "wants one of " + ", ".join(words)))
+        return value
 
+    return FieldRule(check, default=default)
 
-def mapping_of(kind, *, default=MISSING, least=0):
-    """A dictionary from names to values of one kind."""
 
-    def f(v, p, bad):
-        if not isinstance(v, dict):
-            bad.append((p, "wants a table"))
-            return v
-        if len(v) < least:
-            bad.append((p, f"wants at least {least}"))
-        for k in v:
-            if not isinstance(k, str) or not 0 < len(k) <= 100 or "/" in k:
-                bad.append((f"{p}.{k}", "wants a name of 1 to 100 letters without /"))
-        return {k: kind.fn(x, f"{p}.{k}", bad) for k, x in v.items()}
+def list_of(rule: FieldRule, *, default: Any = MISSING, least: int = 0, unique: bool = False) -> FieldRule:
+    """Rule for a list whose entries all follow `rule`, which is kept as a tuple.
 
-    return Kind(f, default=default)
+    :param least: the smallest number of entries.
+    :param unique: whether no entry may come twice.
+    """
 
+    def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
+        if not isinstance(value, (list, tuple)):
+            errors.append(ValidationError(path, "wants a list"))
+            return value
+        if len(value) < least:
+            errors.append(ValidationError(path, f"wants at least {least}"))
+        entries = tuple([rule.check(entry, f"{path}[{index}]", errors) for index, entry in enumerate(value)])
+        if unique and len({repr(entry) for entry in entries}) < len(entries):
+            errors.append(ValidationError(path, "has the same entry twice"))
+        return entries
 
-def record(spec, *, default=MISSING):
-    def f(v, p, bad):
-        if not isinstance(v, dict):
-            bad.append((p, "wants a table"))
-            return v
-        out = {}
-        for k in v:
-            if k not in spec:
-                bad.append((f"{p}.{k}".lstrip("."), "unknown key"))
-        for k, kind in spec.items():
-            q = f"{p}.{k}".lstrip(".")
-            if k in v:
-                out[k] = kind.fn(v[k], q, bad)
-            elif kind.default is MISSING:
-                bad.append((q, "missing"))
+    return FieldRule(check, default=default)
+
+
+def mapping_of(rule: FieldRule, *, default: Any = MISSING, least: int = 0) -> FieldRule:
+    """Rule for a dictionary from names to values that all follow `rule`.
+
+    :param least: the smallest number of entries.
+    """
+
+    def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
+        if not isinstance(value, dict):
+            errors.append(ValidationError(path, "wants a table"))
+            return value
+        if len(value) < least:
+            errors.append(ValidationError(path, f"wants at least {least}"))
+        for name in value:
+            if not _is_entry_name(name):
+                errors.append(ValidationError(f"{path}.{name}", f"wants a name of 1 to {MAX_NAME_LENGTH} letters without /"))
+        return {name: rule.check(entry, f"{path}.{name}", errors) for name, entry in value.items()}
+
+    return FieldRule(check, default=default)
+
+
+def _is_entry_name(name: Any) -> bool:
+    """Whether a key of a dictionary can be a name."""
+    return isinstance(name, str) and 0 < len(name) <= MAX_NAME_LENGTH and "/" not in name
+
+
+def record(fields: Mapping[str, FieldRule], *, default: Any = MISSING) -> FieldRule:
+    """Rule for a dictionary with these fields and no others."""
+
+    def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
+        if not isinstance(value, dict):
+            errors.append(ValidationError(path, "wants a table"))
+            return value
+        for name in value:
+            if name not in fields:
+                errors.append(ValidationError(_field_path(path, name), "unknown key"))
+        kept = {}
+        for name, rule in fields.items():
+            if name in value:
+                kept[name] = rule.check(value[name], _field_path(path, name), errors)
+            elif rule.default is MISSING:
+                errors.append(ValidationError(_field_path(path, name), "missing"))
             else:
-                out[k] = kind.default
-        return out
+                kept[name] = rule.default
+        return kept
+
+    return FieldRule(check, default=default)
+
+
+def _field_path(path: str, name: Any) -> str:
+    """The path of a field of the record at `path`."""
+    return f"{path}.{name}".lstrip(".")
+
+
+def optional(rule: FieldRule) -> FieldRule:
+    """Rule for a field that may be left out or None, and is None then."""
+
+    def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
+        return None if value is None else rule.check(value, path, errors)
+
+    return FieldRule(check, default=None)
 
-    return Kind(f, default=default)
 
+def validate(rule: FieldRule, value: Any) -> tuple[Any, tuple[ValidationError, ...]]:
+    """Check a value.
 
-def validate(kind, v):
-    """-> (value kept, tuple of (path, sentence))."""
-    bad = []
-    out = kind.fn(v, "", bad)
-    return out, tuple(bad)
+    :returns: the value to keep and the errors, in the order in which they were found.
+    """
+    errors: list[ValidationError] = []
+    kept = rule.check(value, "", errors)
+    return kept, tuple(errors)
--- a/tests/configuration/test_settings.py
+++ b/tests/configuration/test_settings.py
@@ -57,7 +57,7 @@
             "u": {"homes": ["z", "z"], "keys": [], "classes": {"c": {"aim_ms": "9"}}},
         },
     }
-    assert config.parse_configuration(bad)[1] == snapshot
+    assert tuple([tuple(error) for error in config.parse_configuration(bad)[1]]) == snapshot
     twice = {"zones": CFG["zones"], "tenants": {"t": CFG["tenants"]["t"], "u": dict(CFG["tenants"]["t"], homes=["x"])}}
     assert config.parse_configuration(twice)[1] == (("tenants.u.homes[0]", "unknown zone x"), ("tenants.u.keys[0]", "also a key of t"))
     good, bad = config.parse_configuration(CFG)
