--- a/silverglade/runtime/state_machine.py
+++ b/silverglade/runtime/state_machine.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Generator, Iterable
 from datetime import timedelta
-from typing import Any, Protocol
+from typing import Any, Protocol, runtime_checkable
 
 from .effects import Effect, to_tuple
 from .events import Event, EventDecoder
@@ -28,6 +28,14 @@
         """Handle one event and return its effects, in the order in which they are to be carried out."""
 
 
+@runtime_checkable
+class StartableStateMachine(StateMachine, Protocol):
+    """A component that wants to know when its daemon started."""
+
+    def on_start(self, now: timedelta) -> None:
+        """Note the time of the first event that reaches the component, one that it does not handle included."""
+
+
 class MachineComponent(Generator[tuple[Any, ...], "tuple[timedelta, tuple[Any, ...]] | None", None]):
     """A typed state machine in the form that the daemon machine drives: primed with None, then sent (now, event tuple).
 
@@ -37,12 +45,16 @@
     def __init__(self, machine: StateMachine) -> None:
         self.machine = machine
         self._decode = EventDecoder(machine.handled_events)
+        self._waits_for_start = isinstance(machine, StartableStateMachine)
 
     def send(self, value: tuple[timedelta, tuple[Any, ...]] | None, /) -> tuple[Any, ...]:
         """Handle one event in tuple form and return its effects in tuple form."""
         if value is None:
             return ()
         now, raw_event = value
+        if self._waits_for_start and isinstance(self.machine, StartableStateMachine):
+            self._waits_for_start = False
+            self.machine.on_start(now)
         event = self._decode(raw_event)
         if event is None:
             return ()
