--- a/silverglade/runtime/daemon_machine.py
+++ b/silverglade/runtime/daemon_machine.py
@@ -10,7 +10,8 @@
 from ..autoscaling.scaler import scaler
 from ..autoscaling.unordered_scaler import need
 from ..configuration.operator_api import desk
-from ..configuration.updates import keeper, news
+from ..configuration.updater import Updater
+from ..configuration.updates import keeper
 from ..control.core import core
 from ..membership.core_table import table
 from ..membership.member import roster
@@ -24,6 +25,7 @@
 from ..tenant_shards.owner import owner
 from ..transport.message_schemas import is_valid_message, known_fields
 from .effects import ZERO, log, start
+from .state_machine import MachineComponent
 
 # which part hears which message between daemons
 MESSAGE_RECEIVERS = {
@@ -88,10 +90,18 @@
         first=True,
     ):
         self.me = me
+        saved = saved or {}
+        if disk:  # made first, since it draws from `rng` before the others do
+            control = core(
+                me=me, disk=disk, cores=cores, saved=saved, opt=opt, rng=rng, place=(zone, region), tolerance=tolerance, first=first
+            )
+        updater = Updater(
+            own_name=me, zone=zone, region=region, is_core=bool(disk), own_address=addr, seeds=tuple(seeds), tuning=opt, rng=rng
+        )
         p = self.parts = {
             "membership": roster(me=me, life=life, place=(zone, region, addr, http, bool(disk)), opt=opt),
             "replica_registry": registry(me=me, core=bool(disk), opt=opt),
-            "updater": news(me=me, zone=zone, region=region, core=bool(disk), addr=addr, seeds=tuple(seeds), opt=opt, rng=rng),
+            "updater": MachineComponent(updater),
             "slot_leases": ledger(me=me, opt=opt),
             "shard_owner": owner(me=me, zone=zone, cores=cores, opt=opt, rng=rng),
             "tenant_ingress": ingress(me=me, life=life, zone=zone, opt=opt),
@@ -102,10 +112,7 @@
             "operator_api": desk(me=me, cores=cores, opt=opt, rng=rng),
         }
         if disk:
-            saved = saved or {}
-            p["control"] = core(
-                me=me, disk=disk, cores=cores, saved=saved, opt=opt, rng=rng, place=(zone, region), tolerance=tolerance, first=first
-            )
+            p["control"] = control
             p["core_table"] = table(me=me, life=life, addr=addr, seeds=tuple(seeds), opt=opt)
             p["role_assigner"] = keeper(cores=cores, opt=opt)
             p["claim_follower"] = follower(me=me, saved=saved, opt=opt)
--- a/silverglade/testbed/simulator/inspection.py
+++ b/silverglade/testbed/simulator/inspection.py
@@ -21,22 +21,22 @@
     @property
     def store(self) -> Any:
         """What control has acknowledged, as this daemon knows it: key to (version, value)."""
-        return self._held("updater", "book")
+        return self._held("updater", "store")
 
     @property
     def store_version(self) -> Any:
         """The version of the store."""
-        return self._held("updater", "held")
+        return self._held("updater", "store_version")
 
     @property
     def store_proved_at(self) -> Any:
         """When the store was last proved to be the newest, or None."""
-        return self._held("updater", "fresh")
+        return self._held("updater", "proved_at")
 
     @property
     def pending_update_request(self) -> Any:
         """The request for updates that has no answer yet: (number, core, when), or None."""
-        return self._held("updater", "pend")
+        return self._held("updater", "pending_request")
 
     @property
     def members(self) -> Any:
--- /dev/null
+++ b/tests/configuration/test_updater.py
@@ -0,0 +1,183 @@
+"""The updater by itself (design 5.7): when it asks whom, and which answers it takes."""
+
+import random
+
+import pytest
+
+from silverglade.configuration.core_selection import CoreSelector
+from silverglade.configuration.messages import UpdateAnswer
+from silverglade.configuration.updater import MAX_UNANSWERED_REQUESTS, Updater, version_before
+from silverglade.membership.records import MemberRecord
+from silverglade.runtime.effects import Broadcast, LogRecord, Post, Send, milliseconds
+from silverglade.runtime.events import (
+    DeltaReceived,
+    MembershipChanged,
+    MessageReceived,
+    ProcessPaused,
+    ProofRenewed,
+    StoreUpdated,
+    TimerFired,
+    UpdateRequestReady,
+)
+from silverglade.runtime.settings import tuning
+
+DELTA = (1, 2)
+CONFIGURATION = ("config", (1, 1), {"number": 1})
+
+
+def member(name, zone, region, *, is_core=True):
+    return MemberRecord(name, "process", 1, 1, zone, region, f"{name}:1", f"{name}:2", is_core, "ready")
+
+
+NEAR, SAME_REGION, FAR = member("near", "z", "r"), member("same-region", "y", "r"), member("far", "x", "q")
+CORES = (FAR, NEAR, SAME_REGION)
+
+
+class Daemon:
+    """An updater whose cores are played by the test."""
+
+    def __init__(self, members=CORES, seeds=("seed:1",), **settings):
+        self.tuning = tuning(**settings)
+        self.now = milliseconds(1000)
+        self.updater = Updater(
+            own_name="d",
+            zone="z",
+            region="r",
+            is_core=False,
+            own_address="d:1",
+            seeds=seeds,
+            tuning=self.tuning,
+            rng=random.Random(7),
+        )
+        self.updater.on_start(self.now)
+        self.step(MembershipChanged(members))
+
+    def step(self, event, after_ms=0):
+        self.now += milliseconds(after_ms)
+        return self.updater.step(self.now, event)
+
+    def ask(self, after_ms=0):
+        """Let time pass -> the request that is sent, or None."""
+        effects = self.step(TimerFired(), after_ms)
+        ready = [effect.event for effect in effects if isinstance(effect, Post) and isinstance(effect.event, UpdateRequestReady)]
+        return ready[0] if ready else None
+
+    def answer(self, request, *, version=(1, 1), items=(CONFIGURATION,), age_ms=0, held_ms=0, after_ms=10):
+        body = ("news", request.number, version, items, age_ms, held_ms, DELTA)
+        return self.step(MessageReceived(request.core, body), after_ms)
+
+
+def of_class(effects, event_class):
+    return [effect.event for effect in effects if isinstance(effect, Broadcast | Post) and isinstance(effect.event, event_class)]
+
+
+def test_the_request_carries_the_version_held_and_the_position_of_the_table():
+    d = Daemon()
+    request = d.ask()
+    assert d.step(request) == [Send("near", ("get", request.number, (0, 0), ()))]
+    assert d.updater.pending_request == (request.number, "near", d.now)
+
+
+def test_an_answer_proved_newer_than_the_process_is_taken_and_told():
+    d = Daemon()
+    effects = d.answer(d.ask(after_ms=100), age_ms=20)
+    assert of_class(effects, StoreUpdated) == [StoreUpdated({"config": ((1, 1), {"number": 1})}, (1, 1))]
+    assert of_class(effects, ProofRenewed) == [ProofRenewed(milliseconds(1000 + 100 - 20))]
+    assert of_class(effects, DeltaReceived) == [DeltaReceived("near", DELTA)]
+    assert d.updater.store_version == (1, 1) and d.updater.pending_request is None
+
+
+@pytest.mark.parametrize("age_ms", [-1, 101])
+def test_an_answer_without_a_proof_newer_than_the_process_is_not_taken(age_ms):
+    d = Daemon()
+    effects = d.answer(d.ask(after_ms=100), age_ms=age_ms)
+    assert of_class(effects, StoreUpdated) == of_class(effects, ProofRenewed) == []
+    assert d.updater.store == {} and d.updater.store_version == (0, 0)
+
+
+def test_with_trust_an_old_proof_is_taken_only_after_a_while():
+    d = Daemon(trust=True)
+    old = to_ms(d.tuning["aged"]) + 1
+    d.answer(d.ask(), age_ms=old)
+    assert d.updater.store == {}
+    d.answer(d.ask(after_ms=to_ms(d.tuning["settle"])), age_ms=old)
+    assert "config" in d.updater.store
+
+
+def test_with_trust_a_core_without_any_proof_is_taken_at_once():
+    d = Daemon(trust=True)
+    d.answer(d.ask(), age_ms=-1)
+    assert "config" in d.updater.store and d.updater.proved_at is None
+
+
+def test_an_older_answer_is_rejected_and_its_core_passed_over():
+    d = Daemon()
+    d.answer(d.ask(after_ms=100), version=(2, 5))
+    effects = d.answer(d.ask(), version=(2, 4))
+    assert [effect.event for effect in effects if isinstance(effect, LogRecord)] == ["update-outdated"]
+    assert d.updater.store_version == (2, 5)
+    assert d.ask().core == "same-region"
+
+
+def test_an_item_is_taken_only_when_it_is_newer_than_the_one_held():
+    d = Daemon()
+    d.answer(d.ask(after_ms=100), version=(1, 3), items=(("config", (1, 3), "new"), ("duty/shard/t", (1, 2), (1, "a", ""))))
+    d.answer(d.ask(), version=(1, 4), items=(("config", (1, 2), "old"), ("duty/shard/t", (1, 4), None)))
+    assert d.updater.store == {"config": ((1, 3), "new")} and d.updater.store_version == (1, 4)
+
+
+def test_while_the_proof_grows_old_another_core_is_asked_as_one_that_lacks_the_last_change():
+    d = Daemon()
+    d.answer(d.ask(after_ms=100), version=(1, 3))
+    pending = d.ask()
+    assert pending.version == (1, 3)
+    hedged = d.ask(after_ms=to_ms(d.tuning["ask_wait"]) + 2 * to_ms(d.tuning["beat"]) + 1)
+    assert hedged.core != pending.core and hedged.version == (1, 2)
+
+
+def test_answers_to_the_last_requests_are_taken_late():
+    d = Daemon()
+    requests = [d.ask(after_ms=5000) for _ in range(MAX_UNANSWERED_REQUESTS + 1)]
+    assert None not in requests
+    assert d.answer(requests[0]) == []  # given up for good
+    assert of_class(d.answer(requests[1], age_ms=0), DeltaReceived)
+
+
+def test_after_a_pause_of_the_process_the_proof_is_dropped_and_a_core_is_asked():
+    d = Daemon()
+    d.answer(d.ask(after_ms=100))
+    effects = d.step(ProcessPaused(), after_ms=9000)
+    assert of_class(effects, ProofRenewed) == [ProofRenewed(None)] and of_class(effects, UpdateRequestReady)
+    assert d.updater.proved_at is None and "config" in d.updater.store
+
+
+def test_without_members_the_seeds_are_asked_in_turn():
+    d = Daemon(members=(), seeds=("seed:1", "d:1", "seed:2"))
+    asked = [d.ask(after_ms=5000).core for _ in range(4)]
+    assert set(asked) == {"@seed:1", "@seed:2"} and asked[:2] == asked[2:]
+
+
+def test_the_nearest_core_is_selected_that_is_not_passed_over():
+    selector = CoreSelector(own_name="d", zone="z", region="r", is_core=False, own_address="d:1", seeds=(), rng=random.Random(7))
+    selector.members = CORES
+    selected = []
+    now = milliseconds(0)
+    for _ in CORES:
+        selected.append(selector.select(now, last_queried=None))
+        selector.avoid(selected[-1], milliseconds(1000 + len(selected)))
+    assert selected == ["near", "same-region", "far"]
+    assert selector.select(now, last_queried=None) == "near"  # all are passed over: the one that may be tried again first
+
+
+def test_an_answer_without_a_delta_is_not_decoded():
+    assert UpdateAnswer.decode(("news", 1, (1, 1), (), 0, 0)) is None
+    assert UpdateAnswer.decode(("get", 1, (1, 1), ())) is None
+
+
+@pytest.mark.parametrize("version,before", [((0, 0), (0, 0)), ((3, 0), (3, 0)), ((3, 5), (3, 4))])
+def test_the_version_before_one_stays_in_its_epoch(version, before):
+    assert version_before(version) == before
+
+
+def to_ms(duration):
+    return duration // milliseconds(1)
--- a/tests/membership/test_zone_relay_partitions.py
+++ b/tests/membership/test_zone_relay_partitions.py
@@ -76,13 +76,19 @@
     assert all(held == {new} for new, held in beside_a_cut_off_core(s, both)) and s.o.faults == []
 
 
-AGED = ('aged = age < 0 or age > to_milliseconds(opt["aged"])', "aged = False")
-HEDGED = ("elif pend and now > give_up_at():", 'elif pend and now - pend[2] > opt["ask_wait"] + opt["beat"] * 2:')
+AGED = (
+    'is_aged = answer.proof_age_ms < 0 or answer.proof_age_ms > to_milliseconds(self._tuning["aged"])',
+    "is_aged = False",
+)
+HEDGED = (
+    "elif self.pending_request and now > self._give_up_at(self.pending_request):",
+    "elif self.pending_request and now - self.pending_request.sent_at > self._longest_answer_time():",
+)
 
 
 def without_guards(s, monkeypatch, *guards):
     """The same town whose daemons ask for news without these guards; -> does its zone stay behind?"""
-    without(monkeypatch, "silverglade.configuration.updates", *zip(*guards), "silverglade.runtime.daemon_machine.news")
+    without(monkeypatch, "silverglade.configuration.updater", *zip(*guards), "silverglade.runtime.daemon_machine.Updater")
     for n in s.w.nodes.values():
         n.boot()
     s.w.run(9)
--- a/tests/system/test_safety_rules.py
+++ b/tests/system/test_safety_rules.py
@@ -38,7 +38,7 @@
     "silverglade.tenant_shards.owner",
     "silverglade.tenant_requests.request",
     "silverglade.control.replication",
-    "silverglade.configuration.updates",
+    "silverglade.configuration.updater",
 )
 USABLE = (
     "silverglade.replicas.registry.is_usable",
@@ -170,9 +170,14 @@
         [
             (
                 NEWS,
-                ("if v < held:", "if i[1] > book.get(i[0], (bk.INITIAL_VERSION,))[0]]", "held = max(held, v)", "if new or v > held:"),
-                ("if False:", "]", "held = v", "if True:"),
-                "silverglade.runtime.daemon_machine.news",
+                (
+                    "if answer.version < self.store_version:",
+                    " if is_newer(item, self.store)]",
+                    "self.store_version = max(self.store_version, answer.version)",
+                    "if not newer and answer.version <= self.store_version:",
+                ),
+                ("if False:", "]", "self.store_version = answer.version", "if False:"),
+                "silverglade.runtime.daemon_machine.Updater",
             ),
             ("silverglade.control.replicated_state", "if iv > v and not", "if not", "silverglade.control.replicated_state.items_since"),
         ],
@@ -180,7 +185,7 @@
     (
         a_daemon_restarts_beside_a_core_that_is_behind,
         "slipped-back",
-        [(NEWS, "if not sure:", "if False:", "silverglade.runtime.daemon_machine.news")],
+        [(NEWS, "if not self._is_start_proved:", "if False:", "silverglade.runtime.daemon_machine.Updater")],
     ),
     (
         power_is_lost_after_an_acknowledgement,
