--- a/silverglade/configuration/operator_api.py
+++ b/silverglade/configuration/operator_api.py
@@ -1,155 +1,237 @@
-"""The desk (design 2.3, 5.4): control calls, taken by every daemon, settled by the primary."""
+"""The control API of a daemon (design 2.3, 5.4): every daemon takes each call; what changes anything is settled by the primary."""
 
-from .. import __version__
-from ..control import replicated_state as bk
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Mapping
+from datetime import timedelta
+from typing import Any, ClassVar
+
+from ..control.replicated_state import INITIAL_VERSION, value_of
 from ..membership.directory import addresses_for_client
-from ..membership.member import extra
-from ..replicas.registry import ADDR, HOMES, INC, KIND, LEAVING, PREFIXES, S_CAP, S_RUNNING, S_STATE, S_USE, S_USED, SLOTS, ZONE
-from ..runtime.effects import IDLE, to_milliseconds
-from ..transport import framing as wire
-from .operator_calls import Calls, reply
-
-
-def desk(*, me, cores, opt, rng):
-    book, held, reps, roll, fresh, want, out, notes = {}, bk.INITIAL_VERSION, {}, (), None, {}, [], {}
-
-    def primary():
-        """The newest view that anyone in the roll speaks of: (epoch, primary)."""
-        v = max((extra(r, "view", (0, "", "")) for r in roll), default=(0, "", ""))
-        return v
-
-    calls = Calls(opt=opt, rng=rng, primary=lambda: primary()[1])
-
-    def status(now):
-        mine = next((r for r in roll if r[0] == me), None)
-        return dict(
-            daemon=me,
-            version=__version__,
-            wire=wire.WIRE_VERSION,
-            zone=mine and mine[4],
-            state=mine and mine[9],
-            view=list(primary()),
-            news=list(held),
-            age_ms=to_milliseconds(now - fresh) if fresh is not None else None,
-            config=list(book.get("config", (bk.INITIAL_VERSION,))[0]),
-            evacuated=sorted(k[5:] for k, (_, on) in book.items() if k.startswith("evac/") and on),
-            **notes,
-        )
-
-    def fleet():
-        return {
-            r[0]: dict(
-                zone=r[4],
-                region=r[5],
-                wire=r[6],
-                http=r[7],
-                core=r[8],
-                state=r[9],
-                incarnation=r[2],
-                view=list(extra(r, "view", ())),
-                news=list(extra(r, "news", ())),
-                version=extra(r, "version", ""),
-            )
-            for r in roll
-        }
+from ..membership.records import members_of
+from ..runtime import result_codes
+from ..runtime.components import Component
+from ..runtime.effects import IDLE, Broadcast, Effect, Post, Reply, WakeAt
+from ..runtime.events import (
+    ApiCall,
+    CallerDisconnected,
+    Event,
+    MembershipChanged,
+    MessageReceived,
+    OwnOperationRequested,
+    ProcessPaused,
+    ProofRenewed,
+    ReplicasChanged,
+    ReportRequested,
+    RequiredReplicasChanged,
+    RetryCounts,
+    ShardReport,
+    StatusFieldSet,
+    StatusRequested,
+    StoreUpdated,
+    TenantRequestCounts,
+    TimerFired,
+)
+from .messages import FencingTokenAnswer, OperationAnswer, decode_primary_answer
+from .operations import ReadSource, ReopenShard, ReplaceConfiguration, ReplaceConfigurationByNumber, SetEvacuation
+from .operator_calls import OperatorCalls
+from .status_reports import (
+    Report,
+    ReportedState,
+    View,
+    capacity_report,
+    fleet_report,
+    replicas_report,
+    roles_report,
+    status_report,
+)
+
+Operation = ReplaceConfiguration | ReplaceConfigurationByNumber | ReadSource | SetEvacuation | ReopenShard
+
+
+class OperatorApi:
+    """Answers the calls of the control API, and carries operators' changes to the primary.
+
+    :ivar reported: what the components of this daemon have reported.
+    :ivar calls: the calls that wait for the primary.
+    """
+
+    handled_events: ClassVar[tuple[type[Event], ...]] = (
+        TimerFired,
+        MessageReceived,
+        ApiCall,
+        CallerDisconnected,
+        StatusRequested,
+        ProcessPaused,
+        OwnOperationRequested,
+        StoreUpdated,
+        ProofRenewed,
+        MembershipChanged,
+        ReplicasChanged,
+        RequiredReplicasChanged,
+        StatusFieldSet,
+        TenantRequestCounts,
+        RetryCounts,
+        ShardReport,
+    )
 
-    def replicas(now):
-        return {
-            i: dict(
-                incarnation=r[INC],
-                address=r[ADDR],
-                zone=r[ZONE],
-                kind=r[KIND],
-                homes=list(r[HOMES]),
-                prefixes=list(r[PREFIXES]),
-                slots=r[SLOTS],
-                leaving=r[LEAVING],
-                state=s[S_STATE] if s else "unknown",
-                use=s[S_USE] if s else None,
-                running=s[S_RUNNING] if s else None,
-                cap=s[S_CAP] if s else None,
-                used=s[S_USED] if s else None,
-                age_ms=to_milliseconds(now - at) if at is not None else None,
-            )
-            for i, (r, s, at) in sorted(reps.items())
+    def __init__(self, *, own_name: str, tuning: Mapping[str, Any], rng: random.Random) -> None:
+        """Start without calls."""
+        self.reported = ReportedState(own_name)
+        self.calls = OperatorCalls(tuning=tuning, rng=rng, primary=self._known_primary)
+        self._rng = rng
+        self._operations: dict[str, Callable[[ApiCall, timedelta], list[Effect]]] = {
+            "config-get": self._get_configuration,
+            "config-put": self._replace_configuration,
+            "table-put": self._replace_configuration_by_number,
+            "table-read": self._read_source,
+            "evac": self._set_evacuation,
+            "reopen": self._reopen_shard,
+            "status": self._collect_status,
+            "fleet": self._report_fleet,
+            "replicas": self._report_replicas,
+            "fronts": self._find_daemons_for_client,
+            "orders": self._report_capacity,
         }
 
-    def orders(region):
-        cfg = bk.value_of(book, "config") or {"zones": {}}
-        zs = {z for z, d in cfg["zones"].items() if d["region"] == region}
-        kinds = {}
-        for (g, kind), m in sorted(want.items()):
-            if g == region:
-                here = [(r, s) for r, s, _ in reps.values() if r[ZONE] in zs and r[KIND] == kind]
-                kinds[kind] = dict(
-                    wanted=m,
-                    ready=sum(1 for _, s in here if s and s[S_STATE] == "ready"),
-                    starting=sum(1 for _, s in here if s and s[S_STATE] == "starting"),
-                    parts={r[0]: list(p[1:]) for r in roll for p in extra(r, "parts", ()) if r[5] == region and p[0] == kind},
-                )
-        return dict(region=region, kinds=kinds, least=sum(cfg["zones"][z]["least"] for z in zs))
-
-    while True:
-        now, ev = yield tuple(out)
-        out = []
-        match ev:
-            case ("book", b, v):
-                book, held = b, v
-            case ("replicas", rs):
-                reps = rs
-            case ("roll", r):
-                roll = r
-            case ("fresh", f):
-                fresh = f
-            case ("wanted", w):
-                want = w
-            case ("self", op):
-                calls.begin_own(op, now, out)
-            case ("note", k, v):
-                notes[k] = v
-            case ("orders", run, handed, spills):
-                notes.update(orders=dict(running=run, handed=handed), spills=spills)
-            case ("retries", n):
-                notes["retries"] = n
-            case ("shards", rows):
-                notes["shards"] = {t: dict(epoch=e, follower=f, open=o, claims=c, waiting=w) for t, e, f, o, c, w in rows}
-            case ("call", cid, "config-get", _):
-                at, raw = book.get("config", (bk.INITIAL_VERSION, None))
-                out.append(reply(cid, 100, version=list(at), config=raw))
-            case ("call", cid, "config-put", (base, change, raw)):
-                calls.begin(cid, change, ("config", base, raw), now, out)
-            case ("call", cid, "table-put", (base, number, change, raw, source)):
-                calls.begin(cid, change, ("table", base, number, raw, source), now, out)
-            case ("call", cid, "table-read", _):
-                calls.begin(cid, "", ("read",), now, out)
-            case ("call", cid, "evac", (zone, on, change, *wait)):
-                calls.begin(cid, change, ("evac", zone, on), now, out, *wait)
-            case ("call", cid, "reopen", (name, change, *wait)):
-                calls.begin(cid, change, ("reopen", name), now, out, *wait)
-            case ("call-gone", cid):
-                calls.left(cid)
-            case ("froze",):
-                calls.froze(now, out)
-            case ("call", cid, "fleet", _):
-                out.append(
-                    reply(cid, 100, fleet=fleet(), duties={k[5:]: list(v) for k, (_, v) in sorted(book.items()) if k.startswith("duty/")})
-                )
-            case ("call", cid, "replicas", _):
-                out.append(reply(cid, 100, replicas=replicas(now)))
-            case ("call", cid, "fronts", (host, region, zone)):
-                addresses = addresses_for_client(roll, bk.value_of(book, "config"), host=host, region=region, zone=zone)
-                out.append(reply(cid, 100, fronts=sorted(addresses, key=lambda _: rng.random())))
-            case ("call", cid, "orders", (region,)):
-                out.append(reply(cid, 100, **orders(region)))
-            case ("call", cid, "status", _):
-                out += [("cast", ("look",)), ("post", "operator_api", ("status", cid))]
-            case ("status", cid):
-                out.append(reply(cid, 100, **status(now)))
-            case ("msg", frm, ("opr", n, res)) if isinstance(res, tuple) and res:
-                calls.answered(n, frm, res, now, out)
-            case ("msg", _, ("fenced", n, base)):
-                calls.fenced(n, base, now, out)
-            case ("pulse",):
-                calls.pulse(now, out)
-                if not calls.under_way:
-                    out.append(("due", IDLE))
+    @property
+    def known_view(self) -> View:
+        """The newest view that any member speaks of."""
+        return self.reported.known_view
+
+    def step(self, now: timedelta, event: Event) -> list[Effect]:
+        """Handle one event and return its effects."""
+        match event:
+            case TimerFired():
+                return self._on_timer(now)
+            case MessageReceived():
+                return self._on_message(event, now)
+            case ApiCall():
+                operation = self._operations.get(event.operation)
+                return operation(event, now) if operation else []
+            case CallerDisconnected():
+                self.calls.on_caller_disconnected(event.call_id)
+            case StatusRequested():
+                return [_success(event.call_id, status_report(self.reported, now))]
+            case ProcessPaused():
+                return self.calls.on_process_paused(now)
+            case OwnOperationRequested():
+                return self.calls.begin_own(event.operation, now)
+            case _:
+                self._on_report(event)
+        return []
+
+    def _known_primary(self) -> str:
+        """The primary of the newest view that any member speaks of; empty if there is none."""
+        return str(self.known_view[1])
+
+    def _on_timer(self, now: timedelta) -> list[Effect]:
+        """Let calls go on; without any, nothing is to be done until another event."""
+        effects = self.calls.on_timer(now)
+        if not self.calls.in_flight:
+            effects.append(WakeAt(IDLE))
+        return effects
+
+    def _on_message(self, event: MessageReceived, now: timedelta) -> list[Effect]:
+        """Take an answer of the primary."""
+        match decode_primary_answer(event.body):
+            case OperationAnswer(number, result):
+                return self.calls.on_result(number, event.sender, result, now)
+            case FencingTokenAnswer(number, token):
+                return self.calls.on_fencing_token(number, token, now)
+        return []
+
+    # --- what components report
+
+    def _on_report(self, event: Event) -> None:
+        """Keep what a component has reported."""
+        match event:
+            case StoreUpdated(store, version):
+                self.reported.store, self.reported.store_version = store, version
+            case ProofRenewed(proved_at):
+                self.reported.proved_at = proved_at
+            case MembershipChanged(members):
+                self.reported.members = members_of(members)
+            case ReplicasChanged(replicas):
+                self.reported.replicas = replicas
+            case RequiredReplicasChanged(required):
+                self.reported.required_replicas = required
+            case _:
+                self._on_figures(event)
+
+    def _on_figures(self, event: Event) -> None:
+        """Keep figures of this daemon's status."""
+        fields = self.reported.status_fields
+        match event:
+            case StatusFieldSet(name, value):
+                fields[name] = value
+            case TenantRequestCounts(running, forwarded, overflowed):
+                fields["orders"] = {"running": running, "handed": forwarded}
+                fields["spills"] = overflowed
+            case RetryCounts(totals):
+                fields["retries"] = totals
+            case ShardReport(rows):
+                fields["shards"] = {
+                    tenant: {"epoch": epoch, "follower": follower, "open": is_open, "claims": claims, "waiting": waiting}
+                    for tenant, epoch, follower, is_open, claims, waiting in rows
+                }
+
+    # --- calls that the primary settles
+
+    def _begin(
+        self, call: ApiCall, change_id: str, operation: Operation, now: timedelta, *, caller_waits: timedelta | None = None
+    ) -> list[Effect]:
+        return self.calls.begin(call.call_id, change_id, operation.encode(), now, caller_waits=caller_waits)
+
+    def _replace_configuration(self, call: ApiCall, now: timedelta) -> list[Effect]:
+        base, change_id, raw = call.arguments
+        return self._begin(call, change_id, ReplaceConfiguration(base, raw), now)
+
+    def _replace_configuration_by_number(self, call: ApiCall, now: timedelta) -> list[Effect]:
+        base, number, change_id, raw, source = call.arguments
+        return self._begin(call, change_id, ReplaceConfigurationByNumber(base, number, raw, source), now)
+
+    def _read_source(self, call: ApiCall, now: timedelta) -> list[Effect]:
+        return self._begin(call, "", ReadSource(), now)
+
+    def _set_evacuation(self, call: ApiCall, now: timedelta) -> list[Effect]:
+        zone, is_evacuated, change_id, *wait = call.arguments
+        return self._begin(call, change_id, SetEvacuation(zone, is_evacuated), now, caller_waits=wait[0] if wait else None)
+
+    def _reopen_shard(self, call: ApiCall, now: timedelta) -> list[Effect]:
+        tenant, change_id, *wait = call.arguments
+        return self._begin(call, change_id, ReopenShard(tenant), now, caller_waits=wait[0] if wait else None)
+
+    # --- calls that this daemon answers
+
+    def _get_configuration(self, call: ApiCall, now: timedelta) -> list[Effect]:
+        version, configuration = self.reported.store.get("config", (INITIAL_VERSION, None))
+        return [_success(call.call_id, {"version": list(version), "config": configuration})]
+
+    def _collect_status(self, call: ApiCall, now: timedelta) -> list[Effect]:
+        """Let all components report first; the answer follows on `StatusRequested`."""
+        return [Broadcast(ReportRequested()), Post(Component.OPERATOR_API, StatusRequested(call.call_id))]
+
+    def _report_fleet(self, call: ApiCall, now: timedelta) -> list[Effect]:
+        report = {"fleet": fleet_report(self.reported.members), "duties": roles_report(self.reported.store)}
+        return [_success(call.call_id, report)]
+
+    def _report_replicas(self, call: ApiCall, now: timedelta) -> list[Effect]:
+        return [_success(call.call_id, {"replicas": replicas_report(self.reported.replicas, now)})]
+
+    def _report_capacity(self, call: ApiCall, now: timedelta) -> list[Effect]:
+        (region,) = call.arguments
+        return [_success(call.call_id, capacity_report(self.reported, region))]
+
+    def _find_daemons_for_client(self, call: ApiCall, now: timedelta) -> list[Effect]:
+        """Name daemons that a client may use, in random order (design 15.7)."""
+        host, region, zone = call.arguments
+        configuration = value_of(self.reported.store, "config")
+        addresses = addresses_for_client(self.reported.members, configuration, host=host, region=region, zone=zone)
+        return [_success(call.call_id, {"fronts": sorted(addresses, key=lambda _: self._rng.random())})]
+
+
+def _success(call_id: str, fields: Report) -> Reply:
+    """An answer to a call that succeeded."""
+    return Reply(call_id, result_codes.OK, fields)
--- a/silverglade/configuration/operator_calls.py
+++ b/silverglade/configuration/operator_calls.py
@@ -1,149 +1,203 @@
-"""Operators' calls under way at the daemon that took them, until the primary settles them (design 2.3, 5.4).
+"""Operators' calls in flight at the daemon that took them, until the primary settles them (design 2.3, 5.4).
 
-An operator whose call gets no answer goes elsewhere with it, or does something else. What its first daemon still does for
-it must then not come after what was acknowledged meanwhile. A change that names a base is safe: it is taken on that base
-alone. One that names none (an evacuation has no body) gets one here, in two steps:
+An operator whose call gets no answer retries it at another daemon, or does something else. What the first daemon still does for
+the call must then not take effect after what was acknowledged meanwhile. A change that names its base version is safe: it is taken
+on that base alone. One that names none (an evacuation has no body) gets a fencing token here, in two steps:
 
-1. `fence`: the daemon asks the primary which version the change's matter has (book.fence). The answer counts only if
-   it comes while the caller is surely still there: before `until`, with its connection open, and in no freeze.
-2. `op`: the change goes to the primary with that version, and is taken only if nothing has changed the matter since.
+1. `FencingTokenRequest`: the daemon asks the primary which version the object of the change has (replicated_state.fence). The answer
+   counts only if it comes while the caller is surely still there: before `caller_waits_until`, with its connection open, and with no
+   pause of this process in between.
+2. `OperationRequest`: the change goes to the primary with that version, and is taken only if nothing has changed the object since.
 
-So all that was acknowledged after the caller left was taken after step 1, made a later version, and fences the change out,
-whenever it arrives. No clock but the daemon's own is read, and no message's age is guessed. An answer that was too old
-makes the change stale, never wrong; so the primary gives it from memory, without asking its backups.
+So all that was acknowledged after the caller left was taken after step 1, made a later version, and fences the change out, whenever
+it arrives. No clock but the daemon's own is read, and no message's age is guessed. A token that was too old makes the change stale,
+never wrong; so the primary answers step 1 from memory, without asking its backups.
 """
 
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from datetime import timedelta
+from typing import Any
 
-from ..runtime.effects import ZERO, send
-from ..transport.message_schemas import FENCED_OPERATIONS
-from .schema import key_digest
-
-NOT_TAKEN, UNKNOWN_OUTCOME, OK = 504, 503, 100
-
+from ..runtime import result_codes
+from ..runtime.effects import ZERO, Effect, Reply, Send
+from .messages import FencingTokenRequest, OperationRequest, RawMessage, RawOperation, Version
+from .operation_results import Acknowledged, NotPrimary, OperationResult, OutcomeUnknown, Refused, StaleBase
+from .operations import needs_fencing_token, operation_digest
 
-def reply(call_id, code, **fields):
-    return ("reply", call_id, code, fields)
-
-
-def identity(op):
-    """What a change says, whoever sends it: a table by its text, since each daemon makes its own configuration of that."""
-    return key_digest(repr(op if op[0] != "table" else ("table", op[1], op[2], op[4])))
+CALL_NUMBER_BITS = 48
+"""Of the random number that names a call between daemons."""
 
 
 @dataclass(slots=True)
 class Call:
-    """One call. `base` is what step 1 brought; `until`: its caller may have gone after that, so that step 1 is over."""
+    """One call in flight.
+
+    :ivar call_id: names the call in its `Reply`; None for an operation of this daemon itself.
+    :ivar change_id: an operator's own name of the change, for retries; may be empty.
+    :ivar digest: of what the operation says.
+    :ivar started_at: when the call came in.
+    :ivar caller_waits_until: its caller may have left after that; no fencing token is taken later.
+    :ivar sent_at: when a message was last sent for it.
+    :ivar sent_to: to which daemon; empty: to whoever is primary at the next attempt.
+    :ivar was_sent: whether any message was sent for it yet.
+    :ivar fencing_token: what step 1 brought, or None.
+    """
 
     call_id: str | None
-    change: str
-    op: tuple
-    key: str
-    born: timedelta
-    until: timedelta
+    change_id: str
+    operation: RawOperation
+    digest: str
+    started_at: timedelta
+    caller_waits_until: timedelta
     sent_at: timedelta
     sent_to: str = ""
-    asked: bool = False
-    base: tuple | None = None
+    was_sent: bool = False
+    fencing_token: Version | None = None
 
     @property
-    def wants_base(self):
-        return self.op[0] in FENCED_OPERATIONS and self.base is None
-
-    def message(self, number):
-        if self.wants_base:
-            return ("fence", number, self.op)
-        return ("op", number, self.change, self.op if self.base is None else (*self.op, self.base), self.key)
-
-
-class Calls:
-    """Every call under way here. Methods put effects into `out`."""
-
-    def __init__(self, *, opt, rng, primary):
-        self.opt, self.rng, self.primary = opt, rng, primary
-        self.under_way, self.undated = {}, ZERO
-
-    def begin(self, call_id, change, op, now, out, wait=None):
-        """wait: how long its caller said that it stays."""
-        if op[0] in FENCED_OPERATIONS and now < self.undated:  # it may have waited in the kernel while this daemon was frozen
-            out.append(reply(call_id, NOT_TAKEN, change=change))
-            return
-        number = self.rng.getrandbits(48)
-        until = now + min(wait or self.opt["caller_wait"], self.opt["op_wait"])
-        self.under_way[number] = Call(call_id, change, op, identity(op), now, until, now)
-        self.push(number, now, out)
-
-    def begin_own(self, op, now, out):
-        """An op of this daemon itself; one at a time."""
-        if not any(c.call_id is None for c in self.under_way.values()):
-            self.begin(None, "", op, now, out)
-
-    def push(self, number, now, out):
-        call = self.under_way[number]
-        to = call.sent_to or self.primary()
-        if to:
-            call.asked, call.sent_at, call.sent_to = True, now, to
-            out.append(send(to, *call.message(number)))
-
-    def fenced(self, number, base, now, out):
-        """Step 1 is answered."""
-        call = self.under_way.get(number)
-        if call is None or not call.wants_base:
-            return
-        if now > call.until:
-            self.settle(number, ("unknown",), out)
-            return
-        call.base = base
-        self.push(number, now, out)
-
-    def answered(self, number, sender, result, now, out):
-        """The primary's answer, or a word of where it is."""
-        call = self.under_way.get(number)
+    def lacks_fencing_token(self) -> bool:
+        """Whether step 1 is still to be done."""
+        return needs_fencing_token(self.operation) and self.fencing_token is None
+
+    def message(self, number: int) -> RawMessage:
+        """The message of the step that the call is in."""
+        if self.lacks_fencing_token:
+            return FencingTokenRequest(number, self.operation).encode()
+        operation = self.operation if self.fencing_token is None else (*self.operation, self.fencing_token)
+        return OperationRequest(number, self.change_id, operation, self.digest).encode()
+
+
+class OperatorCalls:
+    """All calls in flight at this daemon. Each method returns the effects that follow.
+
+    :ivar in_flight: the calls by their numbers.
+    """
+
+    def __init__(self, *, tuning: Mapping[str, Any], rng: random.Random, primary: Callable[[], str]) -> None:
+        """Start without calls.
+
+        :param primary: a function that returns the primary's name as far as this daemon knows it, or the empty text.
+        """
+        self.in_flight: dict[int, Call] = {}
+        self._tuning = tuning
+        self._rng = rng
+        self._primary = primary
+        self._undatable_until = ZERO
+
+    def begin(
+        self, call_id: str | None, change_id: str, operation: RawOperation, now: timedelta, *, caller_waits: timedelta | None = None
+    ) -> list[Effect]:
+        """Take a call.
+
+        :param caller_waits: how long its caller said that it stays; without that `caller_wait` of the settings is assumed.
+        """
+        if needs_fencing_token(operation) and now < self._undatable_until and call_id is not None:
+            # it may have waited in the kernel while this process was paused
+            return [Reply(call_id, result_codes.NO_PRIMARY, {"change": change_id})]
+        number = self._rng.getrandbits(CALL_NUMBER_BITS)
+        self.in_flight[number] = Call(
+            call_id=call_id,
+            change_id=change_id,
+            operation=operation,
+            digest=operation_digest(operation),
+            started_at=now,
+            caller_waits_until=now + min(caller_waits or self._tuning["caller_wait"], self._tuning["op_wait"]),
+            sent_at=now,
+        )
+        return self._send(number, now)
+
+    def begin_own(self, operation: RawOperation, now: timedelta) -> list[Effect]:
+        """Take an operation of this daemon itself, unless one is in flight already."""
+        if any(call.call_id is None for call in self.in_flight.values()):
+            return []
+        return self.begin(None, "", operation, now)
+
+    def on_fencing_token(self, number: int, token: Version, now: timedelta) -> list[Effect]:
+        """Handle the primary's answer to step 1."""
+        call = self.in_flight.get(number)
+        if call is None or not call.lacks_fencing_token:
+            return []
+        if now > call.caller_waits_until:
+            return self._settle(number, OutcomeUnknown())
+        call.fencing_token = token
+        return self._send(number, now)
+
+    def on_result(self, number: int, sender: str, result: OperationResult, now: timedelta) -> list[Effect]:
+        """Handle the primary's answer to the operation, or another core's word of who is primary."""
+        call = self.in_flight.get(number)
         if call is None:
-            return
+            return []
         match result:
-            case ("elsewhere", primary):
-                if primary and primary != sender and call.sent_to != primary:
-                    call.sent_to = primary
-                    self.push(number, now, out)
-            case ("unknown",) if call.change:
-                pass  # asked on, by the change's id
-            case ("stale",) if call.op[0] in FENCED_OPERATIONS and now <= call.until:
-                call.base = None  # another change came between, and the caller is still there
-                self.push(number, now, out)
-            case _:
-                self.settle(number, result, out)
-
-    def settle(self, number, result, out):
-        call = self.under_way.pop(number)
+            case NotPrimary():
+                return self._redirect(number, sender, result.primary, now)
+            case OutcomeUnknown() if call.change_id:
+                return []  # the operation is sent again, by its change id
+            case StaleBase() if needs_fencing_token(call.operation) and now <= call.caller_waits_until:
+                call.fencing_token = None  # another change came between, and the caller is still there
+                return self._send(number, now)
+        return self._settle(number, result)
+
+    def on_caller_disconnected(self, call_id: str) -> None:
+        """Give up the call of a caller that has closed its connection."""
+        for number in [number for number, call in self.in_flight.items() if call.call_id == call_id]:
+            del self.in_flight[number]
+
+    def on_process_paused(self, now: timedelta) -> list[Effect]:
+        """Give up calls whose callers may have left while this process stood still; calls read from now on may be as old."""
+        self._undatable_until = now + self._tuning["beat"]
+        effects = []
+        for number in [number for number, call in self.in_flight.items() if call.lacks_fencing_token]:
+            effects += self._settle(number, OutcomeUnknown())
+        return effects
+
+    def on_timer(self, now: timedelta) -> list[Effect]:
+        """Give up calls whose time is over; send the others again to whoever is primary by now."""
+        effects = []
+        for number, call in list(self.in_flight.items()):
+            if now - call.started_at > self._tuning["op_wait"] or call.lacks_fencing_token and now > call.caller_waits_until:
+                effects += self._settle(number, OutcomeUnknown())
+            elif now - call.sent_at > self._tuning["beat"]:
+                call.sent_to = ""
+                effects += self._send(number, now)
+        return effects
+
+    def _redirect(self, number: int, sender: str, primary: str, now: timedelta) -> list[Effect]:
+        """Send the call to the core that another one takes for the primary."""
+        call = self.in_flight[number]
+        if not primary or primary == sender or call.sent_to == primary:
+            return []
+        call.sent_to = primary
+        return self._send(number, now)
+
+    def _send(self, number: int, now: timedelta) -> list[Effect]:
+        """Send the message of the step that the call is in, if a primary is known."""
+        call = self.in_flight[number]
+        receiver = call.sent_to or self._primary()
+        if not receiver:
+            return []
+        call.was_sent, call.sent_at, call.sent_to = True, now, receiver
+        return [Send(receiver, call.message(number))]
+
+    def _settle(self, number: int, result: OperationResult) -> list[Effect]:
+        """End the call and answer its caller."""
+        call = self.in_flight.pop(number)
         if call.call_id is None:
-            return
-        match result:
-            case ("ok", version):
-                out.append(reply(call.call_id, OK, version=list(version), change=call.change))
-            case ("ok", version, source):
-                out.append(reply(call.call_id, OK, version=list(version), change=call.change, source=source))
-            case ("refuse", code, detail):
-                out.append(reply(call.call_id, code, detail=detail, change=call.change))
-            case _:
-                out.append(reply(call.call_id, UNKNOWN_OUTCOME if call.asked else NOT_TAKEN, change=call.change))
-
-    def left(self, call_id):
-        """Its caller has closed the connection: nothing more is done for it."""
-        for number in [n for n, c in self.under_way.items() if c.call_id == call_id]:
-            del self.under_way[number]
-
-    def froze(self, now, out):
-        """This daemon stood still: whose base is not known yet may have lost its caller, and so may what is read next."""
-        self.undated = now + self.opt["beat"]
-        for number in [n for n, c in self.under_way.items() if c.wants_base]:
-            self.settle(number, ("unknown",), out)
-
-    def pulse(self, now, out):
-        for number, call in list(self.under_way.items()):
-            if now - call.born > self.opt["op_wait"] or call.wants_base and now > call.until:
-                self.settle(number, ("unknown",), out)
-            elif now - call.sent_at > self.opt["beat"]:
-                call.sent_to = ""  # whoever is primary by now
-                self.push(number, now, out)
+            return []
+        return [_reply(call.call_id, call, result)]
+
+
+def _reply(call_id: str, call: Call, result: OperationResult) -> Reply:
+    """What the caller is answered."""
+    match result:
+        case Acknowledged(version, None):
+            return Reply(call_id, result_codes.OK, {"version": list(version), "change": call.change_id})
+        case Acknowledged(version, source):
+            return Reply(call_id, result_codes.OK, {"version": list(version), "change": call.change_id, "source": source})
+        case Refused(code, detail):
+            return Reply(call_id, code, {"detail": detail, "change": call.change_id})
+    code = result_codes.UNKNOWN_OUTCOME if call.was_sent else result_codes.NO_PRIMARY
+    return Reply(call_id, code, {"change": call.change_id})
--- /dev/null
+++ b/silverglade/configuration/status_reports.py
@@ -0,0 +1,166 @@
+"""Reports that any daemon gives to operators and to the platform (design 2.2, 2.3), as JSON values."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, field
+from datetime import timedelta
+from typing import Any
+
+from .. import __version__
+from ..control.replicated_state import INITIAL_VERSION, value_of
+from ..membership.records import MemberRecord
+from ..replicas.records import ReplicaEntry, ReplicaState
+from ..runtime.effects import to_milliseconds
+from ..transport.framing import WIRE_VERSION
+from .messages import Version
+
+EVACUATION_PREFIX = "evac/"
+ROLE_PREFIX = "duty/"
+UNKNOWN_STATE = "unknown"
+
+Report = dict[str, Any]
+
+View = tuple[Any, ...]
+"""(epoch, primary, backups...)."""
+
+NO_VIEW: View = (0, "", "")
+
+
+@dataclass(slots=True)
+class ReportedState:
+    """What the components of this daemon have reported of the fleet.
+
+    :ivar store: what control has acknowledged: key to (version, value).
+    :ivar proved_at: when the store was last proved to be the newest, or None.
+    :ivar replicas: id to `ReplicaEntry`, or to a tuple of its fields.
+    :ivar required_replicas: how many replicas must be ready: (region, kind) to count.
+    :ivar status_fields: further fields of this daemon's status.
+    """
+
+    own_name: str
+    store: Mapping[str, tuple[Version, Any]] = field(default_factory=dict)
+    store_version: Version = INITIAL_VERSION
+    proved_at: timedelta | None = None
+    members: tuple[MemberRecord, ...] = ()
+    replicas: Mapping[str, tuple[Any, ...]] = field(default_factory=dict)
+    required_replicas: Mapping[tuple[str, str], int] = field(default_factory=dict)
+    status_fields: Report = field(default_factory=dict)
+
+    @property
+    def known_view(self) -> View:
+        """The newest view that any member speaks of."""
+        view: View = max((member.attribute("view", NO_VIEW) for member in self.members), default=NO_VIEW)
+        return view
+
+
+def status_report(state: ReportedState, now: timedelta) -> Report:
+    """Status of this daemon."""
+    own_record = next((member for member in state.members if member.name == state.own_name), None)
+    return {
+        "daemon": state.own_name,
+        "version": __version__,
+        "wire": WIRE_VERSION,
+        "zone": own_record and own_record.zone,
+        "state": own_record and own_record.state,
+        "view": list(state.known_view),
+        "news": list(state.store_version),
+        "age_ms": _age_ms(state.proved_at, now),
+        "config": list(state.store.get("config", (INITIAL_VERSION,))[0]),
+        "evacuated": _evacuated_zones(state.store),
+        **state.status_fields,
+    }
+
+
+def _evacuated_zones(store: Mapping[str, tuple[Version, Any]]) -> list[str]:
+    """The zones that are evacuated, in the order of their names."""
+    entries = store.items()
+    return sorted(key.removeprefix(EVACUATION_PREFIX) for key, (_, value) in entries if key.startswith(EVACUATION_PREFIX) and value)
+
+
+def fleet_report(members: Iterable[MemberRecord]) -> Report:
+    """Every live daemon by its name."""
+    return {member.name: _member_report(member) for member in members}
+
+
+def _member_report(member: MemberRecord) -> Report:
+    return {
+        "zone": member.zone,
+        "region": member.region,
+        "wire": member.peer_address,
+        "http": member.http_address,
+        "core": member.is_core,
+        "state": member.state,
+        "incarnation": member.incarnation,
+        "view": list(member.attribute("view", ())),
+        "news": list(member.attribute("news", ())),
+        "version": member.attribute("version", ""),
+    }
+
+
+def roles_report(store: Mapping[str, tuple[Version, Any]]) -> Report:
+    """Every singleton role by "KIND/NAME": its epoch, holder and follower."""
+    return {key.removeprefix(ROLE_PREFIX): list(value) for key, (_, value) in sorted(store.items()) if key.startswith(ROLE_PREFIX)}
+
+
+def replicas_report(replicas: Mapping[str, tuple[Any, ...]], now: timedelta) -> Report:
+    """Every replica of tenants' requests by its id."""
+    entries = [(name, ReplicaEntry.of(entry)) for name, entry in sorted(replicas.items())]
+    return {name: _replica_report(entry, now) for name, entry in entries}
+
+
+def _replica_report(entry: ReplicaEntry, now: timedelta) -> Report:
+    record, status = entry.record, entry.status
+    return {
+        "incarnation": record.incarnation,
+        "address": record.address,
+        "zone": record.zone,
+        "kind": record.kind,
+        "homes": list(record.homes),
+        "prefixes": list(record.prefixes),
+        "slots": record.slots,
+        "leaving": record.is_leaving,
+        "state": status.state if status else UNKNOWN_STATE,
+        "use": status.use if status else None,
+        "running": status.running if status else None,
+        "cap": status.capacity if status else None,
+        "used": status.used if status else None,
+        "age_ms": _age_ms(entry.heard_at, now),
+    }
+
+
+def capacity_report(state: ReportedState, region: str) -> Report:
+    """How many replicas a region needs and has, by kind, for the platform (design 9.6)."""
+    configuration = value_of(state.store, "config") or {"zones": {}}
+    zones = {name: zone for name, zone in configuration["zones"].items() if zone["region"] == region}
+    entries = [ReplicaEntry.of(entry) for entry in state.replicas.values()]
+    kinds = {}
+    for (required_region, kind), required in sorted(state.required_replicas.items()):
+        if required_region == region:
+            here = [entry for entry in entries if entry.record.zone in zones and entry.record.kind == kind]
+            kinds[kind] = {
+                "wanted": required,
+                "ready": _count_in_state(here, ReplicaState.READY),
+                "starting": _count_in_state(here, ReplicaState.STARTING),
+                "parts": _scaler_shares(state.members, region, kind),
+            }
+    return {"region": region, "kinds": kinds, "least": sum(zone["least"] for zone in zones.values())}
+
+
+def _count_in_state(entries: Iterable[ReplicaEntry], replica_state: ReplicaState) -> int:
+    return sum(1 for entry in entries if entry.status and entry.status.state == replica_state)
+
+
+def _scaler_shares(members: Iterable[MemberRecord], region: str, kind: str) -> dict[str, list[Any]]:
+    """What the scalers of the region's daemons have measured of a kind, by daemon."""
+    return {
+        member.name: list(share[1:])
+        for member in members
+        for share in member.attribute("parts", ())
+        if member.region == region and share[0] == kind
+    }
+
+
+def _age_ms(time: timedelta | None, now: timedelta) -> int | None:
+    """Whole milliseconds since then, or None."""
+    return to_milliseconds(now - time) if time is not None else None
--- a/silverglade/runtime/daemon_machine.py
+++ b/silverglade/runtime/daemon_machine.py
@@ -9,7 +9,7 @@
 from .. import __version__
 from ..autoscaling.scaler import scaler
 from ..autoscaling.unordered_scaler import need
-from ..configuration.operator_api import desk
+from ..configuration.operator_api import OperatorApi
 from ..configuration.updater import Updater
 from ..configuration.updates import keeper
 from ..control.core import core
@@ -109,7 +109,7 @@
             "endpoint_list": catalog(me=me, region=region, lists=lists, opt=opt),
             "service_scaler": need(me=me, region=region, opt=opt),
             "tenant_scaler": scaler(me=me, region=region, opt=opt),
-            "operator_api": desk(me=me, cores=cores, opt=opt, rng=rng),
+            "operator_api": MachineComponent(OperatorApi(own_name=me, tuning=opt, rng=rng)),
         }
         if disk:
             p["control"] = control
--- a/silverglade/testbed/simulator/inspection.py
+++ b/silverglade/testbed/simulator/inspection.py
@@ -41,17 +41,17 @@
     @property
     def members(self) -> Any:
         """The live daemons, as this daemon knows them."""
-        return self._held("operator_api", "roll")
+        return self._held("operator_api", "reported").members
 
     @property
     def known_view(self) -> Any:
         """The newest view that any member speaks of: (epoch, primary, backups...)."""
-        return self._held("operator_api", "primary")()
+        return self._held("operator_api", "known_view")
 
     @property
     def required_replicas(self) -> Any:
         """How many replicas must be ready: (region, kind) to count."""
-        return self._held("operator_api", "want")
+        return self._held("operator_api", "reported").required_replicas
 
     @property
     def queried_core(self) -> Any:
--- a/silverglade/testbed/simulator/operators.py
+++ b/silverglade/testbed/simulator/operators.py
@@ -1,6 +1,6 @@
 """Operators and the daemons that take their calls, beside the simulated cores (design 10.6).
 
-A front-end runs the product's own `Calls`. What it says to the cores and hears from them may be held up for seconds, come
+A front-end runs the product's own `OperatorCalls`. What it says to the cores and hears from them may be held up for seconds, come
 twice, overtake or be lost; it may stand still. Sessions are operators: each makes one call after another, sends it again to
 another front-end after a second of silence or an unclear answer, and at last gives it up. The histories of all of them are
 judged by linearizable.py.
@@ -10,8 +10,9 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from ...configuration.operator_calls import Calls
-from ...runtime.effects import ZERO, milliseconds
+from ...configuration.operation_results import decode_result
+from ...configuration.operator_calls import OperatorCalls
+from ...runtime.effects import ZERO, Reply, Send, milliseconds
 from ..checkers.linearizability import Operation, Table, Verdict, Zone, judged
 from .control_cluster import SEC, Council
 
@@ -51,12 +52,12 @@
 
 
 class FrontEnd:
-    """A daemon that takes operators' calls: the product's Calls, with a network and a clock that are simulated."""
+    """A daemon that takes operators' calls: the product's OperatorCalls, with a network and a clock that are simulated."""
 
     def __init__(self, council: Council, name: str, trouble: Trouble):
         self.c, self.name, self.trouble = council, name, trouble
         self.rng = random.Random(f"{name}/{council.rng.getrandbits(40)}")
-        self.calls = Calls(opt=council.opt, rng=self.rng, primary=self.believed)
+        self.calls = OperatorCalls(tuning=council.opt, rng=self.rng, primary=self.believed)
         self.waiting, self.frozen, self.held, self.known = {}, False, [], ("", "")
         self.troubled, self.blocked = False, {self.reach: ZERO, self.hear: ZERO}  # each way: nothing arrives before then
         council.clients[name] = self
@@ -71,18 +72,16 @@
 
     def pulse(self):
         if not self.frozen:
-            self.act(self.calls.pulse)
+            self.act(self.calls.on_timer)
         self.c.after(self.c.opt["beat"] / 5, self.pulse)
 
     def act(self, step, *args):
         """A step of the calls, and what it has for the cores or the callers."""
-        out = []
-        step(*args, self.c.now, out)
-        for effect in out:
+        for effect in step(*args, self.c.now):
             match effect:
-                case ("send", to, body):
+                case Send(to, body):
                     self.carry(self.reach, to, body)
-                case ("reply", call_id, code, fields) if call_id in self.waiting:
+                case Reply(call_id, code, fields) if call_id in self.waiting:
                     told = self.waiting.pop(call_id)
                     if self.rng.random() >= self.trouble.answers_lost:
                         self.c.after(self.near(), told, code, fields)
@@ -114,9 +113,9 @@
         if self.frozen:
             self.held.append((self.hear, core, body))
         elif body[0] == "fenced":
-            self.act(self.calls.fenced, *body[1:])
+            self.act(self.calls.on_fencing_token, *body[1:])
         elif body[0] == "opr":
-            self.act(self.calls.answered, body[1], core, body[2])
+            self.act(self.calls.on_result, body[1], core, decode_result(body[2]))
 
     def call(self, call_id, change, op, told):
         """An operator's call; while the front-end stands still it waits in the kernel."""
@@ -124,7 +123,7 @@
         if self.frozen:
             self.held.append((self.call, call_id, change, op, told))
         else:
-            self.act(lambda now, out: self.calls.begin(call_id, change, op, now, out))
+            self.act(self.calls.begin, call_id, change, op)
 
     def leave(self, call_id):
         """The caller closes its connection."""
@@ -135,14 +134,14 @@
             self.held = [h for h in self.held if not (h[0] == self.call and h[1] == call_id)]
             self.held.append((self.leave, call_id))
         else:
-            self.calls.left(call_id)
+            self.calls.on_caller_disconnected(call_id)
 
     def freeze(self, on):
         if on == self.frozen:
             return
         self.frozen = on
         if not on:
-            self.act(self.calls.froze)
+            self.act(self.calls.on_process_paused)
             held, self.held = self.held, []
             for step, *args in held:
                 step(*args)
--- a/tests/configuration/test_bad_input.py
+++ b/tests/configuration/test_bad_input.py
@@ -9,16 +9,13 @@
 import pytest
 
 from silverglade.configuration import schema as config
-from silverglade.configuration.operator_calls import Calls
 from silverglade.control import replicated_state as bk
 from silverglade.control import store as stores
 from silverglade.http.app import app
 from silverglade.runtime.effects import milliseconds
 from silverglade.runtime.errors import RESULT_CODES
-from silverglade.runtime.settings import tuning
 from silverglade.server.daemon import Daemon as Real
 from silverglade.server.priority_queues import PriorityQueues
-from silverglade.testbed.simulator.scenario import SEC
 from silverglade.transport import framing as wire
 from silverglade.transport.connections import PeerConnections
 
@@ -286,75 +283,6 @@
     assert [e and e[0] for e in events] == ["call", "call-gone", None]  # of the one that left at once nothing was begun
 
 
-class Asked:
-    """Calls with a primary that is asked by hand."""
-
-    def __init__(self, **kw):
-        self.out, self.now = [], 100 * SEC
-        self.calls = Calls(opt=tuning(**kw), rng=random.Random(1), primary=lambda: "p")
-
-    def begin(self, cid="c", op=("evac", "z", True), **kw):
-        self.calls.begin(cid, "id", op, self.now, self.out, **kw)
-        return self.took()
-
-    def took(self):
-        out, self.out[:] = tuple(self.out), ()
-        return out
-
-    def fenced(self, number, version=(1, 1), after=0):
-        self.now += milliseconds(after)
-        self.calls.fenced(number, version, self.now, self.out)
-        return self.took()
-
-    def told(self, number, result, after=0):
-        self.now += milliseconds(after)
-        self.calls.answered(number, "p", result, self.now, self.out)
-        return self.took()
-
-
-def test_a_change_without_a_base_is_sent_only_with_one_that_came_while_its_caller_was_there():
-    a = Asked()
-    ((_, to, (kind, n, op)),) = a.begin()
-    assert (to, kind, op) == ("p", "fence", ("evac", "z", True))
-    ((_, _, sent),) = a.fenced(n, after=799)
-    assert sent[0] == "op" and sent[3] == ("evac", "z", True, (1, 1))
-    assert a.fenced(n, (9, 9)) == ()  # a late second answer
-    ((_, _, (_, n, _)),) = a.begin("d")
-    assert a.fenced(n, after=801) == (("reply", "d", 503, {"change": "id"}),) and a.fenced(n) == ()
-    ((_, _, (_, n, _)),) = a.begin("e", wait=milliseconds(3000))  # it said that it waits
-    assert a.fenced(n, after=2900)[0][2][0] == "op"
-    assert a.begin("f", op=("table", 1, 2, {}, "t"))[0][2][0] == "op"  # it has a base of its own
-
-
-def test_a_stale_base_is_read_again_only_while_the_caller_is_there():
-    a = Asked()
-    ((_, _, (_, n, _)),) = a.begin()
-    a.fenced(n)
-    assert a.told(n, ("stale",), after=300)[0][2][0] == "fence"
-    assert a.fenced(n, (1, 7))[0][2][3][-1] == (1, 7)
-    assert a.told(n, ("stale",), after=600) == (("reply", "c", 503, {"change": "id"}),)
-    ((_, _, (_, n, *_)),) = a.begin("d", op=("table", 1, 2, {}, "t"))
-    assert a.told(n, ("stale",)) == (("reply", "d", 503, {"change": "id"}),)  # its outcome may be forgotten
-
-
-def test_after_a_freeze_what_cannot_be_dated_is_given_up():
-    a = Asked()
-    ((_, _, (_, n, _)),) = a.begin()
-    a.calls.froze(a.now, a.out)
-    assert a.took() == (("reply", "c", 503, {"change": "id"}),) and a.fenced(n) == ()
-    assert a.begin("d") == (("reply", "d", 504, {"change": "id"}),)
-    assert a.begin("e", op=("table", 1, 2, {}, "t"))[0][2][0] == "op"
-    a.now += milliseconds(251)
-    assert a.begin("f")[0][2][0] == "fence"
-
-
-def test_a_caller_that_left_leaves_nothing_behind():
-    a = Asked()
-    ((_, _, (_, n, _)),) = a.begin()
-    a.calls.left("c")
-    assert a.fenced(n) == () and a.told(n, ("ok", (1, 1))) == () and not a.calls.under_way
-
-
 def test_the_products_face_hands_on_how_long_its_caller_waits():
     d = Daemon(reply=(100, {"version": [1, 3]}))
     for head in ([], [("Silverglade-Wait", "2500")]):
--- a/tests/testbed/test_linearizability.py
+++ b/tests/testbed/test_linearizability.py
@@ -168,7 +168,7 @@
 
 
 BOOK, REPLICATION = "silverglade.control.replicated_state", "silverglade.control.replication"
-CALLS = "silverglade.testbed.simulator.operators.Calls"
+CALLS = "silverglade.testbed.simulator.operators.OperatorCalls"
 
 
 def a_cut_off_primary_is_read(seed):
@@ -197,7 +197,7 @@
         "a change is fenced when its caller may have gone",
         lambda seed: zone(seed, CUT_BEFORE),
         "silverglade.configuration.operator_calls",
-        ("if now > call.until:", " or call.wants_base and now > call.until"),
+        ("if now > call.caller_waits_until:", " or call.lacks_fencing_token and now > call.caller_waits_until"),
         ("if False:", ""),
         CALLS,
     ),
