--- a/silverglade/runtime/daemon_machine.py
+++ b/silverglade/runtime/daemon_machine.py
@@ -9,8 +9,9 @@
 from .. import __version__
 from ..autoscaling.service_scaler import ServiceScaler
 from ..autoscaling.tenant_scaler import TenantScaler
-from ..configuration.operator_api import desk
-from ..configuration.updates import keeper, news
+from ..configuration.operator_api import OperatorApi
+from ..configuration.updater import Updater
+from ..configuration.updates import keeper
 from ..control.core import core
 from ..membership.core_table import CoreTable
 from ..membership.member import Membership
@@ -89,6 +90,14 @@
         first=True,
     ):
         self.me = me
+        saved = saved or {}
+        if disk:  # made first, since it draws from `rng` before the others do
+            control = core(
+                me=me, disk=disk, cores=cores, saved=saved, opt=opt, rng=rng, place=(zone, region), tolerance=tolerance, first=first
+            )
+        updater = Updater(
+            own_name=me, zone=zone, region=region, is_core=bool(disk), own_address=addr, seeds=tuple(seeds), tuning=opt, rng=rng
+        )
         p = self.parts = {
             "membership": MachineComponent(
                 Membership(
@@ -103,7 +112,7 @@
                 )
             ),
             "replica_registry": MachineComponent(ReplicaRegistry(is_core=bool(disk), tuning=opt)),
-            "updater": news(me=me, zone=zone, region=region, core=bool(disk), addr=addr, seeds=tuple(seeds), opt=opt, rng=rng),
+            "updater": MachineComponent(updater),
             "slot_leases": MachineComponent(SlotLeases(own_name=me, tuning=opt)),
             "shard_owner": MachineComponent(ShardOwner(own_name=me, zone=zone, tuning=opt)),
             "tenant_ingress": MachineComponent(TenantIngress(own_name=me, process_id=life, zone=zone, tuning=opt)),
@@ -111,13 +120,10 @@
             "endpoint_list": catalog(me=me, region=region, lists=lists, opt=opt),
             "service_scaler": MachineComponent(ServiceScaler(region=region, tuning=opt)),
             "tenant_scaler": MachineComponent(TenantScaler(region=region, tuning=opt)),
-            "operator_api": desk(me=me, cores=cores, opt=opt, rng=rng),
+            "operator_api": MachineComponent(OperatorApi(own_name=me, tuning=opt, rng=rng)),
         }
         if disk:
-            saved = saved or {}
-            p["control"] = core(
-                me=me, disk=disk, cores=cores, saved=saved, opt=opt, rng=rng, place=(zone, region), tolerance=tolerance, first=first
-            )
+            p["control"] = control
             p["core_table"] = MachineComponent(CoreTable(name=me, process_id=life, peer_address=addr, seeds=seeds, tuning=opt))
             p["role_assigner"] = keeper(cores=cores, opt=opt)
             p["claim_follower"] = MachineComponent(ClaimFollower(own_name=me, saved=saved, tuning=opt))
