--- a/silverglade/control/state.py
+++ b/silverglade/control/state.py
@@ -1,4 +1,4 @@
-"""The state of a core's control part (design 5): plain typed values, which values.py copies and compares."""
+"""The state of a control core (design 5): plain typed values, which values.py copies and compares."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 from typing import Any, NamedTuple
 
 from ..runtime.effects import ZERO
-from . import register as rg
-from . import replicated_state as bk
 from .heartbeat import Peers
-from .messages import Items, Result, Version
+from .operation_results import Result
+from .operations import ControlOperation
 from .outcomes import Ages
 from .register import Register
+from .register import read as read_register
+from .replicated_state import INITIAL_VERSION, Items, Version
 from .seek import Seeker
 from .spread import Place, Tolerance
 from .store import Store
@@ -27,8 +28,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CoreSettings:
-    """What a core is told when it starts, and never changes. named: the cores that form the first view; tuning: the time
-    settings, shared by all parts of the daemon and never written here."""
+    """What a core is given when it starts, and never changes.
+
+    :ivar named: the cores that form the first view.
+    :ivar may_form: whether this core may form the first view (design 5.5).
+    :ivar formed_before: whether its disk says so from an earlier start.
+    :ivar tuning: time settings and limits, shared by all components and never written here.
+    """
 
     name: str
     disk: str
@@ -43,7 +49,7 @@
 
 
 class StoreOnDisk(Enum):
-    """Is the store on this core's disk as it is held in memory?"""
+    """Whether the store on this core's disk is as it is held in memory."""
 
     WHOLE = "whole"
     WRITING = "writing"  # it is being written anew
@@ -51,16 +57,21 @@
 
 
 class QueuedOperation(NamedTuple):
-    """An operation that waits for its turn; nobody is told of it where `client` is None."""
+    """An operation that waits for its turn.
+
+    :ivar client: who is told the result; None for nobody.
+    :ivar change: the operator's own id of the change; "" for none.
+    :ivar digest: of the operation's text.
+    """
 
     client: Client | None
     change: str
-    operation: tuple[Any, ...]
+    operation: ControlOperation
     digest: str
 
 
 class Answer(NamedTuple):
-    """What a client will be told."""
+    """The result of an operation, for its client."""
 
     client: Client | None
     result: Result
@@ -68,10 +79,16 @@
 
 @dataclass(slots=True)
 class PendingChange:
-    """The one change in flight: of all operations that were worked out together, in their order. Without items it is but the
-    question of reads and refusals whether the view still holds.
+    """The one change in flight: of all operations that were settled together, in their order.
+
+    They are answered when `synced_here` and `synced_by` holds every backup. Without items it only asks the backups whether the
+    view still holds, for reads and refusals.
 
-    They are answered when `synced_here` and `synced_by` holds every backup. version: that of the store with it; previous: before.
+    :ivar version: of the store with the change.
+    :ivar previous: of the store before it.
+    :ivar synced_here: whether the primary's own disk has synced it.
+    :ivar nonce: names the change among those of the epoch.
+    :ivar sent: when it was last sent to the backups.
     """
 
     answers: tuple[Answer, ...]
@@ -101,7 +118,7 @@
 
 
 class HeldRequest(NamedTuple):
-    """A daemon's request for news that is held until there is some."""
+    """A daemon's request for updates that is held until there is one."""
 
     received: timedelta
     sender: str
@@ -112,19 +129,19 @@
 
 @dataclass(slots=True)
 class CoreState:
-    """All that a core's control part knows. One step changes it at a time; nothing else does.
+    """All that a control core knows. Only a step changes it.
 
-    On disk before anything is said that rests on it: `register`, `sealed`, `recruited`, `served` and `store`; `shown_items` and
-    `shown_version` follow by and by, and may be behind on disk.
+    On disk before anything is said that rests on it: `register`, `sealed`, `recruited`, `served` and `store`; `committed_items` and
+    `committed_version` follow by and by, and may be behind on disk.
 
     Invariants:
-    - `view.epoch` never falls; `sealed`, `recruited`, `served`, `shown_version` and the register's promise never fall.
+    - `view.epoch` never falls; `sealed`, `recruited`, `served`, `committed_version` and the register's promise never fall.
     - `register.base == view`: what is known to be chosen is what the witness holds as its base.
     - `open_epoch` is 0 or `view.epoch`, and is not 0 only on the primary, after all backups have synced its whole store.
     - A backup takes changes of `view` only while `served == view.epoch > sealed`.
     - On disk, the shown items lack nothing up to the shown version there.
     - `pending` is None but on the primary of `view`: begun in it, or, until the view is open, part of `store`.
-    - Every version in `shown_items` is at most `shown_version`, and was acknowledged or synced by all members of a view.
+    - Every version in `committed_items` is at most `committed_version`, and was acknowledged or synced by all members of a view.
     - `proofs` and `snapshot_synced_by` name backups of `view` alone.
     """
 
@@ -137,8 +154,8 @@
     served: int
     # what control holds, and what of it may be told to others (design 5.7)
     store: Store
-    shown_items: Store
-    shown_version: Version
+    committed_items: Store
+    committed_version: Version
     store_on_disk: StoreOnDisk
     writes: Writes
     # the other cores
@@ -147,8 +164,8 @@
     # what this life adds to its clock in the stamps of its heartbeats, so that no other life's stamp is taken for one of ours
     stamp_origin: int
     # of the shown items: what is not on disk yet, by key, and whether a write of some is under way
-    shown_unwritten: dict[str, DiskOperation] = field(default_factory=dict)
-    shown_write_under_way: bool = False
+    committed_unwritten: dict[str, DiskOperation] = field(default_factory=dict)
+    committed_write_under_way: bool = False
     met: set[str] = field(default_factory=set)  # by the roll, or by a heartbeat
     leaving: set[str] = field(default_factory=set)  # those that said that they leave, and are not back
     live: dict[str, str] = field(default_factory=dict)  # those that may be named in a view, and since when they are the same
@@ -183,7 +200,7 @@
 
 
 def may_form_first_view(*, name: str, named: Iterable[str], first: bool, formed_before: bool) -> bool:
-    """May this core form the first view (design 5.5)? It started with `first`, now or, by its own note on disk, before."""
+    """Tell whether this core may form the first view (design 5.5): it was started for that, now or, by its disk, before."""
     return name in named and (first or formed_before)
 
 
@@ -196,8 +213,8 @@
     place: Place,
     stamp_origin: int = 0,
 ) -> CoreState:
-    """The state after a start, from what was last synced."""
-    register = rg.read(meta)
+    """Return the state after a start, from the tables on disk as last synced."""
+    register = read_register(meta)
     return CoreState(
         register=register,
         view=register.base,
@@ -205,8 +222,8 @@
         recruited=meta.get("recruited", 0),
         served=meta.get("served", 0),
         store=dict(store),
-        shown_items=dict(shown),
-        shown_version=meta.get("shown", bk.INITIAL_VERSION),
+        committed_items=dict(shown),
+        committed_version=meta.get("shown", INITIAL_VERSION),
         store_on_disk=StoreOnDisk.WHOLE,
         writes=Writes(settings.tuning),
         peers=Peers(settings.tuning),
--- a/silverglade/runtime/daemon_machine.py
+++ b/silverglade/runtime/daemon_machine.py
@@ -11,8 +11,8 @@
 from ..autoscaling.tenant_scaler import TenantScaler
 from ..configuration.operator_api import OperatorApi
 from ..configuration.updater import Updater
-from ..configuration.updates import keeper
 from ..control.core import core
+from ..control.role_assigner import RoleAssigner
 from ..membership.core_table import CoreTable
 from ..membership.member import Membership
 from ..membership.zone_relay import ZoneRelay
@@ -125,7 +125,7 @@
         if disk:
             p["control"] = control
             p["core_table"] = MachineComponent(CoreTable(name=me, process_id=life, peer_address=addr, seeds=seeds, tuning=opt))
-            p["role_assigner"] = keeper(cores=cores, opt=opt)
+            p["role_assigner"] = MachineComponent(RoleAssigner(tuning=opt))
             p["claim_follower"] = MachineComponent(ClaimFollower(own_name=me, saved=saved, tuning=opt))
         else:
             p["zone_relay"] = MachineComponent(ZoneRelay(zone=zone, tuning=opt))
--- a/tests/system/test_safety_rules.py
+++ b/tests/system/test_safety_rules.py
@@ -207,7 +207,13 @@
                 ("if False:", "]", "self.store_version = answer.version", "if False:"),
                 "silverglade.runtime.daemon_machine.Updater",
             ),
-            ("silverglade.control.replicated_state", "if iv > v and not", "if not", "silverglade.control.replicated_state.items_since"),
+            (
+                "silverglade.control.replicated_state",
+                "if item_version > version and not",
+                "if not",
+                "silverglade.control.replicated_state.items_since",
+                "silverglade.control.serving.items_since",
+            ),
         ],
     ),
     (
@@ -233,7 +239,15 @@
     (
         two_operators_race,
         "both-won",
-        [("silverglade.control.replicated_state", "if base != held:", "if False:", "silverglade.control.replicated_state.decide")],
+        [
+            (
+                "silverglade.control.decisions",
+                "if operation.base != held:",
+                "if False:",
+                "silverglade.control.decisions.decide_configuration",
+                "silverglade.control.decisions.decide_table",
+            )
+        ],
     ),
     (
         a_replica_returns_cold_into_a_crowd,
