--- a/silverglade/http/metrics.py
+++ b/silverglade/http/metrics.py
@@ -34,7 +34,7 @@
         ("running", st.get("orders", {}).get("running", 0)),
         ("config_epoch", st["config"][0]),
         ("config_number", st["config"][1]),
-        ("messages_dropped", d.links.lost),
+        ("messages_dropped", d.links.dropped),
     ):
         g.add_metric([k], -1 if v is None else v)
     rep = GaugeMetricFamily("silverglade_replica_slots", "Slots by replica", labels=["replica", "what"])
--- a/silverglade/server/daemon.py
+++ b/silverglade/server/daemon.py
@@ -45,7 +45,7 @@
         self.life = secrets.token_hex(6)
         self.lanes, self.bodies, self.held = PriorityQueues(), 0, set()
         self.disk_put, self.disk_get = anyio.create_memory_object_stream(DISK)
-        self.links = PeerConnections(me=s["name"], life=self.life, addr=s["listen"], heard=self.lanes.heard, lg=lg)
+        self.links = PeerConnections(own_name=s["name"], process_id=self.life, address=s["listen"], on_message=self.lanes.heard, logger=lg)
         self.hub = DaemonMachine(
             me=s["name"],
             life=self.life,
@@ -131,7 +131,7 @@
             case ("send", to, body):
                 self.links.send(to, body)
             case ("peer", name, addr):
-                self.links.peer(name, addr)
+                self.links.set_address(name, addr)
             case ("disk", token, ops):
                 try:
                     self.disk_put.send_nowait((token, ops))
@@ -222,7 +222,7 @@
     async def pulse(self):
         """As often as some part wants it, at most each `pulse` (1.5)."""
         sec = timedelta(seconds=1)
-        await self.links.up.wait()  # what the first pulse sends would be lost, and is asked again late
+        await self.links.listening.wait()  # what the first pulse sends would be lost, and is asked again late
         while True:
             self.lanes.pulse()
             await anyio.sleep(self.opt["pulse"] / sec)
--- a/silverglade/testbed/experiments/fleet_cost.py
+++ b/silverglade/testbed/experiments/fleet_cost.py
@@ -38,7 +38,7 @@
 
         def deliver(frm, to, body):
             if self.on:
-                n = len(wire.encode_frame(frm=frm.name, life=frm.life, body=body))
+                n = len(wire.encode_frame(sender=frm.name, process_id=frm.life, body=body))
                 at = w.by_addr.get(to[1:]) if to.startswith("@") else w.nodes.get(to)
                 self.sent[frm.name] += n
                 self.kinds[body[0]] += n
--- a/silverglade/testbed/simulator/daemons.py
+++ b/silverglade/testbed/simulator/daemons.py
@@ -82,13 +82,13 @@
     @staticmethod
     def moves_at(since, until):
         """When a connection whose bytes were held up from then until then takes bytes again."""
-        untaken = milliseconds(links.UNTAKEN)
+        untaken = milliseconds(links.UNACKNOWLEDGED_TIMEOUT_MS)
         if until - since >= untaken:  # ended and made anew
-            return until + timedelta(seconds=links.CONNECT + links.LONGEST_PAUSE)
+            return until + timedelta(seconds=links.CONNECT_TIMEOUT_S + links.MAX_PAUSE_S)
         again, wait = since, milliseconds(200)
         while again < until:
             again, wait = again + wait, 2 * wait
-        return min(again, max(until, since + untaken) + timedelta(seconds=links.CONNECT + links.LONGEST_PAUSE))
+        return min(again, max(until, since + untaken) + timedelta(seconds=links.CONNECT_TIMEOUT_S + links.MAX_PAUSE_S))
 
 
 class Node(DaemonInspection):
@@ -237,7 +237,7 @@
         if n is None:
             return
         if self.num % 16 == 0:  # some go through the codec, all could
-            body = wire.decode_frame(wire.encode_frame(frm=frm.name, life=frm.life, body=body)[4:])[2]
+            body = wire.decode_frame(wire.encode_frame(sender=frm.name, process_id=frm.life, body=body)[4:])[2]
         self.oracle.watch.sent(frm, n, body)
         bulk = body[0] in wire.BULK_MESSAGES  # a connection of its own, as in daemons (3.1)
         way = (frm.life, n.name, "bulk" if bulk else queue_for(body[0]))
@@ -245,7 +245,7 @@
             return
         at = max(self.now + self.hop(frm.zone, n.zone), self.links.get(way, ZERO))
         if bulk and self.rate:
-            at += timedelta(seconds=len(wire.encode_frame(frm=frm.name, life=frm.life, body=body)) / self.rate)
+            at += timedelta(seconds=len(wire.encode_frame(sender=frm.name, process_id=frm.life, body=body)) / self.rate)
         self.links[way] = at
         self.after(at - self.now, self.arrive, frm.name, n, n.life, body)
 
--- a/silverglade/transport/message_schemas.py
+++ b/silverglade/transport/message_schemas.py
@@ -1,14 +1,41 @@
-"""The shape of every message between daemons (design 3.2): checked before a part sees it.
+"""The shape of every message between daemons (design 3.2), checked before a component handles it.
 
-Letters: s text, i whole number, m milliseconds (a whole number that a time can hold), f number, b flag, y bytes,
-t tuple, v version (two whole numbers), o ballot (number, text), ? anything. "..." at the end: any rest.
+A shape is a text with one letter a field, in the order of the fields behind the kind; `FieldType` says what each letter stands for.
+A shape that ends with `ANY_REST` allows any further fields, which are then passed on. Some kinds are checked deeper than that:
+`DEEP_CHECKS` holds a function for each.
 """
 
-from ..membership import replicated_table as soft
+from __future__ import annotations
 
-LONGEST = 1 << 53  # milliseconds, either way: far within what a timedelta holds
+from collections.abc import Callable, Iterable
+from enum import StrEnum
+from typing import Any
 
-MESSAGE_SHAPES = {
+from ..membership.replicated_table import is_delta, is_published_rows, is_stamped_rows, is_vector
+from .framing import Body
+
+ANY_REST = "..."
+"""At the end of a shape: any further fields."""
+
+MAX_MILLISECONDS = 1 << 53
+"""Either way: far within what a timedelta holds."""
+
+
+class FieldType(StrEnum):
+    """The letters of a shape."""
+
+    TEXT = "s"
+    INTEGER = "i"
+    MILLISECONDS = "m"  # an integer that a time can hold
+    FLAG = "b"
+    BYTES = "y"
+    TUPLE = "t"
+    VERSION = "v"  # two integers, neither below 0
+    BALLOT = "o"  # an integer and a text
+    ANYTHING = "?"
+
+
+MESSAGE_SHAPES: dict[str, str] = {
     "alive": "ii",
     "doubted": "",
     "told": "t",
@@ -62,89 +89,184 @@
     "adopt": "si",
     "copy": "siit",
 }
-MAX_KNOWN_FIELDS = {"get": 4, "news": 7}  # of those whose last field came later
-
-
-def fits(x, k):
-    match k:
-        case "s":
-            return type(x) is str
-        case "i":
-            return type(x) is int
-        case "m":
-            return type(x) is int and -LONGEST <= x <= LONGEST
-        case "f":
-            return type(x) in (int, float)
-        case "b":
-            return type(x) is bool
-        case "y":
-            return type(x) is bytes
-        case "t":
-            return type(x) is tuple
-        case "v":
-            return type(x) is tuple and len(x) == 2 and all(type(n) is int and n >= 0 for n in x)
-        case "o":
-            return type(x) is tuple and len(x) == 2 and type(x[0]) is int and type(x[1]) is str
-    return True
-
-
-def sound(body):
-    sh = MESSAGE_SHAPES.get(body[0])
-    if sh is None:
-        return False
-    rest = body[1:]
-    sh = sh.removesuffix("...")
-    return len(rest) >= len(sh) and all(fits(x, k) for x, k in zip(rest, sh))
-
-
-def known_fields(body):
-    """The fields that this program knows: a later one may have added some behind them (3.2)."""
-    sh = MESSAGE_SHAPES[body[0]]
-    n = MAX_KNOWN_FIELDS.get(body[0])
-    return body[:n] if n else body if sh.endswith("...") else body[: 1 + len(sh)]
-
-
-def rows(t, sh):
-    """Every row of a tuple has this shape."""
-    return all(type(r) is tuple and len(r) == len(sh) and all(fits(x, k) for x, k in zip(r, sh)) for r in t)
-
-
-DEEP = {
-    "adopted": lambda b: rows(b[3], "sssi"),
-    "copy": lambda b: rows(b[4], "sssi"),
-    "told": lambda b: soft.is_published_rows(b[1]),
-    "sync": lambda b: soft.is_vector(b[2]) and soft.is_vector(b[3]) and soft.is_stamped_rows(b[4]),
-    "get": lambda b: len(b) >= 4 and (type(b[3]) is int or soft.is_vector(b[3])) or len(b) == 3,
-    "renew": lambda b: rows(b[3], "ss"),
-    "ask": lambda b: rows((b[5][:4],), "sssi"),
-    "opr": lambda b: (
-        len(b[2]) >= 1
-        and type(b[2][0]) is str
-        and (
-            b[2][0] not in ("ok", "refuse", "elsewhere")
-            or rows((b[2],), {"ok": "svs" if len(b[2]) == 3 else "sv", "refuse": "sis", "elsewhere": "ss"}[b[2][0]])
-        )
-    ),
-    "news": lambda b: rows(b[3], "sv?") and (len(b) == 6 or soft.is_delta(b[6])),
-    "snap": lambda b: rows(b[4], "sv?"),
-    "repl": lambda b: rows(b[5], "sv?"),
-    "items": lambda b: rows(b[4], "sv?"),
-    "op": lambda b: type(next(iter(b[3]), None)) is str and sound_op(b[3]),
-    "fence": lambda b: b[2][:1] in (("evac",), ("reopen",)) and rows((b[2][1:],), OPS[b[2][0]]),
+"""Kind of a message -> the shape of its fields."""
+
+MAX_KNOWN_FIELDS = {"get": 4, "news": 7}
+"""Kinds whose last field came with a later program -> how many fields there are now, the kind among them."""
+
+ITEM_SHAPE = "sv?"
+"""An item of the store: key, version, value."""
+
+CLAIM_SHAPE = "sssi"
+"""A claim of a tenant's request."""
+
+FACTS_SHAPE = "sssi"
+"""The first facts of a tenant's request; others follow."""
+
+LEASE_SHAPE = "ss"
+"""A slot lease: its id, and its daemon."""
+
+OPERATION_SHAPES = {"config": "v?", "table": "ii?s", "read": "", "evac": "sb", "reopen": "s", "duty": "ssiss", "drop": "st"}
+"""Kind of an operation of control -> the shape of its fields."""
+
+GROUPED_ROLE_CHANGES = "duties"
+"""The kind of an operation that holds several changes of roles."""
+
+FENCED_OPERATIONS = ("evac", "reopen")
+"""Operations that carry the version on which they rest behind their own fields (design 5.4)."""
+
+OPERATION_OUTCOMES = ("ok", "refuse", "elsewhere")
+"""Outcomes of an operation whose fields are known; others are passed on as they are."""
+
+
+def _is_version(value: Any) -> bool:
+    """Whether a value is a version: (epoch, number)."""
+    return type(value) is tuple and len(value) == 2 and all(type(number) is int and number >= 0 for number in value)
+
+
+def _is_ballot(value: Any) -> bool:
+    """Whether a value is a ballot: (number, name of the proposer)."""
+    return type(value) is tuple and len(value) == 2 and type(value[0]) is int and type(value[1]) is str
+
+
+FIELD_CHECKS: dict[str, Callable[[Any], bool]] = {
+    FieldType.TEXT: lambda value: type(value) is str,
+    FieldType.INTEGER: lambda value: type(value) is int,
+    FieldType.MILLISECONDS: lambda value: type(value) is int and -MAX_MILLISECONDS <= value <= MAX_MILLISECONDS,
+    FieldType.FLAG: lambda value: type(value) is bool,
+    FieldType.BYTES: lambda value: type(value) is bytes,
+    FieldType.TUPLE: lambda value: type(value) is tuple,
+    FieldType.VERSION: _is_version,
+    FieldType.BALLOT: _is_ballot,
+    FieldType.ANYTHING: lambda value: True,
 }
 
-OPS = {"config": "v?", "table": "ii?s", "read": "", "evac": "sb", "reopen": "s", "duty": "ssiss", "drop": "st"}
-FENCED_OPERATIONS = ("evac", "reopen")  # they carry the version that they rest on behind their own fields (design 5.4)
+
+def _fields_fit(values: Iterable[Any], shape: str) -> bool:
+    """Whether each value is of the type of its letter; of more values than letters the rest is not looked at."""
+    return all(FIELD_CHECKS[letter](value) for value, letter in zip(values, shape))
+
+
+def has_stated_shape(body: Body) -> bool:
+    """Whether a message is of a known kind and its fields are of the stated types. More fields may follow (design 3.2)."""
+    shape = MESSAGE_SHAPES.get(body[0])
+    if shape is None:
+        return False
+    fields = body[1:]
+    shape = shape.removesuffix(ANY_REST)
+    return len(fields) >= len(shape) and _fields_fit(fields, shape)
+
+
+def known_fields(body: Body) -> Body:
+    """Return a message without the fields that a later program has added (design 3.2)."""
+    kind = body[0]
+    known = MAX_KNOWN_FIELDS.get(kind)
+    if known:
+        return body[:known]
+    shape = MESSAGE_SHAPES[kind]
+    return body if shape.endswith(ANY_REST) else body[: 1 + len(shape)]
 
 
-def sound_op(op):
-    if op[:1] == ("duties",):
-        return len(op) == 2 and type(op[1]) is tuple and rows(op[1], OPS["duty"])
-    if not op or op[0] not in OPS:
+def _is_row(row: Any, shape: str) -> bool:
+    """Whether a row has exactly this shape."""
+    return type(row) is tuple and len(row) == len(shape) and _fields_fit(row, shape)
+
+
+def _are_rows(rows: Iterable[Any], shape: str) -> bool:
+    """Whether every row has exactly this shape."""
+    return all(_is_row(row, shape) for row in rows)
+
+
+def _rows_in_field(position: int, shape: str) -> Callable[[Body], bool]:
+    """Return a check that every row in one field of a message has this shape."""
+
+    def check(body: Body) -> bool:
+        return _are_rows(body[position], shape)
+
+    return check
+
+
+def _is_valid_publication(body: Body) -> bool:
+    """("told", rows of soft state)."""
+    return bool(is_published_rows(body[1]))
+
+
+def _is_valid_grant_request(body: Body) -> bool:
+    """("ask", request id, attempt, tenant, epoch, facts): the first four facts."""
+    return _is_row(body[5][: len(FACTS_SHAPE)], FACTS_SHAPE)
+
+
+def _is_valid_sync(body: Body) -> bool:
+    """("sync", token, vector, vector of the dead, rows)."""
+    return bool(is_vector(body[2]) and is_vector(body[3]) and is_stamped_rows(body[4]))
+
+
+def _is_valid_update_request(body: Body) -> bool:
+    """("get", call id, version), and from a later program on a token or a vector of soft state."""
+    return len(body) == 3 or type(body[3]) is int or bool(is_vector(body[3]))
+
+
+def _is_valid_operation_outcome(body: Body) -> bool:
+    """("opr", call id, (outcome, fields of it))."""
+    outcome = body[2]
+    if not outcome or type(outcome[0]) is not str:
+        return False
+    if outcome[0] not in OPERATION_OUTCOMES:
+        return True
+    with_text = len(outcome) == 3
+    return _is_row(outcome, {"ok": "svs" if with_text else "sv", "refuse": "sis", "elsewhere": "ss"}[outcome[0]])
+
+
+def _is_valid_update(body: Body) -> bool:
+    """("news", call id, version, items, two ages in ms), and from a later program on a delta of soft state."""
+    return _are_rows(body[3], ITEM_SHAPE) and (len(body) == 6 or bool(is_delta(body[6])))
+
+
+def _is_valid_operation_message(body: Body) -> bool:
+    """("op", call id, change id, operation, key)."""
+    operation = body[3]
+    return bool(operation) and type(operation[0]) is str and is_valid_operation(operation)
+
+
+def _is_valid_fence(body: Body) -> bool:
+    """("fence", call id, operation): only of operations that are fenced."""
+    operation = body[2]
+    return operation[:1] in (("evac",), ("reopen",)) and _is_row(operation[1:], OPERATION_SHAPES[operation[0]])
+
+
+def is_valid_operation(operation: Body) -> bool:
+    """Whether an operation of control is of a known kind and shape."""
+    if operation[:1] == (GROUPED_ROLE_CHANGES,):
+        return len(operation) == 2 and type(operation[1]) is tuple and _are_rows(operation[1], OPERATION_SHAPES["duty"])
+    if not operation or operation[0] not in OPERATION_SHAPES:
         return False
-    shape = OPS[op[0]]
-    return rows((op[1:],), shape) or op[0] in FENCED_OPERATIONS and rows((op[1:],), shape + "v")
+    kind, fields = operation[0], operation[1:]
+    shape = OPERATION_SHAPES[kind]
+    return _is_row(fields, shape) or kind in FENCED_OPERATIONS and _is_row(fields, shape + FieldType.VERSION)
 
 
-def is_valid_message(body):
-    return sound(body) and DEEP.get(body[0], lambda b: True)(body)
+DEEP_CHECKS: dict[str, Callable[[Body], bool]] = {
+    "adopted": _rows_in_field(3, CLAIM_SHAPE),
+    "copy": _rows_in_field(4, CLAIM_SHAPE),
+    "told": _is_valid_publication,
+    "sync": _is_valid_sync,
+    "get": _is_valid_update_request,
+    "renew": _rows_in_field(3, LEASE_SHAPE),
+    "ask": _is_valid_grant_request,
+    "opr": _is_valid_operation_outcome,
+    "news": _is_valid_update,
+    "snap": _rows_in_field(4, ITEM_SHAPE),
+    "repl": _rows_in_field(5, ITEM_SHAPE),
+    "items": _rows_in_field(4, ITEM_SHAPE),
+    "op": _is_valid_operation_message,
+    "fence": _is_valid_fence,
+}
+"""Kind of a message -> a check of what lies within its fields. The message has its stated shape by then."""
+
+
+def is_valid_message(body: Body) -> bool:
+    """Whether a message may be handled: it has its stated shape, and so has what lies within its fields."""
+    if not has_stated_shape(body):
+        return False
+    deep_check = DEEP_CHECKS.get(body[0])
+    return deep_check is None or deep_check(body)
--- a/tests/configuration/test_after_partitions.py
+++ b/tests/configuration/test_after_partitions.py
@@ -47,7 +47,7 @@
 
 
 def test_without_a_bound_on_what_nobody_takes_a_region_stays_behind(monkeypatch):
-    monkeypatch.setattr(links, "UNTAKEN", 10**6)
+    monkeypatch.setattr(links, "UNACKNOWLEDGED_TIMEOUT_MS", 10**6)
     assert max(behind_after(1, length) for length in LENGTHS) > CONTACT
 
 
--- a/tests/configuration/test_bad_input.py
+++ b/tests/configuration/test_bad_input.py
@@ -213,7 +213,7 @@
         return
     assert got == ("ok", (1, 1))
     for body in frames(store, items):
-        assert wire.decode_frame(wire.encode_frame(frm="a", life="l", body=body)[4:])[2] == wire.lists_to_tuples(body)
+        assert wire.decode_frame(wire.encode_frame(sender="a", process_id="l", body=body)[4:])[2] == wire.lists_to_tuples(body)
 
 
 def test_a_configuration_at_the_bodys_limit_is_taken_and_the_next_one_too(monkeypatch):
@@ -225,14 +225,14 @@
     got, _ = bk.outcome(store, change="d", op=("table", 1, 2, dict(raw, number=2), "t"), key="k", at=(1, 2), prev=(1, 1))
     assert got == ("ok", (1, 2))
     monkeypatch.setattr(wire, "MAX_FRAME_BYTES", 3 << 20)  # smaller frames: refused, with the one in force untouched
-    monkeypatch.setattr(wire, "WIDE", 6 << 20)
+    monkeypatch.setattr(wire, "MAX_DECOMPRESSED_BYTES", 6 << 20)
     got, items = bk.outcome(store, change="e", op=("table", 1, 3, dict(raw, number=3), "t"), key="k", at=(1, 3), prev=(1, 2))
     assert got[:2] == ("refuse", 513) and not items
 
 
 def test_what_fits_no_frame_is_refused_at_the_door_with_413(monkeypatch):
     monkeypatch.setattr(wire, "MAX_FRAME_BYTES", 3 << 20)
-    monkeypatch.setattr(wire, "WIDE", 6 << 20)
+    monkeypatch.setattr(wire, "MAX_DECOMPRESSED_BYTES", 6 << 20)
     d = Control()
     status, got = replaced(d, changed(routes=[dict(CONFIG["routes"][1], name="x" * 200, path_prefix=f"/{i}/") for i in range(9000)]))
     assert (status, got["code"]) == (413, 513) and d.said == []
@@ -240,8 +240,8 @@
 
 def test_a_message_that_cannot_be_packed_is_logged_and_the_daemon_lives():
     lg = Quiet()
-    links = PeerConnections(me="a", life="l", addr="127.0.0.1:1", heard=None, lg=lg)
-    links.at["b"], links.group = "127.0.0.1:2", type("Group", (), {"start_soon": lambda self, *a: None})()
+    links = PeerConnections(own_name="a", process_id="l", address="127.0.0.1:1", on_message=None, logger=lg)
+    links.addresses["b"], links.task_group = "127.0.0.1:2", type("Group", (), {"start_soon": lambda self, *a: None})()
     deep = []
     for _ in range(3000):
         deep = [deep]
--- a/tests/control/test_core_state.py
+++ b/tests/control/test_core_state.py
@@ -61,8 +61,8 @@
     message = decode(body)
     assert type(message) in control_messages.NAMES and encode(message) == body
     assert kinds_of(encode(message)) <= {tuple, int, str, bool, dict, type(None)}  # no class of ours goes to the packer
-    frame = wire.encode_frame(frm="a", life="1", body=encode(message))
-    assert wire.decode_frame(frame[4:]) == ("a", "1", body) and frame == wire.encode_frame(frm="a", life="1", body=body)
+    frame = wire.encode_frame(sender="a", process_id="1", body=encode(message))
+    assert wire.decode_frame(frame[4:]) == ("a", "1", body) and frame == wire.encode_frame(sender="a", process_id="1", body=body)
 
 
 @pytest.mark.parametrize("body", BODIES, ids=IDS)
--- a/tests/control/test_outcomes.py
+++ b/tests/control/test_outcomes.py
@@ -208,5 +208,8 @@
             for k in bk.pruned_keys(s.rows):
                 del s.rows[k]
     rows = [(k, *v) for k, v in s.rows.items() if outcomes.private(k)]
-    assert len(rows) <= outcomes.MOST + 65 and len(wire.encode_frame(frm="", life="", body=("snap", rows))) < wire.MAX_FRAME_BYTES / 10
+    assert (
+        len(rows) <= outcomes.MOST + 65
+        and len(wire.encode_frame(sender="", process_id="", body=("snap", rows))) < wire.MAX_FRAME_BYTES / 10
+    )
     assert tuning()["outcome_keep"] == 600 * SEC
--- a/tests/golden/effect_trace.py
+++ b/tests/golden/effect_trace.py
@@ -58,8 +58,8 @@
 
 def frame(sender, life, body):
     """The bytes of a message on the wire; a compressed one unfolded, since other versions of the compressor give other bytes."""
-    payload = wire.encode_frame(frm=sender, life=life, body=body)[HEADER_LENGTH:]
-    if len(payload) < wire.PRESS and b"pressed" not in payload[:200]:
+    payload = wire.encode_frame(sender=sender, process_id=life, body=body)[HEADER_LENGTH:]
+    if len(payload) < wire.COMPRESSION_THRESHOLD_BYTES and b"pressed" not in payload[:200]:
         return payload
     content = ormsgpack.unpackb(payload)[3]
     if content[0] == "pressed":
--- a/tests/http/test_http_app.py
+++ b/tests/http/test_http_app.py
@@ -177,24 +177,34 @@
 
 
 def test_a_bad_frame_closes_its_connection_is_logged_and_nothing_else():
-    good = wire.encode_frame(frm="a", life="l", body=("ping", 1, ()))
-    later = wire.HEAD.pack(len(good) + 9) + wire.ormsgpack.packb(
+    good = wire.encode_frame(sender="a", process_id="l", body=("ping", 1, ()))
+    later = wire.FRAME_HEADER.pack(len(good) + 9) + wire.ormsgpack.packb(
         (wire.WIRE_VERSION, "a", "l", ("ping", 2, ()), "more from a later version")
     )
     for bad, code in (
-        (wire.HEAD.pack(1 << 30), 602),
-        (wire.HEAD.pack(1) + b"\xc1", 601),
-        (wire.encode_frame(frm="a", life="l", body=("x",), version=7), 603),
+        (wire.FRAME_HEADER.pack(1 << 30), 602),
+        (wire.FRAME_HEADER.pack(1) + b"\xc1", 601),
+        (wire.encode_frame(sender="a", process_id="l", body=("x",), version=7), 603),
     ):
         put, got = anyio.create_memory_object_stream(8)
         ln, lg = Line([good[:5], good[5:], bad, good]), Log()
-        anyio.run(PeerConnections(me="b", life="l", addr="x", heard=lambda frm, body: put.send(("msg", frm, body)), lg=lg).take, ln)
+        anyio.run(
+            PeerConnections(
+                own_name="b", process_id="l", address="x", on_message=lambda frm, body: put.send(("msg", frm, body)), logger=lg
+            ).receive,
+            ln,
+        )
         assert got.receive_nowait() == ("msg", "a", ("ping", 1, ())) and ln.shut
         assert got.statistics().current_buffer_used == 0 and f"code={code}" in lg.lines[0]
     raw = later[4:]
     put, got = anyio.create_memory_object_stream(8)
-    ln = Line([wire.HEAD.pack(len(raw)) + raw])
-    anyio.run(PeerConnections(me="b", life="l", addr="x", heard=lambda frm, body: put.send(("msg", frm, body)), lg=Log()).take, ln)
+    ln = Line([wire.FRAME_HEADER.pack(len(raw)) + raw])
+    anyio.run(
+        PeerConnections(
+            own_name="b", process_id="l", address="x", on_message=lambda frm, body: put.send(("msg", frm, body)), logger=Log()
+        ).receive,
+        ln,
+    )
     assert got.receive_nowait() == ("msg", "a", ("ping", 2, ()))
 
 
@@ -263,16 +273,16 @@
         monkeypatch.setattr("silverglade.transport.connections.anyio.connect_tcp", connect)
         lg = Log()
         lg.info = lg.warning
-        links = PeerConnections(me="a", life="l", addr="127.0.0.1:1", heard=None, lg=lg)
-        links.peer("b", "127.0.0.1:2")
-        async with anyio.create_task_group() as links.group:
+        links = PeerConnections(own_name="a", process_id="l", address="127.0.0.1:1", on_message=None, logger=lg)
+        links.set_address("b", "127.0.0.1:2")
+        async with anyio.create_task_group() as links.task_group:
             links.send("b", ("get", 1, (0, 0)))
             await anyio.wait_all_tasks_blocked()
             made[0].over.set()  # the peer is killed, and started again
             await anyio.wait_all_tasks_blocked()
             links.send("b", ("get", 2, (0, 0)))
             await anyio.wait_all_tasks_blocked()
-            links.group.cancel_scope.cancel()
+            links.task_group.cancel_scope.cancel()
         return [len(p.sent) for p in made]
 
     assert anyio.run(go) == [1, 1]
--- a/tests/transport/test_connections.py
+++ b/tests/transport/test_connections.py
@@ -56,9 +56,9 @@
         await anyio.lowlevel.checkpoint()
 
     async def go():
-        link = links.PeerConnections(me="a", life="l", addr="127.0.0.1:1", heard=None, lg=Quiet())
-        link.peer("b", "127.0.0.1:2")
-        async with anyio.create_task_group() as link.group:
+        link = links.PeerConnections(own_name="a", process_id="l", address="127.0.0.1:1", on_message=None, logger=Quiet())
+        link.set_address("b", "127.0.0.1:2")
+        async with anyio.create_task_group() as link.task_group:
             for i in range(6):
                 link.send("b", ("alive", i, 0))
             await up.wait()
@@ -67,11 +67,11 @@
             link.send("b", ("alive", 99, 0))
             for _ in range(20):
                 await anyio.lowlevel.checkpoint()
-            link.group.cancel_scope.cancel()
+            link.task_group.cancel_scope.cancel()
 
-    monkeypatch.setattr(links, "HELD", held)
+    monkeypatch.setattr(links, "MAX_WAIT_S", held)
     monkeypatch.setattr(links.anyio, "connect_tcp", connect)
-    monkeypatch.setattr(links.PeerConnections, "pause", rest)
+    monkeypatch.setattr(links.PeerConnections, "_pause", rest)
     anyio.run(go)
     return [body[1] for body in got]
 
@@ -94,12 +94,12 @@
         return made[-1]
 
     async def go():
-        link = links.PeerConnections(me="a", life="l", addr="127.0.0.1:1", heard=None, lg=Quiet())
-        link.peer("b", "127.0.0.1:2")
-        async with anyio.create_task_group() as link.group:
+        link = links.PeerConnections(own_name="a", process_id="l", address="127.0.0.1:1", on_message=None, logger=Quiet())
+        link.set_address("b", "127.0.0.1:2")
+        async with anyio.create_task_group() as link.task_group:
             link.send("b", ("alive", 1, 0))
             await anyio.wait_all_tasks_blocked()
-            link.group.cancel_scope.cancel()
+            link.task_group.cancel_scope.cancel()
 
     monkeypatch.setattr(links.anyio, "connect_tcp", connect)
     anyio.run(go)
@@ -118,22 +118,22 @@
         return Wire([])
 
     async def go():
-        link = links.PeerConnections(me="a", life="l", addr="127.0.0.1:1", heard=None, lg=Quiet())
-        link.peer("b", "127.0.0.1:2")
-        async with anyio.create_task_group() as link.group:
+        link = links.PeerConnections(own_name="a", process_id="l", address="127.0.0.1:1", on_message=None, logger=Quiet())
+        link.set_address("b", "127.0.0.1:2")
+        async with anyio.create_task_group() as link.task_group:
             link.send("b", ("alive", 1, 0))
             await failed.wait()
             await anyio.wait_all_tasks_blocked()
             assert len(tries) == 1
-            link.nudge("somebody else")
+            link.on_peer_heard("somebody else")
             await anyio.wait_all_tasks_blocked()
             assert len(tries) == 1
-            link.nudge("b")
+            link.on_peer_heard("b")
             await anyio.wait_all_tasks_blocked()
-            link.group.cancel_scope.cancel()
+            link.task_group.cancel_scope.cancel()
 
-    monkeypatch.setattr(links, "FIRST_PAUSE", 3600)
-    monkeypatch.setattr(links, "HELD", 7200)
+    monkeypatch.setattr(links, "FIRST_PAUSE_S", 3600)
+    monkeypatch.setattr(links, "MAX_WAIT_S", 7200)
     monkeypatch.setattr(links.anyio, "connect_tcp", connect)
     anyio.run(go)
     assert tries == [2, 2]
--- a/tests/transport/test_framing.py
+++ b/tests/transport/test_framing.py
@@ -27,12 +27,11 @@
     rng = random.Random(7)
     for _ in range(60):
         sent = [("kind", *[some(rng) for _ in range(rng.randrange(5))]) for _ in range(rng.randrange(1, 6))]
-        raw = b"".join(wire.encode_frame(frm="a", life="l", body=b) for b in sent)
-        fr, got = wire.frames(), []
-        next(fr)
+        raw = b"".join(wire.encode_frame(sender="a", process_id="l", body=b) for b in sent)
+        splitter, got = wire.FrameSplitter(), []
         while raw:
             n = rng.randrange(1, 40)
-            got += [wire.decode_frame(p) for p in fr.send(raw[:n])]
+            got += [wire.decode_frame(p) for p in splitter.feed(raw[:n])]
             raw = raw[n:]
         assert got == [("a", "l", b) for b in sent]
 
@@ -41,7 +40,7 @@
     rng = random.Random(8)
     codes = set()
     for _ in range(3000):
-        b = bytearray(wire.encode_frame(frm="a", life="l", body=("ping", 1, (1, 2)))[4:])
+        b = bytearray(wire.encode_frame(sender="a", process_id="l", body=("ping", 1, (1, 2)))[4:])
         for _ in range(rng.randrange(1, 4)):
             b[rng.randrange(len(b))] = rng.getrandbits(8)
         try:
@@ -53,13 +52,12 @@
 
 
 def test_an_oversized_frame_and_a_strange_version_have_their_codes():
-    fr = wire.frames(cap=100)
-    next(fr)
+    splitter = wire.FrameSplitter(max_bytes=100)
     with pytest.raises(SilvergladeError) as e:
-        fr.send(wire.HEAD.pack(101))
+        splitter.feed(wire.FRAME_HEADER.pack(101))
     assert e.value.code == 602
     with pytest.raises(SilvergladeError) as e:
-        wire.decode_frame(wire.encode_frame(frm="a", life="l", body=("x",), version=99)[4:])
+        wire.decode_frame(wire.encode_frame(sender="a", process_id="l", body=("x",), version=99)[4:])
     assert e.value.code == 603
 
 
@@ -91,7 +89,7 @@
 
 def test_what_is_large_travels_small_and_unfolds_to_itself_or_is_refused():
     items = tuple((f"route-{i}", (1, i), {"host": "h", "prefix": f"/{i}/"}) for i in range(3000))
-    raw = wire.encode_frame(frm="a", life="l", body=("news", 1, (1, 2), items, 0, 0))[4:]
+    raw = wire.encode_frame(sender="a", process_id="l", body=("news", 1, (1, 2), items, 0, 0))[4:]
     assert len(raw) < len(repr(items)) / 5
     assert wire.decode_frame(raw) == ("a", "l", ("news", 1, (1, 2), items, 0, 0))
     rng, codes = random.Random(3), set()
@@ -104,7 +102,7 @@
             codes.add(f.code)
     assert codes <= {601, 602} and codes
     with pytest.raises(SilvergladeError) as e:  # a little that unfolds to very much
-        wire.decode_frame(wire.encode_frame(frm="a", life="l", body=("news", b"0" * (wire.WIDE + 1)))[4:])
+        wire.decode_frame(wire.encode_frame(sender="a", process_id="l", body=("news", b"0" * (wire.MAX_DECOMPRESSED_BYTES + 1)))[4:])
     assert e.value.code == 602
 
 
