--- a/silverglade/__main__.py
+++ b/silverglade/__main__.py
@@ -62,7 +62,7 @@
         return 0
     from .server.daemon import start
 
-    start(settings=s, lg=log.setup(level=s["log_level"]), reread=reread, settings_file=a.settings or "")
+    start(settings=s, logger=log.setup(level=s["log_level"]), read_settings=reread, settings_file=a.settings or "")
     return 0
 
 
--- a/silverglade/http/app.py
+++ b/silverglade/http/app.py
@@ -1,160 +1,164 @@
-"""The surface (design 2): visitors, replicas, platform and operators, as one ASGI app."""
+"""The product's own HTTP API (design 2), as one ASGI app: tenants' requests, and the calls of replicas, platform and operators.
+
+There are two paths of a client's request through a daemon. *Tenants' requests* (`POST /v1/orders/{class}`, design 6) are handled
+here: their results come from the tenants' ingress. *Forwarded requests* (design 15), with any method and path, come in on an address
+of their own and are handled in forwarding_protocol.py. All other calls of the API are in handlers.py.
+"""
+
+from __future__ import annotations
 
 import json
-import random
+from collections.abc import AsyncIterable, Iterable
+from typing import TYPE_CHECKING, Any
 
 import anyio
 
-from ..runtime.errors import BodyTooLargeError, SilvergladeError, SlowBodyError, TruncatedBodyError, http_status
-from ..runtime.errors import error_body as fault_body
-from .handlers import route
-
-CAP = 4 * 1024 * 1024 + 1024
-BODY_SECS = 20
-
-
-def headers(scope):
-    return {k.decode("latin-1").lower(): v.decode("latin-1") for k, v in scope["headers"]}
-
-
-async def read(receive, head, cap=CAP):
-    """The body stage: the whole of it, capped, in bounded time; a body cut off is refused."""
-    want = head.get("content-length", "")
-    if want.isdigit() and int(want) > cap:
-        raise BodyTooLargeError(f"{cap} bytes at most")
-    got, size = [], 0
-    with anyio.move_on_after(BODY_SECS):
-        while True:
-            m = await receive()
-            if m["type"] == "http.disconnect":
-                raise TruncatedBodyError()
-            got.append(m.get("body", b""))
-            size += len(got[-1])
-            if size > cap:
-                raise BodyTooLargeError(f"{cap} bytes at most")
-            if not m.get("more_body"):
-                return b"".join(got)
-    raise SlowBodyError()
-
-
-async def answer(send, code, data, extra=()):
-    b = json.dumps(data).encode() + b"\n"
-    await send(
-        {
-            "type": "http.response.start",
-            "status": code,
-            "headers": [(b"content-type", b"application/json"), (b"content-length", str(len(b)).encode()), *extra],
-        }
-    )
-    await send({"type": "http.response.body", "body": b})
-
-
-async def refuse(send, code, *, ran="no", wait=None, detail="", extra=()):
-    """A fault as JSON; Retry-After carries jitter so that a crowd does not return at once."""
-    after = None
-    if wait:
-        after = max(1, round(wait / 1000 * random.uniform(0.8, 1.6) + 0.5))
-        extra = (*extra, (b"retry-after", str(after).encode()))
-    await answer(send, http_status(code), fault_body(code=code, ran=ran, retry_after=after, detail=detail), extra)
-
-
-def bearer(head):
-    a = head.get("authorization", "")
-    return a[7:].strip() if a[:7].lower() == "bearer " else ""
-
-
-async def visit(d, cls, scope, receive, send):
-    """One order: its head, then room for its body, then the body, then its results as they come."""
-    head = headers(scope)
-    key, due, prefix, attempt = (
-        head.get(k, "") for k in ("idempotency-key", "silverglade-due", "silverglade-prefix", "silverglade-attempt")
-    )
+from ..runtime import result_codes
+from ..runtime.errors import SilvergladeError, error_body
+from .asgi import App, HeaderTable, Receive, Scope, Send, bearer_key, header_table, read_body, send_error, wait_for_disconnect
+from .handlers import ApiRequest, handle
+
+if TYPE_CHECKING:
+    from ..server.daemon import Daemon
+
+TENANT_REQUESTS_PATH = "/v1/orders/"
+
+RETRY_WHEN_BUSY_MS = 1000
+
+ACKNOWLEDGE_EVERY = 32
+"""So many pieces of a stream are acknowledged at a time."""
+
+MAX_LENGTH_DIGITS = 11
+
+
+async def handle_tenant_request(daemon: Daemon, request_class: str, scope: Scope, receive: Receive, send: Send) -> None:
+    """Handle one request of a tenant: its head is checked, then there must be room for its body, then the body is read."""
+    headers = header_table(scope)
+    key, attempt = headers.get("idempotency-key", ""), headers.get("silverglade-attempt", "")
+    due, prefix = headers.get("silverglade-due", ""), headers.get("silverglade-prefix", "")
+    head = (bearer_key(headers), request_class, key, due, prefix, attempt)
     ran = "no" if not key or attempt == "1" else "maybe"  # no owner has looked (design 6.5)
     try:
-        code, kw = await d.call("head", (bearer(head), cls, key, due, prefix, attempt))
-        if code != 100:
-            return await refuse(send, code, ran=kw.get("ran", ran), wait=kw.get("wait"), detail=kw.get("detail", ""))
-        n = head.get("content-length", "")
-        with d.hold(min(int(n), kw["cap"]) if n.isdigit() and len(n) < 12 else kw["cap"]):
-            b = await read(receive, head, kw["cap"])
-            oid = d.oid()
-            res = await d.order(oid, (bearer(head), cls, key, due, prefix, attempt, b))
-            return await results(d, oid, res, receive, send)
-    except SilvergladeError as e:
-        return await refuse(send, e.code, ran=ran, wait=1000 if e.code == 310 else None, detail=e.detail)
-
-
-async def results(d, oid, res, receive, send):
-    """An order's results to its visitor, as they come."""
-    key, began, ended = "", False, False
-    async with anyio.create_task_group() as tg:
-
-        async def watch():
-            while (await receive())["type"] != "http.disconnect":
-                pass
-            await d.gone(oid)
-            tg.cancel_scope.cancel()
-
-        tg.start_soon(watch)
-        async for r in res:
-            mark = ((b"idempotency-key", key.encode("latin-1", "replace")),) if key else ()
-            match r:
-                case ("key", k, _):
-                    key = k
-                case ("whole", data):
-                    await send(
-                        {
-                            "type": "http.response.start",
-                            "status": 200,
-                            "headers": [(b"content-type", b"application/json"), *mark, (b"content-length", str(len(data)).encode())],
-                        }
-                    )
-                    await send({"type": "http.response.body", "body": data})
-                    ended = True
-                case ("piece", n, data):
-                    if not began:  # the status waits for the first piece
-                        began = True
-                        await send(
-                            {"type": "http.response.start", "status": 200, "headers": [(b"content-type", b"text/event-stream"), *mark]}
-                        )
-                    await send(event("", n, data))
-                    if n % 32 == 0:
-                        await d.drained(oid, n)
-                case ("done", n, *_):
-                    await send(event("done", n, b""))
-                    await send({"type": "http.response.body", "body": b""})
-                    ended = True
-                case ("fault", code, ran, *w):
-                    wait, detail = (*w, None, "")[:2]
-                    if began:  # an unclean close after the fault event
-                        data = json.dumps(fault_body(code=code, ran=ran)).encode()
-                        await send(event("fault", -1, data))
-                    else:
-                        await refuse(send, code, ran=ran, wait=wait, detail=detail or "", extra=mark)
-                    ended = True
-        if not ended and not began:
-            await refuse(send, 405, ran="maybe")
-        tg.cancel_scope.cancel()
-
-
-def event(name, n, data):
-    ls = [b"event: " + name.encode()] if name else []
-    ls += [b"id: " + str(n).encode()] if n >= 0 else []
-    ls += [b"data: " + x for x in data.split(b"\n")]
-    return {"type": "http.response.body", "body": b"\n".join(ls) + b"\n\n", "more_body": True}
-
-
-def app(d):
-    async def run(scope, receive, send):
+        code, answer = await daemon.call("head", head)
+        if code != result_codes.OK:
+            await send_error(send, code, ran=answer.get("ran", ran), wait_ms=answer.get("wait"), detail=answer.get("detail", ""))
+            return
+        with daemon.reserve_body(_expected_length(headers, answer["cap"])):
+            body = await read_body(receive, headers, answer["cap"])
+            request_id = daemon.new_request_id()
+            results = daemon.tenant_requests.submit(request_id, (*head, body))
+            await TenantResponse(daemon, request_id, send).run(results, receive)
+    except SilvergladeError as error:
+        wait_ms = RETRY_WHEN_BUSY_MS if error.code == result_codes.BUSY else None
+        await send_error(send, error.code, ran=ran, wait_ms=wait_ms, detail=error.detail)
+
+
+def _expected_length(headers: HeaderTable, max_bytes: int) -> int:
+    """Return how long a body will be at most."""
+    length = headers.get("content-length", "")
+    return min(int(length), max_bytes) if length.isdigit() and len(length) <= MAX_LENGTH_DIGITS else max_bytes
+
+
+class TenantResponse:
+    """The response to one request of a tenant, made of its results as they come.
+
+    A stream's status waits for its first piece. A stream that breaks off ends with a fault event and an unclean close.
+    """
+
+    def __init__(self, daemon: Daemon, request_id: str, send: Send) -> None:
+        self._daemon = daemon
+        self._request_id = request_id
+        self._send = send
+        self._key = ""
+        self._has_begun = False
+        self._has_ended = False
+
+    async def run(self, results: AsyncIterable[tuple[Any, ...]], receive: Receive) -> None:
+        """Pass all results on; given up when the client leaves."""
+        async with anyio.create_task_group() as task_group:
+
+            async def watch_client() -> None:
+                await wait_for_disconnect(receive)
+                await self._daemon.tenant_requests.abandon(self._request_id)
+                task_group.cancel_scope.cancel()
+
+            task_group.start_soon(watch_client)
+            async for result in results:
+                await self._pass_on(result)
+            if not self._has_ended and not self._has_begun:
+                await send_error(self._send, result_codes.LINK_LOST, ran="maybe")
+            task_group.cancel_scope.cancel()
+
+    async def _pass_on(self, result: tuple[Any, ...]) -> None:
+        match result:
+            case ("key", key, _):
+                self._key = key
+            case ("whole", body):
+                await self._send_complete(body)
+            case ("piece", number, data):
+                await self._send_piece(number, data)
+            case ("done", number, *_):
+                await self._send(event_message("done", number, b""))
+                await self._send({"type": "http.response.body", "body": b""})
+                self._has_ended = True
+            case ("fault", code, ran, *more):
+                wait_ms, detail = (*more, None, "")[:2]
+                await self._send_fault(code, ran, wait_ms, detail or "")
+
+    def _key_header(self) -> tuple[tuple[bytes, bytes], ...]:
+        return ((b"idempotency-key", self._key.encode("latin-1", "replace")),) if self._key else ()
+
+    async def _start(self, headers: Iterable[tuple[bytes, bytes]]) -> None:
+        await self._send({"type": "http.response.start", "status": 200, "headers": list(headers)})
+
+    async def _send_complete(self, body: bytes) -> None:
+        length = str(len(body)).encode()
+        await self._start([(b"content-type", b"application/json"), *self._key_header(), (b"content-length", length)])
+        await self._send({"type": "http.response.body", "body": body})
+        self._has_ended = True
+
+    async def _send_piece(self, number: int, data: bytes) -> None:
+        if not self._has_begun:
+            self._has_begun = True
+            await self._start([(b"content-type", b"text/event-stream"), *self._key_header()])
+        await self._send(event_message("", number, data))
+        if number % ACKNOWLEDGE_EVERY == 0:
+            await self._daemon.tenant_requests.acknowledge(self._request_id, number)
+
+    async def _send_fault(self, code: int, ran: str, wait_ms: float | None, detail: str) -> None:
+        if self._has_begun:
+            data = json.dumps(error_body(code=code, ran=ran)).encode()
+            await self._send(event_message("fault", -1, data))
+        else:
+            await send_error(self._send, code, ran=ran, wait_ms=wait_ms, detail=detail, more_headers=self._key_header())
+        self._has_ended = True
+
+
+def event_message(name: str, number: int, data: bytes) -> dict[str, Any]:
+    """Return the ASGI message that sends one server-sent event.
+
+    :param number: its id; below 0: none.
+    """
+    lines = [b"event: " + name.encode()] if name else []
+    if number >= 0:
+        lines.append(b"id: " + str(number).encode())
+    lines += [b"data: " + line for line in data.split(b"\n")]
+    return {"type": "http.response.body", "body": b"\n".join(lines) + b"\n\n", "more_body": True}
+
+
+def app(daemon: Daemon) -> App:
+    """Return the product's own API of a daemon."""
+
+    async def run(scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] != "http":
             return
-        path, verb = scope["path"], scope["method"]
-        if path.startswith("/v1/orders/") and verb == "POST":
-            return await visit(d, path[11:], scope, receive, send)
-        head = headers(scope)
+        path, method = scope["path"], scope["method"]
+        if path.startswith(TENANT_REQUESTS_PATH) and method == "POST":
+            await handle_tenant_request(daemon, path[len(TENANT_REQUESTS_PATH) :], scope, receive, send)
+            return
         try:
-            await route(d, verb, path, head, lambda: read(receive, head), receive, send, answer, bearer(head))
-        except SilvergladeError as e:
-            await refuse(send, e.code, detail=e.detail)
+            await handle(daemon, ApiRequest(method, path, header_table(scope), receive, send))
+        except SilvergladeError as error:
+            await send_error(send, error.code, detail=error.detail)
 
     return run
--- /dev/null
+++ b/silverglade/http/asgi.py
@@ -0,0 +1,106 @@
+"""Helpers for ASGI apps: headers, bodies within bounds, JSON responses."""
+
+from __future__ import annotations
+
+import json
+import random
+from collections.abc import Awaitable, Callable, Iterable, Mapping
+from typing import Any
+
+import anyio
+
+from ..runtime.errors import BodyTooLargeError, SlowBodyError, TruncatedBodyError, error_body, http_status
+
+Scope = Mapping[str, Any]
+Message = dict[str, Any]
+Receive = Callable[[], Awaitable[Message]]
+Send = Callable[[Message], Awaitable[None]]
+App = Callable[[Scope, Receive, Send], Awaitable[None]]
+Headers = Iterable[tuple[bytes, bytes]]
+HeaderTable = Mapping[str, str]
+"""Header's name in lower case -> value."""
+
+MAX_BODY_BYTES = 4 * 1024 * 1024 + 1024
+"""Of a call that says nothing else."""
+
+BODY_TIMEOUT_S: float = 20
+
+JITTER = (0.8, 1.6)
+"""Of `Retry-After`, so that a crowd does not return at once."""
+
+
+def header_table(scope: Scope) -> dict[str, str]:
+    """Return a request's headers by name; of several the last counts."""
+    return {name.decode("latin-1").lower(): value.decode("latin-1") for name, value in scope["headers"]}
+
+
+def bearer_key(headers: HeaderTable) -> str:
+    """Return the bearer key of a request, or empty."""
+    value = headers.get("authorization", "")
+    return value[len("bearer ") :].strip() if value[: len("bearer ")].lower() == "bearer " else ""
+
+
+async def read_body(receive: Receive, headers: HeaderTable, max_bytes: int = MAX_BODY_BYTES) -> bytes:
+    """Read a whole body.
+
+    :raises BodyTooLargeError: it is larger than allowed, or says so.
+    :raises TruncatedBodyError: the client left before its end.
+    :raises SlowBodyError: it did not come in time.
+    """
+    stated_length = headers.get("content-length", "")
+    if stated_length.isdigit() and int(stated_length) > max_bytes:
+        raise BodyTooLargeError(f"{max_bytes} bytes at most")
+    pieces, size = [], 0
+    with anyio.move_on_after(BODY_TIMEOUT_S):
+        while True:
+            message = await receive()
+            if message["type"] == "http.disconnect":
+                raise TruncatedBodyError()
+            piece = message.get("body", b"")
+            pieces.append(piece)
+            size += len(piece)
+            if size > max_bytes:
+                raise BodyTooLargeError(f"{max_bytes} bytes at most")
+            if not message.get("more_body"):
+                return b"".join(pieces)
+    raise SlowBodyError()
+
+
+async def wait_for_disconnect(receive: Receive) -> None:
+    """Wait until the client has left; its body was read before."""
+    while (await receive())["type"] != "http.disconnect":
+        pass
+
+
+async def send_response(send: Send, status: int, content_type: bytes, body: bytes, more_headers: Headers = ()) -> None:
+    """Send a complete response."""
+    headers = [(b"content-type", content_type), (b"content-length", str(len(body)).encode()), *more_headers]
+    await send({"type": "http.response.start", "status": status, "headers": headers})
+    await send({"type": "http.response.body", "body": body})
+
+
+async def send_json(send: Send, status: int, data: Any, more_headers: Headers = ()) -> None:
+    """Send a complete response in JSON."""
+    await send_response(send, status, b"application/json", json.dumps(data).encode() + b"\n", more_headers)
+
+
+async def send_error(
+    send: Send,
+    code: int,
+    *,
+    ran: str = "no",
+    wait_ms: float | None = None,
+    detail: str = "",
+    more_headers: Headers = (),
+) -> None:
+    """Send a result code that is an error.
+
+    :param ran: whether the request's key may have run (docs/faults.md).
+    :param wait_ms: when the client may come back; jitter is added.
+    """
+    retry_after = None
+    if wait_ms:
+        retry_after = max(1, round(wait_ms / 1000 * random.uniform(*JITTER) + 0.5))
+        more_headers = (*more_headers, (b"retry-after", str(retry_after).encode()))
+    body = error_body(code=code, ran=ran, retry_after=retry_after, detail=detail)
+    await send_json(send, http_status(code), body, more_headers)
--- a/silverglade/http/event_stream.py
+++ b/silverglade/http/event_stream.py
@@ -1,80 +1,102 @@
-"""A stream of events cut at its whole events, its bytes unchanged (design 15).
+"""A stream of server-sent events, split between events with its bytes unchanged (design 15.3).
 
 An event ends with an empty line; a line ends with CR, LF or both.
 """
 
-CAP = 1024 * 1024
-ENDS = b"\r\n"
+from __future__ import annotations
 
+MAX_EVENT_BYTES = 1024 * 1024
 
-def border(b, start=0):
-    """Where the last whole event in b ends; 0 without one."""
-    at = 0
-    for pair in (b"\n\n", b"\n\r", b"\r\r"):
-        i = b.rfind(pair, start)
-        if i >= 0:
-            at = max(at, i + 2 + (pair[1] == 13 and b[i + 2 : i + 3] == b"\n"))
-    if not at and b[:1] in (b"\r", b"\n"):  # the rest of an empty line that came in two parts
-        at = 2 if b[:2] == b"\r\n" else 1
-    return at
+CR = 13
+LINE_ENDS = b"\r\n"
+EMPTY_LINES = (b"\n\n", b"\n\r", b"\r\r")
+"""Where two of these bytes meet a line is empty. The LF that may follow a CR belongs to it."""
+
+
+def end_of_last_event(data: bytes, start: int = 0) -> int:
+    """Return where the last complete event in `data` ends; 0 without one.
+
+    :param start: no empty line lies before it.
+    """
+    end = 0
+    for pair in EMPTY_LINES:
+        position = data.rfind(pair, start)
+        if position >= 0:
+            behind = position + len(pair)
+            end = max(end, behind + (pair[1] == CR and data[behind : behind + 1] == b"\n"))
+    if not end and data[:1] in (b"\r", b"\n"):  # the rest of an empty line that came in two parts
+        end = 2 if data[:2] == b"\r\n" else 1
+    return end
 
 
 class EventSplitter:
-    """Bytes in, as many whole events as there are out; what is left of an event waits in `rest`."""
+    """Takes bytes and returns as many complete events as there are.
+
+    :ivar rest: the beginning of an event that is not complete yet.
+    :ivar max_bytes: of one event.
+    """
+
+    __slots__ = ("rest", "max_bytes")
 
-    def __init__(self, *, cap=CAP):
-        self.rest, self.cap = b"", cap
+    def __init__(self, *, max_bytes: int = MAX_EVENT_BYTES) -> None:
+        self.rest = b""
+        self.max_bytes = max_bytes
 
-    def feed(self, b):
+    def feed(self, data: bytes) -> bytes:
+        """Take further bytes and return the events that are complete with them.
+
+        :raises ValueError: an event is too long.
+        """
         start = max(0, len(self.rest) - 2)
         if self.rest:
-            b = self.rest + b
-        at = border(b, start)
-        self.rest = b[at:]
-        if len(self.rest) > self.cap:
+            data = self.rest + data
+        end = end_of_last_event(data, start)
+        self.rest = data[end:]
+        if len(self.rest) > self.max_bytes:
             raise ValueError("an event is too long")
-        return b[:at] if self.rest else b
-
-
-def last_id(b):
-    """The value of the last id line in whole events; None without one."""
-    at = max(b.rfind(b"\nid:"), b.rfind(b"\rid:"))
-    if at < 0:
-        if not b.startswith(b"id:"):
-            return None
-        at = -1
-    m = at + 4
-    end = m
-    while end < len(b) and b[end] not in ENDS:
+        return data[:end] if self.rest else data
+
+
+def last_event_id(events: bytes) -> str | None:
+    """Return the value of the last id line in complete events; None without one."""
+    start = max(events.rfind(b"\nid:"), events.rfind(b"\rid:"))
+    if start >= 0:
+        start += len(b"\nid:")
+    elif events.startswith(b"id:"):
+        start = len(b"id:")
+    else:
+        return None
+    end = start
+    while end < len(events) and events[end] not in LINE_ENDS:
         end += 1
-    v = b[m:end]
-    return (v[1:] if v[:1] == b" " else v).decode("utf-8", "replace")
-
-
-def beyond(b, last):
-    """Whole events -> (those after the one with id `last`, whether one of them has an id)."""
-    was, at = int(last) if last.isdigit() else -1, 0
-    while at < len(b):
-        end = first(b, at)
-        n = last_id(b[at:end])
-        if n is not None and n.isdigit() and int(n) > was:
-            return b[at:], True
-        at = end
+    value = events[start:end]
+    return (value[1:] if value[:1] == b" " else value).decode("utf-8", "replace")
+
+
+def events_after(events: bytes, last_id: str) -> tuple[bytes, bool]:
+    """Return the events behind the one with this id, and whether one of them has an id of its own."""
+    last_number, position = int(last_id) if last_id.isdigit() else -1, 0
+    while position < len(events):
+        end = end_of_event(events, position)
+        event_id = last_event_id(events[position:end])
+        if event_id is not None and event_id.isdigit() and int(event_id) > last_number:
+            return events[position:], True
+        position = end
     return b"", False
 
 
-def first(b, at):
-    """Where the event that begins at `at` ends."""
-    empty = True
-    while at < len(b):
-        c = b[at]
-        at += 1
-        if c not in ENDS:
-            empty = False
+def end_of_event(events: bytes, start: int) -> int:
+    """Return where the event that begins at `start` ends."""
+    line_is_empty, position = True, start
+    while position < len(events):
+        byte = events[position]
+        position += 1
+        if byte not in LINE_ENDS:
+            line_is_empty = False
             continue
-        if c == 13 and b[at : at + 1] == b"\n":
-            at += 1
-        if empty:
-            return at
-        empty = True
-    return at
+        if byte == CR and events[position : position + 1] == b"\n":
+            position += 1
+        if line_is_empty:
+            return position
+        line_is_empty = True
+    return position
--- a/silverglade/http/handlers.py
+++ b/silverglade/http/handlers.py
@@ -1,12 +1,17 @@
-"""Calls of replicas, platform and operators (design 2.2, 2.3)."""
+"""Calls of replicas, the platform and operators (design 2.2, 2.3): who may make them, and which operation each asks for."""
+
+from __future__ import annotations
 
 import hmac
 import json
 import secrets
+from collections.abc import Awaitable, Callable, Mapping
+from datetime import timedelta
+from typing import TYPE_CHECKING, Any, NamedTuple
 
+from ..runtime import result_codes
 from ..runtime.effects import milliseconds
 from ..runtime.errors import (
-    RESULT_CODES,
     InvalidCallError,
     MissingKeyError,
     MissingVersionError,
@@ -15,134 +20,238 @@
     WrongRoleError,
     http_status,
 )
+from ..runtime.result_codes import RESULT_CODES
 from ..runtime.settings import ROLES
-from .operator_changes import portable, settled
+from .asgi import HeaderTable, Receive, Send, bearer_key, read_body, send_json, send_response
+from .operator_changes import call_unless_caller_leaves, checked_size
+
+if TYPE_CHECKING:
+    from ..server.daemon import Daemon
+
+MAX_VERSION_DIGITS = 18
+"""Of numbers in a header: they stay within what daemons can send each other."""
+
+MAX_WAIT_DIGITS = 9
+MAX_CHANGE_ID_LENGTH = 100
+MAX_PATH_IN_ERROR = 100
+GENERATED_CHANGE_ID_BYTES = 8
+
+CHANGING_OPERATIONS = frozenset(("config-put", "evac", "reopen"))
+"""Operations that are given up when their caller leaves (operator_changes.py)."""
+
+METRICS_CONTENT_TYPE = b"text/plain; version=0.0.4"
+
+
+class ApiRequest(NamedTuple):
+    """One call of the API."""
+
+    method: str
+    path: str
+    headers: HeaderTable
+    receive: Receive
+    send: Send
+
+    @property
+    def segments(self) -> list[str]:
+        """The path's parts."""
+        return [segment for segment in self.path.split("/") if segment]
 
-DIGITS = 18  # of numbers in a head: they stay within what is sent
+    async def json(self) -> Any:
+        """Return the body, parsed.
 
+        :raises InvalidCallError: it is no JSON.
+        """
+        body = await read_body(self.receive, self.headers)
+        try:
+            return json.loads(body)
+        except (ValueError, RecursionError) as error:
+            raise InvalidCallError("the body is not JSON") from error
 
-def wait(head):
-    """How long the caller says that it waits for an answer (design 5.4): (), or a time."""
-    v = head.get("silverglade-wait", "")
-    if v and not (v.isascii() and v.isdigit() and 0 < len(v) <= 9):
-        raise InvalidCallError("Silverglade-Wait wants whole milliseconds")
-    return (milliseconds(int(v)),) if v else ()
+    def wait(self) -> tuple[timedelta, ...]:
+        """Return how long the caller says that it waits for an answer (design 5.4): nothing, or one time.
 
+        :raises InvalidCallError: the header cannot be read.
+        """
+        value = self.headers.get("silverglade-wait", "")
+        if value and not (is_number(value) and len(value) <= MAX_WAIT_DIGITS):
+            raise InvalidCallError("Silverglade-Wait wants whole milliseconds")
+        return (milliseconds(int(value)),) if value else ()
 
-def parse(b):
-    try:
-        return json.loads(b)
-    except (ValueError, RecursionError) as e:
-        raise InvalidCallError("the body is not JSON") from e
+    def base_version(self) -> tuple[int, int]:
+        """Return the version that a change replaces: (epoch, number).
 
+        :raises MissingVersionError: there is none.
+        :raises InvalidCallError: it cannot be read.
+        """
+        value = self.headers.get("if-match", "").strip().strip('"')
+        if not value:
+            raise MissingVersionError()
+        epoch, _, number = value.partition(".")
+        if not all(is_number(part) and len(part) <= MAX_VERSION_DIGITS for part in (epoch, number)):
+            raise InvalidCallError("If-Match wants EPOCH.NUMBER")
+        return int(epoch), int(number)
 
-def version(head):
-    v = head.get("if-match", "").strip().strip('"')
-    a, _, b = v.partition(".")
-    if not v:
-        raise MissingVersionError()
-    if not (v.isascii() and a.isdigit() and b.isdigit() and len(a) <= DIGITS and len(b) <= DIGITS):
-        raise InvalidCallError("If-Match wants EPOCH.NUMBER")
-    return int(a), int(b)
+    def change_id(self) -> str:
+        """Return the change's id: the caller's own, or a new one.
 
+        :raises InvalidCallError: it is too long.
+        """
+        change_id = self.headers.get("silverglade-change", "") or secrets.token_hex(GENERATED_CHANGE_ID_BYTES)
+        if len(change_id) > MAX_CHANGE_ID_LENGTH:
+            raise InvalidCallError("the change id is too long")
+        return change_id
 
-def change(head):
-    c = head.get("silverglade-change", "") or secrets.token_hex(8)
-    if len(c) > 100:
-        raise InvalidCallError("the change id is too long")
-    return c
 
+class Operation(NamedTuple):
+    """An operation of the daemon machine, and its arguments."""
 
-def listed(raw):
+    name: str
+    arguments: tuple[Any, ...] = ()
+
+
+def is_number(text: str) -> bool:
+    """Whether a text is a whole number from 0, in ASCII digits."""
+    return text.isascii() and text.isdigit()
+
+
+def listed_replicas(raw: Any) -> tuple[tuple[str, int | None, bool], ...]:
+    """Return the platform's list of replicas: (id, incarnation or None, leaving) each.
+
+    :raises InvalidCallError: it has another form.
+    """
     rows = raw.get("replicas") if isinstance(raw, dict) else None
     if not isinstance(rows, list):
         raise InvalidCallError('wants {"replicas": [...]}')
-    out = []
-    for i, r in enumerate(rows):
+    replicas = []
+    for position, row in enumerate(rows):
         if not (
-            isinstance(r, dict)
-            and isinstance(r.get("id"), str)
-            and type(r.get("incarnation", 0)) is int
-            and type(r.get("leaving", False)) is bool
+            isinstance(row, dict)
+            and isinstance(row.get("id"), str)
+            and type(row.get("incarnation", 0)) is int
+            and type(row.get("leaving", False)) is bool
         ):
-            raise InvalidCallError(f"replicas[{i}]")
-        out.append((r["id"], r.get("incarnation"), r.get("leaving", False)))
-    return tuple(out)
-
-
-def roles(verb, p):
-    """Who may make this call (design 8.7)."""
-    if p[:2] == ["v1", "replicas"] and verb in ("PUT", "DELETE"):
-        return ("replica",)
-    if p[:2] == ["v1", "platform"]:
-        return ("platform",)
-    if p[:2] == ["v1", "regions"]:
-        return ("platform", "operator")
+            raise InvalidCallError(f"replicas[{position}]")
+        replicas.append((row["id"], row.get("incarnation"), row.get("leaving", False)))
+    return tuple(replicas)
+
+
+def allowed_roles(method: str, segments: list[str]) -> tuple[str, ...]:
+    """Return which roles may make a call (design 8.7)."""
+    match segments[:2]:
+        case ["v1", "replicas"] if method in ("PUT", "DELETE"):
+            return ("replica",)
+        case ["v1", "platform"]:
+            return ("platform",)
+        case ["v1", "regions"]:
+            return ("platform", "operator")
     return ("operator",)
 
 
-def let_in(s, verb, p, key):
-    """The caller's key against the roles of the call; a role without a key is open."""
-    want = [s[f"{r}_key"] for r in roles(verb, p)]
-    if p == ["healthz"] or not all(want) or any(hmac.compare_digest(key.encode(), w.encode()) for w in want):
+def check_access(settings: Mapping[str, Any], method: str, segments: list[str], key: str) -> None:
+    """Check the caller's key against the roles of the call; a role without a key is open.
+
+    :raises MissingKeyError: there is none.
+    :raises WrongRoleError: it is another role's.
+    :raises UnknownKeyError: it is nobody's.
+    """
+    roles = allowed_roles(method, segments)
+    expected_keys = [settings[f"{role}_key"] for role in roles]
+    if segments == ["healthz"] or not all(expected_keys) or any(_same_key(key, expected) for expected in expected_keys):
         return
+    message = "this call wants the key of " + " or ".join(roles)
     if not key:
-        raise MissingKeyError("this call wants the key of " + " or ".join(roles(verb, p)))
-    other = any(s[f"{r}_key"] and hmac.compare_digest(key.encode(), s[f"{r}_key"].encode()) for r in ROLES)
-    raise (WrongRoleError if other else UnknownKeyError)("this call wants the key of " + " or ".join(roles(verb, p)))
-
-
-CHANGES = frozenset(("config-put", "evac", "reopen"))
-
-
-async def route(d, verb, path, head, body, receive, send, answer, key):
-    p = [x for x in path.split("/") if x]
-    let_in(d.s, verb, p, key)
-    match (verb, p):
-        case ("GET", ["healthz"]):
-            return await answer(send, 200, {"daemon": d.s["name"]})
-        case ("GET", ["metrics"]):
-            from .metrics import exposition
-
-            b = await exposition(d)
-            await send(
-                {
-                    "type": "http.response.start",
-                    "status": 200,
-                    "headers": [(b"content-type", b"text/plain; version=0.0.4"), (b"content-length", str(len(b)).encode())],
-                }
-            )
-            return await send({"type": "http.response.body", "body": b})
-        case ("GET", ["v1", "config"]):
-            op = ("config-get", ())
-        case ("PUT", ["v1", "config"]):
-            op = ("config-put", portable((version(head), change(head), parse(await body()))))
-        case ("PUT" | "DELETE", ["v1", "zones", zone, "evacuation"]):
-            op = ("evac", (zone, verb == "PUT", change(head), *wait(head)))
-        case ("GET", ["v1", ("status" | "fleet" | "replicas") as what]):
-            op = (what, ())
-        case ("GET", ["v1", "regions", region, "orders"]):
-            op = ("orders", (region,))
-        case ("PUT", ["v1", "shards", name, "reopen"]):
-            op = ("reopen", (name, change(head), *wait(head)))
-        case ("GET", ["v1", "trace", word]):
-            op = ("trace", (word,))
-        case ("PUT", ["v1", "replicas", rid]):
-            op = ("replica-put", (rid, parse(await body())))
-        case ("DELETE", ["v1", "replicas", rid]):
-            op = ("replica-leave", (rid,))
-        case ("PUT", ["v1", "platform", "replicas"]):
-            op = ("platform", (listed(parse(await body())),))
-        case _:
-            raise NotFoundError(path[:100])
-    got = await (settled(d, receive, *op) if op[0] in CHANGES else d.call(*op))
-    if got is None:
-        return None  # its caller has left
-    code, kw = got
-    if code == 100:
-        extra = ()
-        if "version" in kw and p[1] == "config":
-            extra = ((b"etag", f'"{kw["version"][0]}.{kw["version"][1]}"'.encode()),)
-        return await answer(send, 200, kw, extra)
-    ran = "maybe" if code == 503 else "no"
-    return await answer(send, http_status(code), {"code": code, "name": RESULT_CODES[code][0], "ran": ran, **kw})
+        raise MissingKeyError(message)
+    is_other_roles = any(settings[f"{role}_key"] and _same_key(key, settings[f"{role}_key"]) for role in ROLES)
+    raise (WrongRoleError if is_other_roles else UnknownKeyError)(message)
+
+
+def _same_key(key: str, expected: str) -> bool:
+    return hmac.compare_digest(key.encode(), expected.encode())
+
+
+async def handle(daemon: Daemon, request: ApiRequest) -> None:
+    """Handle one call.
+
+    :raises SilvergladeError: it is refused before any component hears of it.
+    """
+    segments = request.segments
+    check_access(daemon.settings, request.method, segments, bearer_key(request.headers))
+    direct_handler = DIRECT_HANDLERS.get((request.method, tuple(segments)))
+    if direct_handler:
+        await direct_handler(daemon, request)
+        return
+    operation = _read_operation(request, segments) or await _write_operation(request, segments)
+    if operation.name in CHANGING_OPERATIONS:
+        result = await call_unless_caller_leaves(daemon, request.receive, operation.name, operation.arguments)
+    else:
+        result = await daemon.call(operation.name, operation.arguments)
+    if result is not None:
+        await _send_result(request, segments, *result)
+
+
+def _read_operation(request: ApiRequest, segments: list[str]) -> Operation | None:
+    """Return the operation of a call that changes nothing, or None."""
+    match request.method, segments:
+        case "GET", ["v1", "config"]:
+            return Operation("config-get")
+        case "GET", ["v1", ("status" | "fleet" | "replicas") as name]:
+            return Operation(name)
+        case "GET", ["v1", "regions", region, "orders"]:
+            return Operation("orders", (region,))
+        case "GET", ["v1", "trace", key]:
+            return Operation("trace", (key,))
+    return None
+
+
+async def _write_operation(request: ApiRequest, segments: list[str]) -> Operation:
+    """Return the operation of a call that changes something.
+
+    :raises NotFoundError: there is no such call.
+    """
+    match request.method, segments:
+        case "PUT", ["v1", "config"]:
+            version, change_id = request.base_version(), request.change_id()
+            return Operation("config-put", checked_size((version, change_id, await request.json())))
+        case ("PUT" | "DELETE") as method, ["v1", "zones", zone, "evacuation"]:
+            return Operation("evac", (zone, method == "PUT", request.change_id(), *request.wait()))
+        case "PUT", ["v1", "shards", tenant, "reopen"]:
+            return Operation("reopen", (tenant, request.change_id(), *request.wait()))
+        case "PUT", ["v1", "replicas", replica]:
+            return Operation("replica-put", (replica, await request.json()))
+        case "DELETE", ["v1", "replicas", replica]:
+            return Operation("replica-leave", (replica,))
+        case "PUT", ["v1", "platform", "replicas"]:
+            return Operation("platform", (listed_replicas(await request.json()),))
+    raise NotFoundError(request.path[:MAX_PATH_IN_ERROR])
+
+
+async def _send_result(request: ApiRequest, segments: list[str], code: int, fields: Mapping[str, Any]) -> None:
+    """Send what an operation has come to."""
+    if code == result_codes.OK:
+        headers: tuple[tuple[bytes, bytes], ...] = ()
+        if "version" in fields and segments[1] == "config":
+            epoch, number = fields["version"]
+            headers = ((b"etag", f'"{epoch}.{number}"'.encode()),)
+        await send_json(request.send, 200, fields, headers)
+        return
+    ran = "maybe" if code == result_codes.UNKNOWN_OUTCOME else "no"
+    await send_json(request.send, http_status(code), {"code": code, "name": RESULT_CODES[code].name, "ran": ran, **fields})
+
+
+async def _send_health(daemon: Daemon, request: ApiRequest) -> None:
+    """Answer that the daemon is there, with its name."""
+    await send_json(request.send, 200, {"daemon": daemon.settings["name"]})
+
+
+async def _send_metrics(daemon: Daemon, request: ApiRequest) -> None:
+    """Send the metrics; the library is loaded by the first that asks for them."""
+    from .metrics import exposition
+
+    await send_response(request.send, 200, METRICS_CONTENT_TYPE, await exposition(daemon))
+
+
+DIRECT_HANDLERS: dict[tuple[str, tuple[str, ...]], Callable[[Daemon, ApiRequest], Awaitable[None]]] = {
+    ("GET", ("healthz",)): _send_health,
+    ("GET", ("metrics",)): _send_metrics,
+}
+"""Calls that are no operation of the daemon machine."""
--- a/silverglade/http/listener.py
+++ b/silverglade/http/listener.py
@@ -1,64 +1,97 @@
 """The HTTP server (design 2, 15.7): uvicorn by library, signals left to the daemon; one server on every address."""
 
+from __future__ import annotations
+
 import contextlib
 import socket
+from collections.abc import Iterator, Mapping
 from functools import partial
+from typing import TYPE_CHECKING, Any
 
+import anyio
 import uvicorn
 
 from .app import app
+from .asgi import App, Receive, Scope, Send
 from .forwarding_protocol import ForwardingProtocol
 
-BACKLOG = 1024  # a full queue of new connections drops the opening packet, which costs its client seconds
+if TYPE_CHECKING:
+    from ..server.daemon import Daemon
+
+BACKLOG = 1024
+"""A full queue of new connections drops the opening packet, which costs its client seconds."""
+
+KEEP_ALIVE_S = 30
+
 
+class Server(uvicorn.Server):
+    """Uvicorn's server without its handling of signals, and idle while nothing comes in.
+
+    :ivar closing: set when it is to close.
+    """
+
+    def __init__(self, config: uvicorn.Config, closing: anyio.Event) -> None:
+        super().__init__(config)
+        self.closing = closing
 
-class Quiet(uvicorn.Server):
     @contextlib.contextmanager
-    def capture_signals(self):
+    def capture_signals(self) -> Iterator[None]:
+        """Leave signals to the daemon."""
         yield
 
-    async def main_loop(self):
-        """No ticking: nothing of it is used here, and an idle daemon is to stay idle."""
-        await self.over.wait()
+    async def main_loop(self) -> None:
+        """Wait without uvicorn's ticking: nothing of it is used here, and an idle daemon is to stay idle."""
+        await self.closing.wait()
+
+
+def port_of(address: str) -> int:
+    """Return the port of "IP:PORT"."""
+    return int(address.rsplit(":", 1)[1])
 
 
-def bound(addr):
-    ip, port = addr.rsplit(":", 1)
-    # with its protocol named: asyncio sets TCP_NODELAY on no other
-    s = socket.socket(socket.AF_INET6 if ":" in ip else socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
-    s.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    s.bind((ip.strip("[]"), int(port)))
-    return s
+def bound_socket(address: str) -> socket.socket:
+    """Return a socket bound to an address, with its protocol named: asyncio sets TCP_NODELAY on no other."""
+    ip, port = address.rsplit(":", 1)
+    family = socket.AF_INET6 if ":" in ip else socket.AF_INET
+    bound = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
+    bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    bound.bind((ip.strip("[]"), int(port)))
+    return bound
 
 
-def by_address(apps):
-    """The address at which a call came in says which face it meets."""
-    ports = {int(a.rsplit(":", 1)[1]): f for a, f in apps.items()}
+def by_address(apps: Mapping[str, App]) -> App:
+    """Return an app that hands each call to the app of the address at which it came in."""
+    apps_by_port = {port_of(address): each for address, each in apps.items()}
 
-    async def run(scope, receive, send):
+    async def run(scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] == "http":
-            await ports[scope["server"][1]](scope, receive, send)
+            await apps_by_port[scope["server"][1]](scope, receive, send)
 
     return run
 
 
-async def serve(d):
-    apps, front = {d.s["http"]: app(d), **d.faces()}, d.outer.front if d.outer else ""
-    face = partial(ForwardingProtocol, shell=d.shell, port=int(front.rsplit(":", 1)[1])) if front else "h11"
-    cfg = uvicorn.Config(
+async def serve(daemon: Daemon) -> None:
+    """Serve a daemon's APIs until it closes them."""
+    apps: dict[str, App] = {daemon.settings["http"]: app(daemon), **daemon.apps()}
+    client_address = daemon.adapter.client_address if daemon.adapter else ""
+    protocol: Any = "h11"
+    if client_address:
+        protocol = partial(ForwardingProtocol, forwarder=daemon.forwarder, port=port_of(client_address))
+    config = uvicorn.Config(
         by_address(apps),
         log_config=None,
         access_log=False,
         lifespan="off",
         server_header=False,
         date_header=False,
-        timeout_keep_alive=30,
+        timeout_keep_alive=KEEP_ALIVE_S,
         log_level="critical",
-        http=face,
+        http=protocol,
         ws="none",
         loop="asyncio",
         backlog=BACKLOG,
     )
-    server = Quiet(cfg)
-    server.over, d.open = d.closing, server.server_state.connections
-    await server.serve(sockets=[bound(a) for a in (*apps, *([front] if front else ()))])
+    server = Server(config, daemon.closing)
+    daemon.open_connections = server.server_state.connections
+    addresses = [*apps, *([client_address] if client_address else [])]
+    await server.serve(sockets=[bound_socket(address) for address in addresses])
--- a/silverglade/http/metrics.py
+++ b/silverglade/http/metrics.py
@@ -1,46 +1,82 @@
 """Metrics (design 8.4), written out by library."""
 
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from typing import TYPE_CHECKING, Any
+
 from prometheus_client import CollectorRegistry, generate_latest
-from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
+from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
+from prometheus_client.registry import Collector
+
+if TYPE_CHECKING:
+    from ..server.daemon import Daemon
+
+RESULT_PREFIX = "code-"
+"""In the daemon's counts: of a final result, by its code; all others are log events."""
+
+UNKNOWN = -1
+
+
+class FixedMetrics(Collector):
+    """Metrics that were collected already."""
 
+    def __init__(self, metrics: list[Metric]) -> None:
+        self._metrics = metrics
 
-class Shown:
-    def __init__(self, rows):
-        self.rows = rows
+    def collect(self) -> Iterable[Metric]:
+        """Return them."""
+        return self._metrics
 
-    def collect(self):
-        yield from self.rows
 
+async def exposition(daemon: Daemon) -> bytes:
+    """Return all metrics of a daemon in the text format."""
+    _, status = await daemon.call("status", ())
+    _, fleet = await daemon.call("fleet", ())
+    _, replicas = await daemon.call("replicas", ())
+    events, results = _counts(daemon.event_counts)
+    metrics = [events, results, _retries(status), _state(daemon, status, fleet), _replica_slots(replicas)]
+    registry = CollectorRegistry()
+    registry.register(FixedMetrics(metrics))
+    return generate_latest(registry)
 
-async def exposition(d):
-    _, st = await d.call("status", ())
-    _, fl = await d.call("fleet", ())
-    _, rs = await d.call("replicas", ())
-    ev = CounterMetricFamily("silverglade_events", "Log events by name", labels=["event"])
-    an = CounterMetricFamily("silverglade_results", "Final answers to visitors by code", labels=["code"])
-    for k, n in sorted(d.counts.items()):
-        if k.startswith("code-"):
-            an.add_metric([k[5:]], n)
+
+def _counts(counts: Mapping[str, int]) -> tuple[Metric, Metric]:
+    events = CounterMetricFamily("silverglade_events", "Log events by name", labels=["event"])
+    results = CounterMetricFamily("silverglade_results", "Final answers to visitors by code", labels=["code"])
+    for name, count in sorted(counts.items()):
+        if name.startswith(RESULT_PREFIX):
+            results.add_metric([name.removeprefix(RESULT_PREFIX)], count)
         else:
-            ev.add_metric([k], n)
-    rt = CounterMetricFamily("silverglade_retries", "Fresh orders, retries, retries refused", labels=["kind"])
-    for k, n in st.get("retries", {}).items():
-        rt.add_metric([k], n)
-    g = GaugeMetricFamily("silverglade_state", "Numbers of this daemon", labels=["what"])
-    for k, v in (
-        ("news_age_ms", st["age_ms"]),
-        ("view_epoch", st["view"][0]),
-        ("live", len(fl["fleet"])),
-        ("running", st.get("orders", {}).get("running", 0)),
-        ("config_epoch", st["config"][0]),
-        ("config_number", st["config"][1]),
-        ("messages_dropped", d.links.dropped),
+            events.add_metric([name], count)
+    return events, results
+
+
+def _retries(status: Mapping[str, Any]) -> Metric:
+    metric = CounterMetricFamily("silverglade_retries", "Fresh orders, retries, retries refused", labels=["kind"])
+    for kind, count in status.get("retries", {}).items():
+        metric.add_metric([kind], count)
+    return metric
+
+
+def _state(daemon: Daemon, status: Mapping[str, Any], fleet: Mapping[str, Any]) -> Metric:
+    metric = GaugeMetricFamily("silverglade_state", "Numbers of this daemon", labels=["what"])
+    for name, value in (
+        ("news_age_ms", status["age_ms"]),
+        ("view_epoch", status["view"][0]),
+        ("live", len(fleet["fleet"])),
+        ("running", status.get("orders", {}).get("running", 0)),
+        ("config_epoch", status["config"][0]),
+        ("config_number", status["config"][1]),
+        ("messages_dropped", daemon.peers.dropped),
     ):
-        g.add_metric([k], -1 if v is None else v)
-    rep = GaugeMetricFamily("silverglade_replica_slots", "Slots by replica", labels=["replica", "what"])
-    for i, r in rs["replicas"].items():
-        for k in ("cap", "used", "running"):
-            rep.add_metric([i, k], r[k] if r[k] is not None else -1)
-    reg = CollectorRegistry()
-    reg.register(Shown([ev, an, rt, g, rep]))
-    return generate_latest(reg)
+        metric.add_metric([name], UNKNOWN if value is None else value)
+    return metric
+
+
+def _replica_slots(replicas: Mapping[str, Any]) -> Metric:
+    metric = GaugeMetricFamily("silverglade_replica_slots", "Slots by replica", labels=["replica", "what"])
+    for replica, row in replicas["replicas"].items():
+        for field in ("cap", "used", "running"):
+            metric.add_metric([replica, field], row[field] if row[field] is not None else UNKNOWN)
+    return metric
--- a/silverglade/http/operator_changes.py
+++ b/silverglade/http/operator_changes.py
@@ -1,38 +1,55 @@
-"""An operator's change at the HTTP surface: looked at before it is handed on, given up when its caller leaves (design 5.4)."""
+"""An operator's change at the HTTP API: checked before it is handed on, given up when its caller leaves (design 5.4)."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import TYPE_CHECKING, Any, TypeVar
 
 import anyio
 import anyio.lowlevel
 
 from ..runtime.errors import ChangeTooLargeError, InvalidCallError, SilvergladeError
-from ..transport import framing as wire
+from ..transport.framing import fits_in_frame
+from .asgi import Receive, wait_for_disconnect
+
+if TYPE_CHECKING:
+    from ..server.daemon import Daemon
+
+EVENT_LOOP_TURNS = 8
+"""After so many a caller that left before its call was read has been seen to leave."""
+
+Change = TypeVar("Change", bound=tuple[Any, ...])
 
-TURNS = 8  # of the event loop: after so many a caller that left before its call was read has been seen to leave
 
+def checked_size(change: Change) -> Change:
+    """Return a change that daemons can send each other.
 
-def portable(change):
-    """Raises for what daemons could not send each other, so that it goes no further."""
+    :raises InvalidCallError: it cannot be sent at all.
+    :raises ChangeTooLargeError: it is too large.
+    """
     try:
-        fits = wire.fits_in_frame(change)
-    except SilvergladeError as e:
-        raise InvalidCallError(e.detail) from e
+        fits = fits_in_frame(change)
+    except SilvergladeError as error:
+        raise InvalidCallError(error.detail) from error
     if not fits:
         raise ChangeTooLargeError()
     return change
 
 
-async def settled(d, receive, op, args):
-    """-> the call's (code, fields); None when its caller has left. The request's body was read before."""
+async def call_unless_caller_leaves(
+    daemon: Daemon, receive: Receive, operation: str, arguments: tuple[Any, ...]
+) -> tuple[int, Mapping[str, Any]] | None:
+    """Call an operation and return its result; None when the caller has left. The request's body was read before."""
     result = None
-    async with anyio.create_task_group() as tasks:
+    async with anyio.create_task_group() as task_group:
 
-        async def watch():
-            while (await receive())["type"] != "http.disconnect":
-                pass
-            tasks.cancel_scope.cancel()
+        async def watch_caller() -> None:
+            await wait_for_disconnect(receive)
+            task_group.cancel_scope.cancel()
 
-        tasks.start_soon(watch)
-        for _ in range(TURNS):
+        task_group.start_soon(watch_caller)
+        for _ in range(EVENT_LOOP_TURNS):
             await anyio.lowlevel.checkpoint()
-        result = await d.call(op, args)
-        tasks.cancel_scope.cancel()
+        result = await daemon.call(operation, arguments)
+        task_group.cancel_scope.cancel()
     return result
--- a/silverglade/runtime/daemon_machine.py
+++ b/silverglade/runtime/daemon_machine.py
@@ -1,10 +1,16 @@
-"""One daemon's parts as one sans-IO machine (design 1.2).
+"""All components of a daemon as one state machine without I/O (design 1.2).
 
-`feed(now, event)` runs the parts to rest and returns the effects that leave the daemon.
-The daemon program and the simulator drive this same function.
+`feed(now, event)` runs the components until none has an event left, and returns the effects that leave the daemon, in their order.
+The daemon (server/daemon.py) and the simulator drive this same function. Which component hears what stands in the tables below.
 """
 
+from __future__ import annotations
+
+import random
 from collections import deque
+from collections.abc import Generator, Iterable, Mapping
+from datetime import timedelta
+from typing import Any
 
 from .. import __version__
 from ..autoscaling.scaler import scaler
@@ -23,20 +29,59 @@
 from ..tenant_shards.follower import follower
 from ..tenant_shards.owner import owner
 from ..transport.message_schemas import is_valid_message, known_fields
-from .effects import ZERO, log, start
-
-# which part hears which message between daemons
-MESSAGE_RECEIVERS = {
-    "membership": ("alive", "doubted"),
-    "core_table": ("told", "sync"),
-    "zone_relay": ("told", "get", "sync"),
-    "slot_leases": ("lease", "release", "renew"),
-    "shard_owner": ("ask", "leased", "unleased", "offer", "claimed", "unclaimed", "adopted", "unadopted", "copied", "fin", "quit"),
-    "tenant_ingress": ("grant", "deny", "moved", "hand", "left", "res", "more"),
-    "router": ("load-ask", "load-told", "load-put", "load-read"),
-    "updater": ("news",),
-    "operator_api": ("opr", "fenced"),
-    "control": (
+from .components import Component
+from .effects import ZERO, Broadcast, Post, Send, WakeAt, log, start
+from .events import (
+    ApiCall,
+    AttemptProgressed,
+    AttributeSet,
+    CallerDisconnected,
+    ClientCaughtUp,
+    ClientDisconnected,
+    DaemonStateChanged,
+    DiskWriteCompleted,
+    DispatchProgressed,
+    DrainStarted,
+    EndpointListRead,
+    ForwardingRequested,
+    MessageReceived,
+    ReachabilityTested,
+    ReplicaProbed,
+    ReplicaReportRead,
+    SeedsChanged,
+    ShutdownStarted,
+    TenantRequestArrived,
+    TimerFired,
+    event_to_tuple,
+)
+
+RawEvent = tuple[Any, ...]
+RawEffect = tuple[Any, ...]
+RawComponent = Generator[Iterable[RawEffect], "tuple[timedelta, RawEvent] | None", None]
+
+MESSAGE_RECEIVERS: dict[Component, tuple[str, ...]] = {
+    Component.MEMBERSHIP: ("alive", "doubted"),
+    Component.CORE_TABLE: ("told", "sync"),
+    Component.ZONE_RELAY: ("told", "get", "sync"),
+    Component.SLOT_LEASES: ("lease", "release", "renew"),
+    Component.SHARD_OWNER: (
+        "ask",
+        "leased",
+        "unleased",
+        "offer",
+        "claimed",
+        "unclaimed",
+        "adopted",
+        "unadopted",
+        "copied",
+        "fin",
+        "quit",
+    ),
+    Component.TENANT_INGRESS: ("grant", "deny", "moved", "hand", "left", "res", "more"),
+    Component.ROUTER: ("load-ask", "load-told", "load-put", "load-read"),
+    Component.UPDATER: ("news",),
+    Component.OPERATOR_API: ("opr", "fenced"),
+    Component.CONTROL: (
         "hb",
         "view",
         "prep",
@@ -54,41 +99,88 @@
         "op",
         "fence",
     ),
-    "claim_follower": ("claim", "mark", "adopt", "copy"),
+    Component.CLAIM_FOLLOWER: ("claim", "mark", "adopt", "copy"),
 }
-CALLS = {
-    "replica-put": "replica_registry",
-    "replica-leave": "replica_registry",
-    "platform": "replica_registry",
-    "trace": "tenant_ingress",
-    "head": "tenant_ingress",
-    "serving": "router",
+"""Component -> the kinds of messages between daemons that it hears. Of components that hear one kind a daemon has one."""
+
+CALL_RECEIVERS: dict[str, Component] = {
+    "replica-put": Component.REPLICA_REGISTRY,
+    "replica-leave": Component.REPLICA_REGISTRY,
+    "platform": Component.REPLICA_REGISTRY,
+    "trace": Component.TENANT_INGRESS,
+    "head": Component.TENANT_INGRESS,
+    "serving": Component.ROUTER,
 }
+"""Operation of the API -> the component that answers it; all others are the operator API's."""
+
+EVENT_RECEIVERS: dict[str, tuple[Component, ...]] = {
+    TenantRequestArrived.TAG: (Component.TENANT_INGRESS,),
+    ClientDisconnected.TAG: (Component.TENANT_INGRESS,),
+    DispatchProgressed.TAG: (Component.TENANT_INGRESS,),
+    DrainStarted.TAG: (Component.TENANT_INGRESS,),
+    ClientCaughtUp.TAG: (Component.TENANT_INGRESS,),
+    ForwardingRequested.TAG: (Component.ROUTER,),
+    AttemptProgressed.TAG: (Component.ROUTER,),
+    ReachabilityTested.TAG: (Component.ROUTER,),
+    ShutdownStarted.TAG: (Component.ROUTER,),
+    EndpointListRead.TAG: (Component.ENDPOINT_LIST,),
+    ReplicaReportRead.TAG: (Component.ENDPOINT_LIST,),
+    ReplicaProbed.TAG: (Component.SLOT_LEASES,),
+    CallerDisconnected.TAG: (Component.OPERATOR_API,),
+    DaemonStateChanged.TAG: (Component.MEMBERSHIP, Component.CONTROL),
+    SeedsChanged.TAG: (Component.UPDATER, Component.CORE_TABLE),
+}
+"""Tag of an event from outside -> the components that hear it, where that depends on nothing else."""
+
+TIMER_FIRED = event_to_tuple(TimerFired())
 
 
 class DaemonMachine:
+    """A daemon without I/O.
+
+    :ivar name: the daemon's.
+    :ivar components: by their names.
+    :ivar queue: (component, event) each, in the order in which they will be handled.
+    """
+
     def __init__(
         self,
         *,
-        me,
-        life,
-        zone,
-        region,
-        addr,
-        http,
-        seeds,
-        cores,
-        opt,
-        rng,
-        disk="",
-        saved=None,
-        front="",
-        lists=False,
-        tolerance=(1, 1, 1),
-        first=True,
-    ):
-        self.me = me
-        p = self.parts = {
+        me: str,
+        life: str,
+        zone: str,
+        region: str,
+        addr: str,
+        http: str,
+        seeds: Iterable[str],
+        cores: tuple[str, ...],
+        opt: Mapping[str, Any],
+        rng: random.Random,
+        disk: str = "",
+        saved: Mapping[str, Mapping[str, Any]] | None = None,
+        front: str = "",
+        lists: bool = False,
+        tolerance: tuple[int, int, int] = (1, 1, 1),
+        first: bool = True,
+    ) -> None:
+        """Create it.
+
+        :param me: the daemon's name.
+        :param life: the id of this process.
+        :param addr: where it listens for other daemons.
+        :param http: where it serves the product's own API.
+        :param seeds: addresses of other daemons to ask first.
+        :param cores: names of the cores that form the first view.
+        :param opt: tuning (settings.py).
+        :param disk: the id of its disk; empty: it is no core.
+        :param saved: the tables on its disk.
+        :param front: where clients' forwarded requests come in, or empty.
+        :param lists: whether it reads the platform's endpoint list.
+        :param tolerance: machines, zones, regions that may be lost at once (design 5.9).
+        :param first: whether a core with an empty disk may help to form the first view (design 5.5).
+        """
+        self.name = me
+        p: dict[str, Any] = {
             "membership": roster(me=me, life=life, place=(zone, region, addr, http, bool(disk)), opt=opt),
             "replica_registry": registry(me=me, core=bool(disk), opt=opt),
             "updater": news(me=me, zone=zone, region=region, core=bool(disk), addr=addr, seeds=tuple(seeds), opt=opt, rng=rng),
@@ -111,72 +203,71 @@
             p["claim_follower"] = follower(me=me, saved=saved, opt=opt)
         else:
             p["zone_relay"] = proxy(zone=zone, opt=opt)
-        for g in p.values():
-            start(g)
-        self.hear = {k: n for n, ks in MESSAGE_RECEIVERS.items() for k in ks if n in p}
-        self.due = dict.fromkeys(p, ZERO)  # part -> when it wants its next pulse (1.5)
-        self.queue = deque([("membership", ("extra", "version", __version__))])
+        self.components: dict[str, RawComponent] = p
+        for component in p.values():
+            start(component)
+        self._message_receivers: dict[str, Component] = {
+            kind: component for component, kinds in MESSAGE_RECEIVERS.items() if component in p for kind in kinds
+        }
+        self._wake_at = dict.fromkeys(p, ZERO)
+        """Component -> when it wants the next `TimerFired` (design 1.5)."""
+        self.queue: deque[tuple[str, RawEvent]] = deque()
+        self.queue.append((Component.MEMBERSHIP, event_to_tuple(AttributeSet("version", __version__))))
         if front:
-            self.queue.append(("membership", ("extra", "front", front)))
-
-    def next(self):
-        """When the next pulse is wanted."""
-        return min(self.due.values())
-
-    def aim(self, now, ev):
-        """-> the parts an outside event goes to."""
-        match ev:
-            case ("pulse",):
-                return tuple(n for n, t in self.due.items() if t <= now)
-            case ("msg", _, (kind, *_)):
-                return (self.hear[kind],) if kind in self.hear else ()
-            case ("disk", (part, _), _, _):
-                return (part,)
-            case ("order" | "gone" | "ran" | "drain" | "drained", *_):
-                return ("tenant_ingress",)
-            case ("request" | "tried" | "reached" | "leaving", *_):
-                return ("router",)
-            case ("read" | "asked", *_):
-                return ("endpoint_list",)
-            case ("probed", *_):
-                return ("slot_leases",)
-            case ("call-gone", _):
-                return ("operator_api",)
-            case ("call", _, op, _):
-                return (CALLS.get(op, "operator_api"),)
-            case ("state", _):
-                return ("membership", "control")
-            case ("seeds", _):
-                return ("updater", "core_table")
-        return ()
-
-    def feed(self, now, ev):
-        out = []
-        to = self.aim(now, ev)
-        if not to and ev == ("pulse",):
-            return out
-        if not to or (ev[0] == "msg" and not is_valid_message(ev[2])):
-            return [log("message-refused", sender=str(ev[1:2])[:40], what=str(ev)[:80])]
-        if ev[0] == "msg":
-            ev = (*ev[:2], known_fields(ev[2]))
-        self.queue.extend((t, ev) for t in to)
+            self.queue.append((Component.MEMBERSHIP, event_to_tuple(AttributeSet("front", front))))
+
+    def next_timer(self) -> timedelta:
+        """Return when the next `TimerFired` is wanted."""
+        return min(self._wake_at.values())
+
+    def feed(self, now: timedelta, event: RawEvent) -> list[RawEffect]:
+        """Handle one event, in tuple form, and return the effects that leave the daemon.
+
+        :param now: on a monotonic clock.
+        """
+        receivers = self._receivers(now, event)
+        if not receivers and event == TIMER_FIRED:
+            return []
+        is_message = event[0] == MessageReceived.TAG
+        if not receivers or (is_message and not is_valid_message(event[2])):
+            return [log("message-refused", sender=str(event[1:2])[:40], what=str(event)[:80])]
+        if is_message:
+            event = (*event[:2], known_fields(event[2]))
+        self.queue.extend((component, event) for component in receivers)
+        effects: list[RawEffect] = []
         while self.queue:
-            part, e = self.queue.popleft()
-            if part not in self.parts:
-                continue
-            self.due[part] = ZERO
-            for f in self.parts[part].send((now, e)):
-                match f:
-                    case ("due", t):
-                        self.due[part] = t
-                    case ("post", p, x):
-                        self.queue.append((p, x))
-                    case ("cast", x):
-                        self.queue.extend((p, x) for p in self.parts)
-                    case ("send", to, body) if to == self.me:
-                        k = self.hear.get(body[0])
-                        if k:
-                            self.queue.append((k, ("msg", self.me, body)))
-                    case _:
-                        out.append(f)
-        return out
+            component, queued_event = self.queue.popleft()
+            if component in self.components:
+                self._run_component(now, component, queued_event, effects)
+        return effects
+
+    def _receivers(self, now: timedelta, event: RawEvent) -> tuple[str, ...]:
+        """Return the components that hear an event from outside."""
+        match event:
+            case (TimerFired.TAG,):
+                return tuple(component for component, wake_at in self._wake_at.items() if wake_at <= now)
+            case (MessageReceived.TAG, _, (kind, *_)):
+                return (self._message_receivers[kind],) if kind in self._message_receivers else ()
+            case (DiskWriteCompleted.TAG, (component, _), _, _):
+                return (component,)
+            case (ApiCall.TAG, _, operation, _):
+                return (CALL_RECEIVERS.get(operation, Component.OPERATOR_API),)
+        return EVENT_RECEIVERS.get(event[0], ())
+
+    def _run_component(self, now: timedelta, component: str, event: RawEvent, effects: list[RawEffect]) -> None:
+        """Let one component handle an event; effects that leave the daemon are appended to `effects`."""
+        self._wake_at[component] = ZERO
+        for effect in self.components[component].send((now, event)):
+            match effect:
+                case (WakeAt.TAG, time):
+                    self._wake_at[component] = time
+                case (Post.TAG, receiver, posted):
+                    self.queue.append((receiver, posted))
+                case (Broadcast.TAG, posted):
+                    self.queue.extend((receiver, posted) for receiver in self.components)
+                case (Send.TAG, to, body) if to == self.name:
+                    heard_by = self._message_receivers.get(body[0])
+                    if heard_by:
+                        self.queue.append((heard_by, (MessageReceived.TAG, self.name, body)))
+                case _:
+                    effects.append(effect)
--- a/silverglade/server/__init__.py
+++ b/silverglade/server/__init__.py
@@ -6,4 +6,4 @@
 
 import sys
 
-sys.modules.setdefault("trio", None)
+sys.modules.setdefault("trio", None)  # type: ignore[arg-type]
--- a/silverglade/server/daemon.py
+++ b/silverglade/server/daemon.py
@@ -1,370 +1,404 @@
-"""The daemon (design 1.3): tasks round one hub, each owning its socket or its file."""
+"""The daemon (design 1.3): tasks around one daemon machine, each owning its socket or its file."""
+
+from __future__ import annotations
 
 import contextlib
-import os
+import logging
 import random
 import secrets
 import signal
+from collections import Counter
+from collections.abc import Callable, Iterator, Mapping, Sequence
 from datetime import timedelta
+from typing import Any
 
 import anyio
 import anyio.lowlevel
-import anyio.to_thread
+from anyio.abc import TaskGroup
 
 from ..http.dialect import OWN
+from ..http.listener import serve
 from ..membership.rendezvous import highest_ranked
+from ..runtime import result_codes
 from ..runtime.daemon_machine import DaemonMachine
-from ..runtime.errors import OverloadedError, SilvergladeError
+from ..runtime.effects import (
+    AbortDispatch,
+    AllowExit,
+    Dispatch,
+    LogRecord,
+    ProbeReplica,
+    ReadEndpointList,
+    ReadReplicaReport,
+    Reply,
+    Send,
+    SetBackpressure,
+    SetPeerAddress,
+    TenantResult,
+    TestReachability,
+    WriteToDisk,
+)
+from ..runtime.errors import OverloadedError
+from ..runtime.events import (
+    ApiCall,
+    CallerDisconnected,
+    DiskWriteCompleted,
+    EndpointListRead,
+    ReachabilityTested,
+    ReplicaProbed,
+    ReplicaReportRead,
+)
 from ..runtime.structured_logging import format_line
-from ..transport.connections import PeerConnections
-from . import replica_calls as callout
-from . import shutdown as departure
+from ..transport.connections import PeerConnections, split_address
+from . import replica_calls
+from .adapter import AsgiApp, PlatformAdapter
 from .disk import DataFolder
-from .priority_queues import PriorityQueues
+from .disk_writer import DiskWriter
+from .limits import MAX_BUFFERED_BODY_BYTES
+from .priority_queues import PriorityQueues, Queue
 from .request_forwarding import RequestForwarder
-from .shutdown import clock
-from .supervisor import keep
+from .settings_reload import Settings, SettingsReloader
+from .shutdown import SignalTimes, clock, shut_down
+from .supervisor import supervise
+from .tenant_requests import TenantRequests
+
+SECOND = timedelta(seconds=1)
+
+PROCESS_ID_BYTES = 6
+RANDOM_SEED_BITS = 64
+
+EVENTS_PER_TURN = 64
+"""After so many events other tasks get their turn: sockets and the timer, in a crowd."""
+
+MAX_TIMER_WAIT_S = 1.0
+
+HEAD_OPERATION = "head"
+"""The call that checks the head of a tenant's request; it is refused at once when too many wait."""
+
+CallResult = tuple[int, Mapping[str, Any]]
+"""A result code and fields."""
+
+
+class PendingCall:
+    """A call of the API whose answer is waited for."""
 
-RELAY, DISK, GROUP = 256, 4096, 256
-BODIES = 64 * 1024 * 1024  # bytes of visitors' bodies held at once
-# what may change while a daemon runs; `cores` and `first` matter only where no view was ever formed (5.5)
-LIVE = frozenset(("tuning", "log_level", "seeds", "cores", "first"))
-SETTINGS_EVERY = 2.0  # seconds between looks at the settings file: it may change without a signal
+    __slots__ = ("done", "result")
+
+    def __init__(self) -> None:
+        self.done = anyio.Event()
+        self.result: CallResult = (result_codes.UNKNOWN_OUTCOME, {})
 
 
 class Daemon:
-    def __init__(self, *, settings, lg, reread=None, outer=None, settings_file=""):
-        s = self.s = settings
-        self.settings_file = settings_file
-        self.settings_stamp = self.stamp()
-        self.outer, self.draining, self.closing = outer, False, anyio.Event()
-        self.released = False  # a core that leaves: was it said that the others can do without it?
-        self.open = ()  # connections of the HTTP server
-        self.lg, self.reread, self.opt = lg, reread, s["tuning"]
-        self.store = DataFolder(folder=s["data"], name=s["name"]) if s["data"] else None
-        self.life = secrets.token_hex(6)
-        self.lanes, self.bodies, self.held = PriorityQueues(), 0, set()
-        self.disk_put, self.disk_get = anyio.create_memory_object_stream(DISK)
-        self.links = PeerConnections(own_name=s["name"], process_id=self.life, address=s["listen"], on_message=self.lanes.heard, logger=lg)
-        self.hub = DaemonMachine(
-            me=s["name"],
-            life=self.life,
-            zone=s["zone"],
-            region=s["region"],
-            addr=s["advertise"] or s["listen"],
-            http=s["http"],
-            seeds=s["seeds"],
-            cores=tuple(s["cores"]),
-            opt=self.opt,
-            rng=random.Random(secrets.randbits(64)),
-            disk=self.store.id if self.store else "",
-            saved=self.store.load() if self.store else None,
-            front=outer.front if outer else "",
-            lists=bool(outer and outer.list_at),
-            tolerance=tuple(s["tolerance"][k] for k in ("machines", "zones", "regions")),
-            first=s["first"],
+    """One daemon.
+
+    :param settings: checked settings (runtime/settings.py).
+    :param read_settings: reads the settings again; None where that never happens.
+    :param adapter: of the platform, or None.
+    :param settings_file: whose change makes the settings be read again, or empty.
+    :ivar draining: it was told to stop.
+    :ivar closing: set when the HTTP server is to close.
+    :ivar stopping: set when the process is to end.
+    :ivar may_exit: the other cores can do without this one.
+    :ivar open_connections: of the HTTP server.
+    :ivar buffered_body_bytes: of clients' bodies that are held.
+    """
+
+    def __init__(
+        self,
+        *,
+        settings: Settings,
+        logger: logging.Logger,
+        read_settings: Callable[[], Settings] | None = None,
+        adapter: PlatformAdapter | None = None,
+        settings_file: str = "",
+    ) -> None:
+        self.settings = settings
+        self.tuning = settings["tuning"]
+        self.logger = logger
+        self.adapter = adapter
+        self.draining = False
+        self.closing = anyio.Event()
+        self.stopping = anyio.Event()
+        self.may_exit = False
+        self.open_connections: set[Any] = set()
+        self.buffered_body_bytes = 0
+        self.event_counts: Counter[str] = Counter()
+        self.pending_calls: dict[str, PendingCall] = {}
+        self.task_group: TaskGroup
+        self._id_count = 0
+        self._timer_wanted_earlier = anyio.Event()
+        name, local_ip = settings["name"], split_address(settings["http"])[0]
+        self.data_folder = DataFolder(folder=settings["data"], name=name) if settings["data"] else None
+        self.process_id = secrets.token_hex(PROCESS_ID_BYTES)
+        self.queues = PriorityQueues()
+        self.peers = PeerConnections(
+            own_name=name,
+            process_id=self.process_id,
+            address=settings["listen"],
+            on_message=self.queues.on_message,
+            logger=logger,
+        )
+        self.machine = self._new_machine()
+        self.replica_pool = replica_calls.new_pool(local=local_ip)
+        self.tenant_requests = TenantRequests(queues=self.queues, pool=self.replica_pool, event_counts=self.event_counts)
+        self.forwarder = RequestForwarder(
+            daemon=self, dialect=adapter.dialect if adapter else OWN, local=local_ip, reuse="reuse" not in self.tuning["without"]
+        )
+        self.disk_writer = DiskWriter(
+            data_folder=self.data_folder, delay_s=lambda: self.tuning["drill_disk"], report=self.queues.send, logger=logger
+        )
+        self.settings_reloader = SettingsReloader(
+            settings=settings,
+            read_again=read_settings or (lambda: settings),
+            settings_file=settings_file,
+            report_seeds=self.queues.send,
+            logger=logger,
         )
-        self.pool, self.group, self.jobs = callout.pool(local=s["http"].rsplit(":", 1)[0]), None, {}
-        self.relays, self.calls, self.n, self.counts, self.fed = {}, {}, 0, {}, 0
-        self.early = anyio.Event()  # a pulse is wanted sooner than it seemed
-        self.stopping, self.ready = anyio.Event(), anyio.Event()
-        dialect, local = outer.dialect if outer else OWN, s["http"].rsplit(":", 1)[0]
-        self.shell = RequestForwarder(daemon=self, dialect=dialect, local=local, reuse="reuse" not in self.opt["without"])
-
-    def faces(self):
-        """Addresses beside the product's own and the clients', each with its app (design 15.7)."""
-        return {a: self.outer.app(self) for a in self.outer.others} if self.outer else {}
-
-    def change(self):
+        self._effect_handlers = self._new_effect_handlers()
+
+    def _new_machine(self) -> DaemonMachine:
+        """Return the daemon machine, with what the disk holds."""
+        settings, adapter, tolerance = self.settings, self.adapter, self.settings["tolerance"]
+        return DaemonMachine(
+            me=settings["name"],
+            life=self.process_id,
+            zone=settings["zone"],
+            region=settings["region"],
+            addr=settings["advertise"] or settings["listen"],
+            http=settings["http"],
+            seeds=settings["seeds"],
+            cores=tuple(settings["cores"]),
+            opt=self.tuning,
+            rng=random.Random(secrets.randbits(RANDOM_SEED_BITS)),
+            disk=self.data_folder.id if self.data_folder else "",
+            saved=self.data_folder.load() if self.data_folder else None,
+            front=adapter.client_address if adapter else "",
+            lists=bool(adapter and adapter.endpoint_list_address),
+            tolerance=(tolerance["machines"], tolerance["zones"], tolerance["regions"]),
+            first=settings["first"],
+        )
+
+    def _new_effect_handlers(self) -> dict[str, Callable[..., object]]:
+        """Return what carries out the effects of the daemon machine: tag -> function of the effect's fields."""
+        return {
+            Send.TAG: self.peers.send,
+            SetPeerAddress.TAG: self.peers.set_address,
+            WriteToDisk.TAG: self._write_to_disk,
+            Dispatch.TAG: self._dispatch,
+            AbortDispatch.TAG: self.tenant_requests.abort,
+            TenantResult.TAG: self._deliver_result,
+            SetBackpressure.TAG: self.tenant_requests.set_backpressure,
+            ReadEndpointList.TAG: lambda: self.task_group.start_soon(self._read_endpoint_list),
+            TestReachability.TAG: lambda *fields: self.task_group.start_soon(self._test_reachability, *fields),
+            ReadReplicaReport.TAG: lambda *fields: self.task_group.start_soon(self._read_replica_report, *fields),
+            ProbeReplica.TAG: lambda *fields: self.task_group.start_soon(self._probe_replica, *fields),
+            Reply.TAG: self._reply,
+            AllowExit.TAG: self._allow_exit,
+            LogRecord.TAG: self._log,
+        }
+
+    # called by the HTTP API
+
+    def apps(self) -> dict[str, AsgiApp]:
+        """Return the apps of addresses beside the product's own and the clients' (design 15.7)."""
+        if self.adapter is None:
+            return {}
+        return {address: self.adapter.app(self) for address in self.adapter.api_addresses}
+
+    def new_change_id(self) -> str:
+        """Return an id for a change whose operator gave none."""
         return secrets.token_hex(8)
 
-    # for the front: orders and calls
-    def oid(self):
-        self.n += 1
-        return f"{self.s['name']}~{self.life}~{self.n}"
-
-    async def order(self, oid, spec):
-        """-> the order's results as a bounded stream."""
-        w, r = anyio.create_memory_object_stream(RELAY)
-        self.lanes.knock(("order", oid, spec))
-        self.relays[oid] = w
-        return r
-
-    async def gone(self, oid):
-        if self.relays.pop(oid, None):
-            await self.lanes.send(("gone", oid), "door")
-
-    async def drained(self, oid, n):
-        """A visitor has taken n results of its order: whoever sends them on may go on (6.6)."""
-        await self.lanes.send(("drained", oid, n), "work")
-
-    async def call(self, op, args):
-        self.n += 1
-        cid, done = f"c{self.n}", anyio.Event()
-        ev = ("call", cid, op, args)
-        if op == "head":
-            self.lanes.knock(ev)
-        self.calls[cid] = box = [done, None]
-        if op != "head":
-            await self.lanes.send(ev)
+    def new_request_id(self) -> str:
+        """Return an id that no other request has, of any daemon."""
+        self._id_count += 1
+        return f"{self.settings['name']}~{self.process_id}~{self._id_count}"
+
+    async def call(self, operation: str, arguments: tuple[Any, ...]) -> CallResult:
+        """Call an operation of the API and wait for its answer.
+
+        :raises OverloadedError: too many heads of requests wait already.
+        """
+        self._id_count += 1
+        call_id, call = f"c{self._id_count}", PendingCall()
+        event = ApiCall(call_id, operation, arguments)
+        if operation == HEAD_OPERATION:
+            self.queues.admit(event)
+        self.pending_calls[call_id] = call
+        if operation != HEAD_OPERATION:
+            await self.queues.send(event)
         try:
-            await done.wait()
+            await call.done.wait()
         finally:
-            if self.calls.pop(cid, None):  # nobody waits for its answer any more
-                self.lanes.note(("call-gone", cid))
-        return box[1]
+            if self.pending_calls.pop(call_id, None):  # nobody waits for its answer any more
+                self.queues.send_or_drop(CallerDisconnected(call_id))
+        return call.result
 
     @contextlib.contextmanager
-    def hold(self, size):
-        """Room for one visitor's body, or a refusal at once."""
-        if self.bodies + size > BODIES:
+    def reserve_body(self, size: int) -> Iterator[None]:
+        """Reserve room for one client's body.
+
+        :raises OverloadedError: too many bodies are held already.
+        """
+        if self.buffered_body_bytes + size > MAX_BUFFERED_BODY_BYTES:
             raise OverloadedError("bodies")
-        self.bodies += size
+        self.buffered_body_bytes += size
         try:
             yield
         finally:
-            self.bodies -= size
-
-    # effects of the hub
-    def act(self, e):
-        match e:
-            case ("send", to, body):
-                self.links.send(to, body)
-            case ("peer", name, addr):
-                self.links.set_address(name, addr)
-            case ("disk", token, ops):
-                try:
-                    self.disk_put.send_nowait((token, ops))
-                except anyio.WouldBlock:  # its waiter hears that it is not on disk
-                    self.lg.error(format_line("disk-queue-full", []))
-                    self.group.start_soon(self.lanes.send, ("disk", token, False, None))
-            case ("dispatch", did, rid, addr, meta, body):
-                self.group.start_soon(self.dispatch, did, addr, meta, body)
-            case ("abort", did):
-                if did in self.jobs:
-                    self.jobs.pop(did).cancel()
-            case ("try" | "pass" | "drop" | "answer" | "break" | "forget" | "renew" | "limits", *_):
-                self.shell.act(e)
-            case ("list",):
-                self.group.start_soon(self.read_list)
-            case ("reach", replica, addr, wait):
-                self.group.start_soon(self.reach, replica, addr, wait)
-            case ("ask", rid, addr):
-                self.group.start_soon(self.ask, rid, addr)
-            case ("probe", rid, inc, addr):
-                self.group.start_soon(self.probe, rid, inc, addr)
-            case ("result", oid, kind, *r):
-                self.result(oid, kind, r)
-            case ("reply", cid, code, kw):
-                box = self.calls.pop(cid, None)
-                if box:
-                    box[1] = (code, kw)
-                    box[0].set()
-            case ("ease", oid, on):
-                self.held.discard(oid) if on else self.held.add(oid)
-            case ("released",):
-                self.released = True
-            case ("log", ev, pairs):
-                self.counts[ev] = self.counts.get(ev, 0) + 1
-                self.lg.info(format_line(ev, pairs))
-
-    def result(self, oid, kind, r):
-        w = self.relays.get(oid)
-        if w is None:
-            return
-        try:
-            w.send_nowait((kind, *r))
-        except (anyio.WouldBlock, anyio.BrokenResourceError):  # a visitor too slow, or gone
-            self.relays.pop(oid)
-            w.close()
-            self.group.start_soon(self.lanes.send, ("gone", oid), "door")
-            return
-        if kind in ("whole", "done", "fault"):
-            self.relays.pop(oid)
-            w.close()
-            k = r[0] if kind == "fault" else 100
-            self.counts[f"code-{k}"] = self.counts.get(f"code-{k}", 0) + 1
-
-    async def dispatch(self, did, addr, meta, body):
-        oid = did.rsplit(".", 1)[0]
-
-        async def tell(*what):
-            await self.lanes.send(("ran", did, *what), "work")
+            self.buffered_body_bytes -= size
 
-        async def room():
-            while oid in self.held or ((w := self.relays.get(oid)) and w.statistics().current_buffer_used > RELAY // 2):
-                await anyio.sleep(0.01)
+    # effects of the daemon machine
 
-        with anyio.CancelScope() as scope:
-            self.jobs[did] = scope
-            try:
-                await callout.dispatch(pool=self.pool, did=did, addr=addr, meta=meta, body=body, tell=tell, room=room)
-            finally:
-                self.jobs.pop(did, None)
-                self.held.discard(oid)
-
-    async def probe(self, rid, inc, addr):
-        await self.lanes.send(("probed", rid, inc, await callout.probe(pool=self.pool, addr=addr)))
+    def carry_out(self, effect: tuple[Any, ...]) -> None:
+        """Carry out one effect of the daemon machine, in tuple form."""
+        tag = effect[0]
+        if tag in RequestForwarder.TAGS:
+            self.forwarder.carry_out(effect)
+            return
+        handler = self._effect_handlers.get(tag)
+        if handler:
+            handler(*effect[1:])
+
+    def _write_to_disk(self, token: tuple[str, int], operations: Sequence[tuple[Any, ...]]) -> None:
+        if not self.disk_writer.submit(token, operations):
+            self.task_group.start_soon(self.queues.send, DiskWriteCompleted(token, False))
+
+    def _dispatch(self, dispatch_id: str, replica: str, address: str, facts: Mapping[str, Any], body: bytes) -> None:
+        self.task_group.start_soon(self.tenant_requests.dispatch, dispatch_id, address, facts, body)
+
+    def _deliver_result(self, request_id: str, kind: str, *details: Any) -> None:
+        self.deliver_result(request_id, kind, details)
+
+    def deliver_result(self, request_id: str, kind: str, details: Sequence[Any]) -> None:
+        """Hand a result of a tenant's request to its client."""
+        self.tenant_requests.deliver(self.task_group, request_id, kind, details)
+
+    def _reply(self, call_id: str, code: int, fields: Mapping[str, Any]) -> None:
+        call = self.pending_calls.pop(call_id, None)
+        if call:
+            call.result = (code, fields)
+            call.done.set()
+
+    def _allow_exit(self) -> None:
+        self.may_exit = True
+
+    def _log(self, event: str, pairs: Sequence[tuple[str, Any]]) -> None:
+        self.event_counts[event] += 1
+        self.logger.info(format_line(event, pairs))
+
+    async def _get(self, address: str, path: str) -> tuple[int, bytes]:
+        """Send a plain GET to what lists the replicas; (0, b"") without an answer."""
+        return await replica_calls.get(pool=self.replica_pool, address=address, path=path)
+
+    async def _read_endpoint_list(self) -> None:
+        """Read the list of replicas that somebody else keeps (design 15.4)."""
+        assert self.adapter is not None
+        await self.queues.send(EndpointListRead(await self.adapter.read_endpoint_list(self._get)))
+
+    async def _test_reachability(self, replica: str, address: str, timeout: timedelta) -> None:
+        """Does a replica's machine take a connection, or refuse one?"""
+        reachable = await self.forwarder.pool.reaches(addr=address, timeout=timeout)
+        await self.queues.send(ReachabilityTested(replica, reachable), Queue.WORK)
+
+    async def _read_replica_report(self, replica: str, address: str) -> None:
+        """Ask a replica of a service how it does."""
+        assert self.adapter is not None
+        body = await self.forwarder.get(replica=replica, addr=address, path=self.adapter.dialect.report)
+        await self.queues.send(ReplicaReportRead(replica, self.adapter.parse_report(body) if body is not None else None))
+
+    async def _probe_replica(self, replica: str, incarnation: int, address: str) -> None:
+        """Ask a tenants' replica how it does."""
+        report = await replica_calls.check_health(pool=self.replica_pool, address=address)
+        await self.queues.send(ReplicaProbed(replica, incarnation, tuple(report) if report else None))
 
     # tasks
-    async def think(self):
-        """Owns the hub. A fault in here leaves its state untrusted, so it ends the daemon."""
-        while True:
-            ev = await self.lanes.take()
-            for e in self.hub.feed(clock(), ev):
-                self.act(e)
-            if not self.early.is_set() and self.hub.next() <= clock():
-                self.early.set()
-            self.fed += 1
-            if self.fed % 64 == 0:
-                await anyio.lowlevel.checkpoint()  # sockets and pulse get their turn in a crowd
-
-    async def pulse(self):
-        """As often as some part wants it, at most each `pulse` (1.5)."""
-        sec = timedelta(seconds=1)
-        await self.links.listening.wait()  # what the first pulse sends would be lost, and is asked again late
+
+    async def run_machine(self) -> None:
+        """Feed the daemon machine. A failure in here leaves its state untrusted, so it ends the daemon."""
+        event_count = 0
         while True:
-            self.lanes.pulse()
-            await anyio.sleep(self.opt["pulse"] / sec)
-            while (left := (self.hub.next() - clock()) / sec) > 0:
-                self.early = anyio.Event()
-                with anyio.move_on_after(min(left, 1.0)):
-                    await self.early.wait()
-
-    async def write(self):
-        """The one writer: a stalled disk holds up this task alone. What waits is synced together."""
+            event = await self.queues.take()
+            for effect in self.machine.feed(clock(), event):
+                self.carry_out(effect)
+            if not self._timer_wanted_earlier.is_set() and self.machine.next_timer() <= clock():
+                self._timer_wanted_earlier.set()
+            event_count += 1
+            if event_count % EVENTS_PER_TURN == 0:
+                await anyio.lowlevel.checkpoint()
+
+    async def run_timer(self) -> None:
+        """Fire the timer as often as some component wants it, at most each `pulse` (design 1.5)."""
+        await self.peers.listening.wait()  # what is sent before that would be lost, and is asked again late
         while True:
-            got = [await self.disk_get.receive()]
-            while len(got) < GROUP:
-                try:
-                    got.append(self.disk_get.receive_nowait())
-                except anyio.WouldBlock:
-                    break
-            ok = True
-            await anyio.sleep(self.opt["drill_disk"])
-            try:
-                await anyio.to_thread.run_sync(self.store.write, [op for _, ops in got for op in ops], abandon_on_cancel=True)
-            except Exception as e:  # noqa: BLE001  full, failing, gone
-                ok = False
-                self.lg.error(format_line("disk-write", [("why", e), ("writes", len(got))]))
-            for token, _ in got:
-                await self.lanes.send(("disk", token, ok, None))
-
-    async def platform(self):
-        """The first live daemon of the region, in the agreed order, sends its orders on (9.6)."""
-        gap = self.opt["scale_every"] / timedelta(seconds=1)
-        at, region = self.s["orders_to"], self.s["region"]
-        while at:
-            await anyio.sleep(gap)
-            _, fl = await self.call("fleet", ())
-            here = [n for n, d in fl["fleet"].items() if d["region"] == region and d["state"] == "ready"]
-            if highest_ranked(f"orders/{region}", here) == self.s["name"]:
-                _, got = await self.call("orders", (region,))
-                ok = await callout.tell(pool=self.pool, addr=at, data=got)
-                if not ok:
-                    self.lg.warning(format_line("platform-silent", [("to", at)]))
-
-    async def get(self, addr, path):
-        """One plain GET of what lists the replicas -> (status, body); no answer is (0, b"")."""
-        return await callout.get(pool=self.pool, addr=addr, path=path)
-
-    async def read_list(self):
-        """The list of replicas that somebody else keeps (design 15.4)."""
-        await self.lanes.send(("read", await self.outer.replicas(self.get)))
-
-    async def reach(self, replica, addr, wait):
-        """Does a replica's machine take a connection? -> ("reached", id, whether it did, or refused it)."""
-        ok = await self.shell.pool.reaches(addr=addr, timeout=wait)
-        await self.lanes.send(("reached", replica, ok), "work")
-
-    async def ask(self, rid, addr):
-        """How a replica does -> ("asked", id, (active, queued, slots) or None)."""
-        body = await self.shell.get(replica=rid, addr=addr, path=self.outer.dialect.report)
-        await self.lanes.send(("asked", rid, self.outer.report(body) if body is not None else None))
-
-    async def signals(self):
-        with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as sigs:
-            times = departure.SignalTimes()
+            self.queues.fire_timer()
+            await anyio.sleep(self.tuning["pulse"] / SECOND)
+            while (wait_s := (self.machine.next_timer() - clock()) / SECOND) > 0:
+                self._timer_wanted_earlier = anyio.Event()
+                with anyio.move_on_after(min(wait_s, MAX_TIMER_WAIT_S)):
+                    await self._timer_wanted_earlier.wait()
+
+    async def report_region_orders(self) -> None:
+        """Send the platform what its region wants, on the region's first ready daemon in the agreed order (design 9.6)."""
+        interval_s = self.tuning["scale_every"] / SECOND
+        address, region = self.settings["orders_to"], self.settings["region"]
+        while address:
+            await anyio.sleep(interval_s)
+            _, answer = await self.call("fleet", ())
+            ready = [name for name, row in answer["fleet"].items() if row["region"] == region and row["state"] == "ready"]
+            if highest_ranked(f"orders/{region}", ready) == self.settings["name"]:
+                _, orders = await self.call("orders", (region,))
+                if not await replica_calls.put_region_orders(pool=self.replica_pool, address=address, orders=orders):
+                    self.logger.warning(format_line("platform-unreachable", [("to", address)]))
+
+    async def handle_signals(self) -> None:
+        """SIGTERM: shut down; SIGINT: stop at once; SIGHUP: read the settings again."""
+        with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
+            times = SignalTimes()
             times.watch()
-            async for s in sigs:
-                if s == signal.SIGHUP:
-                    await self.reload()
-                elif s == signal.SIGINT:
+            async for number in signals:
+                if number == signal.SIGHUP:
+                    await self.settings_reloader.reload()
+                elif number == signal.SIGINT:
                     self.stopping.set()
                 else:
-                    self.group.start_soon(lambda: departure.leave(self, told_at=times.told_at))
-
-    def stamp(self):
-        """What changes whenever the settings file is written; None where there is none, or it cannot be seen now."""
-        try:
-            seen = os.stat(self.settings_file)
-        except OSError:
-            return None
-        return seen.st_mtime_ns, seen.st_size, seen.st_ino
-
-    async def look_at_settings(self):
-        """Read the settings again if their file has changed since they were read."""
-        stamp = self.stamp()
-        if stamp not in (None, self.settings_stamp):
-            self.settings_stamp = stamp
-            await self.reload()
-
-    async def watch_settings(self):
-        while self.settings_file:
-            await anyio.sleep(SETTINGS_EVERY)
-            await self.look_at_settings()
-
-    async def reload(self):
-        """Settings re-read whole: what `LIVE` names changes in place; a fault, or another change, changes nothing."""
-        try:
-            new = self.reread()
-        except SilvergladeError as e:
-            self.lg.error(format_line("settings-refused", [("code", e.code), ("why", e.detail)]))
-            return
-        fixed = [k for k in new if k not in LIVE and new[k] != self.s[k]]
-        if fixed:
-            self.lg.error(format_line("settings-refused", [("why", "needs a restart: " + ",".join(fixed))]))
-            return
-        self.opt.update(new["tuning"])
-        self.s["log_level"] = new["log_level"]
-        self.lg.setLevel({"DEBUG": 10, "INFO": 20, "WARNING": 30}[new["log_level"]])
-        if tuple(new["seeds"]) != tuple(self.s["seeds"]):
-            self.s["seeds"] = new["seeds"]
-            await self.lanes.send(("seeds", tuple(new["seeds"])))
-        self.lg.info(format_line("settings", [("level", new["log_level"]), ("seeds", ",".join(new["seeds"]))]))
-
-    async def run(self):
-        from ..http.listener import serve
-
-        s = self.s
-        self.lg.info(
-            format_line(
-                "start",
-                [("daemon", s["name"]), ("zone", s["zone"]), ("life", self.life), ("disk", self.store.id if self.store else "none")],
-            )
-        )
-        async with anyio.create_task_group() as tg:
-            self.group = tg
-            tg.start_soon(self.think)
-            if self.store:
-                tg.start_soon(self.write)
+                    self.task_group.start_soon(lambda: shut_down(self, told_at=times.told_at))
+
+    async def run(self) -> None:
+        """Run until the daemon is to end."""
+        settings = self.settings
+        disk = self.data_folder.id if self.data_folder else "none"
+        start_pairs = [("daemon", settings["name"]), ("zone", settings["zone"]), ("life", self.process_id), ("disk", disk)]
+        self.logger.info(format_line("start", start_pairs))
+        async with anyio.create_task_group() as task_group:
+            self.task_group = task_group
+            task_group.start_soon(self.run_machine)
+            if self.data_folder:
+                task_group.start_soon(self.disk_writer.run)
             for name, run in (
-                ("links", self.links.run),
-                ("pulse", self.pulse),
-                ("platform", self.platform),
-                ("front", lambda: serve(self)),
-                ("signals", self.signals),
-                ("settings", self.watch_settings),
+                ("peers", self.peers.run),
+                ("timer", self.run_timer),
+                ("region-orders", self.report_region_orders),
+                ("http", lambda: serve(self)),
+                ("signals", self.handle_signals),
+                ("settings", self.settings_reloader.watch),
             ):
-                tg.start_soon(lambda n=name, r=run: keep(name=n, run=r, lg=self.lg))
+                task_group.start_soon(lambda name=name, run=run: supervise(name=name, run=run, logger=self.logger))  # type: ignore[misc]
             await self.stopping.wait()
-            self.lg.info(format_line("stop", [("daemon", s["name"])]))
-            tg.cancel_scope.cancel()
-        if self.store:
-            self.store.close()
-
-
-def start(*, settings, lg, reread, outer=None, settings_file=""):
-    """Run a daemon until it ends. reread: reads the settings again; settings_file: whose change makes it do so."""
-    d = Daemon(settings=settings, lg=lg, reread=reread, outer=outer, settings_file=settings_file)
-    anyio.run(d.run)
+            self.logger.info(format_line("stop", [("daemon", settings["name"])]))
+            task_group.cancel_scope.cancel()
+        if self.data_folder:
+            self.data_folder.close()
+
+
+def start(
+    *,
+    settings: Settings,
+    logger: logging.Logger,
+    read_settings: Callable[[], Settings],
+    adapter: PlatformAdapter | None = None,
+    settings_file: str = "",
+) -> None:
+    """Run a daemon until it ends; the arguments are those of `Daemon`."""
+    daemon = Daemon(settings=settings, logger=logger, read_settings=read_settings, adapter=adapter, settings_file=settings_file)
+    anyio.run(daemon.run)
--- a/silverglade/server/request_forwarding.py
+++ b/silverglade/server/request_forwarding.py
@@ -1,388 +1,251 @@
-"""The I/O shell of the forwarding path (design 15.3): the part decides, this delivers.
+"""The I/O of forwarded requests (design 15.3): the router decides, this delivers.
 
-A request's task takes the part's effects from the box of its `Ask` and runs one try at a time; a new
-try, or an end, that comes meanwhile ends the one that runs.
+The task of a request takes the router's instructions from its queue (client_request.py) and runs one attempt at a time
+(attempt_runner.py). A new attempt, or an end, that comes meanwhile ends the one that runs.
 """
 
+from __future__ import annotations
+
 import asyncio
+import logging
 import time
+from collections.abc import Callable, Mapping
 from datetime import timedelta
-from typing import NamedTuple
+from typing import Any, ClassVar, Protocol
 
 import anyio
-import httpcore
 
-from ..http.connection_pool import SECOND, ConnectionPool, RequestNotSentError, StaleConnectionError
-from ..http.event_stream import EventSplitter, beyond, last_id
+from ..http.connection_pool import SECOND, ConnectionPool
+from ..http.dialect import Dialect
 from ..routing.graceful_shutdown import ELSEWHERE
+from ..runtime import result_codes
+from ..runtime.effects import (
+    AnswerClient,
+    BreakResponse,
+    CancelAttempt,
+    ForgetReplica,
+    PassResponse,
+    RenewConnections,
+    SetClientLimits,
+    StartAttempt,
+)
 from ..runtime.errors import SilvergladeError
+from ..runtime.events import AttemptProgressed, Event, ForwardingRequested
 from ..runtime.structured_logging import format_line
-from .client_request import Limits, end_to_end_headers, seconds, small
-from .response_timeouts import SilenceWatch
-
-HOLD = 1024 * 1024  # bytes of an answer held until it is whole
-PROBES = 1 << 16  # a probe takes what connection there is
-SKIP = 4  # surplus answers read past in the place of ours
-SLACK = timedelta(seconds=0.2)  # behind the deadline the shell ends a request that the part forgot
-LONGEST = timedelta(seconds=60)  # until the part has named a deadline
-BROKEN = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException, OSError)
-
-
-class Try(NamedTuple):
-    """One try as the part wants it (design 15.3)."""
-
-    replica: str
-    addr: str
-    service: str
-    expect: bool  # only this replica may run it
-    urgency: int | None
-    deadline_ms: int
-    last_event: str | None
-    connect: timedelta
-    cap: int  # most connections of this daemon to this replica
-    stream: bool  # events are passed on as they come; else the answer is held until it is whole
-    resume: bool  # goes on with a stream whose head was passed on
-    patience: timedelta | None = None  # silence of the replica, on all connections, that the part is told
-    pause: timedelta | None = None  # the same once events come
+from .attempt import AttemptTarget, Outcome
+from .attempt_runner import AttemptRunner
+from .client_request import ClientLimits, ClientRequest, RequestEnd
+from .priority_queues import Queue
+
+FORGET_MARGIN = timedelta(seconds=0.2)
+"""So long after its deadline a request ends that the router forgot."""
+
+MAX_TIME_WITHOUT_DEADLINE = timedelta(seconds=60)
+"""Until the router has named a deadline."""
+
+RETRY_WHEN_BUSY_S = 1.0
+
+
+class EventQueues(Protocol):
+    """What the forwarder needs of the queues of the daemon machine (priority_queues.py)."""
+
+    async def send(self, event: Event, queue: Queue, /) -> None:
+        """Queue an event, waiting for room."""
+
+    def admit(self, event: Event, /) -> None:
+        """Queue a client's request, or raise `OverloadedError`."""
+
+
+class ForwardingDaemon(Protocol):
+    """What the forwarder needs of its daemon."""
+
+    logger: logging.Logger
+    draining: bool
+    buffered_body_bytes: int
+
+    @property
+    def queues(self) -> EventQueues:
+        """The queues of the daemon machine."""
 
 
 class RequestForwarder:
-    def __init__(self, *, daemon, dialect, local=None, pool=None, reuse=True):
-        self.d, self.dialect = daemon, dialect
+    """All forwarded requests of a daemon.
+
+    :param local: the IP number from which to connect to replicas, or None.
+    :param reuse: whether connections to replicas are kept for further requests (docs/measures.md).
+    :ivar limits: what clients may send.
+    :ivar requests: those under way, by their ids.
+    """
+
+    REQUEST_EFFECTS: ClassVar[Mapping[str, Callable[..., Any]]] = {
+        effect.TAG: effect for effect in (StartAttempt, PassResponse, CancelAttempt, AnswerClient, BreakResponse)
+    }
+    """Effects that concern one request, by their tags; the request's id is their first field."""
+
+    TAGS: ClassVar[frozenset[str]] = frozenset(
+        (*REQUEST_EFFECTS, *[effect.TAG for effect in (ForgetReplica, RenewConnections, SetClientLimits)])
+    )
+    """Tags of all effects that are carried out here."""
+
+    def __init__(
+        self,
+        *,
+        daemon: ForwardingDaemon,
+        dialect: Dialect,
+        local: str | None = None,
+        pool: ConnectionPool | None = None,
+        reuse: bool = True,
+    ) -> None:
+        self.daemon = daemon
+        self.dialect = dialect
         self.pool = pool or ConnectionPool(local=local)
-        self.limits, self.asks, self.n = Limits(), {}, 0
-        self.reuse = reuse  # are connections kept for further requests? (docs/measures.md)
-        self.silence = SilenceWatch(tell=self.tell_silence)
-
-    def act(self, e):
-        """Effects of the part; one for a request that is gone changes nothing."""
-        match e:
-            case ("forget", replica):
-                self.pool.forget(replica)
-            case ("renew", replica):
-                self.pool.renew(replica)
-            case ("limits", limits):
-                self.limits = Limits.of(limits)
-            case (_, rid, *_):
-                a = self.asks.get(rid)
-                if a:
-                    a.put(e)
-
-    def closing(self):
-        return getattr(self.d, "draining", False)
-
-    def rid(self):
-        self.n += 1
-        return f"r{self.n}"
-
-    async def tell(self, a, n, *what):
-        await self.d.lanes.send(("tried", a.rid, n, *what), "work")
-
-    async def tell_silence(self, a, n):
-        await self.tell(a, n, "silent", a.last)
-
-    def conclude(self):
-        """The daemon ends soon: each request that has given its client nothing yet is answered now (15.9)."""
-        for a in list(self.asks.values()):
-            if not a.started:
-                a.put(("concluded", a.rid))
-
-    async def run(self, a, facts):
-        """One request from its door to its end."""
-        self.asks[a.rid] = a
-        due = facts["deadline_ms"]
-        self.watch(a, LONGEST if due is None else timedelta(milliseconds=due))
-        told = False
+        self.limits = ClientLimits()
+        self.requests: dict[str, ClientRequest] = {}
+        self.attempts = AttemptRunner(pool=self.pool, dialect=dialect, reuse=reuse, report=self.report, report_silence=self._report_silence)
+        self._request_count = 0
+
+    def carry_out(self, effect: tuple[Any, ...]) -> None:
+        """Carry out an effect of the router, in tuple form; one for a request that is gone changes nothing."""
+        tag, subject, *_ = effect
+        request_effect = self.REQUEST_EFFECTS.get(tag)
+        if request_effect:
+            request = self.requests.get(subject)
+            if request:
+                request.put(request_effect(*effect[1:]))
+        elif tag == ForgetReplica.TAG:
+            self.pool.forget(subject)
+        elif tag == RenewConnections.TAG:
+            self.pool.renew(subject)
+        elif tag == SetClientLimits.TAG:
+            self.limits = ClientLimits.from_configuration(subject)
+
+    def is_draining(self) -> bool:
+        """Whether the daemon is told to stop."""
+        return self.daemon.draining
+
+    def new_request_id(self) -> str:
+        """Return an id that no other request of this daemon's process has."""
+        self._request_count += 1
+        return f"r{self._request_count}"
+
+    async def report(self, request: ClientRequest, attempt: int, outcome: str, *details: Any) -> None:
+        """Tell the router how an attempt goes on."""
+        await self.daemon.queues.send(AttemptProgressed(request.request_id, attempt, outcome, details), Queue.WORK)
+
+    async def _report_silence(self, request: ClientRequest, attempt: int) -> None:
+        await self.report(request, attempt, Outcome.SILENT, request.last_event_id)
+
+    def answer_before_shutdown(self) -> None:
+        """Answer each request that has given its client nothing yet: the daemon ends soon (design 15.9)."""
+        for request in list(self.requests.values()):
+            if not request.was_started:
+                request.put(RequestEnd.SHUTDOWN)
+
+    async def run(self, request: ClientRequest, facts: Mapping[str, Any]) -> None:
+        """Run one request from its arrival to its end.
+
+        :param facts: what the router is told of it (http/forwarding_protocol.py).
+        """
+        self.requests[request.request_id] = request
+        deadline_ms = facts["deadline_ms"]
+        self.set_forget_timer(request, MAX_TIME_WITHOUT_DEADLINE if deadline_ms is None else timedelta(milliseconds=deadline_ms))
+        router_knows_end = False
         try:
             try:
-                self.d.lanes.knock(("request", a.rid, facts))
-            except SilvergladeError as e:
-                told = True
-                return await small(a.send, 503, e.code, wait=1.0, close=self.closing())
-            told = await self.serve(a)
-        except Exception as e:  # noqa: BLE001  a fault in here ends this request alone
-            self.d.lg.error(format_line("forward-fell", [("why", repr(e))]))
-            a.cut()
+                self.daemon.queues.admit(ForwardingRequested(request.request_id, facts))
+            except SilvergladeError as error:
+                router_knows_end = True
+                await request.respond_with_code(503, error.code, retry_after=RETRY_WHEN_BUSY_S)
+                return
+            router_knows_end = await self._follow_instructions(request)
+        except Exception as error:  # noqa: BLE001  a fault in here ends this request alone
+            self.daemon.logger.error(format_line("request-failed", [("why", repr(error))]))
+            request.cut()
         finally:
-            a.guard.cancel()
-            del self.asks[a.rid]
-            if not told:
+            if request.forget_timer:
+                request.forget_timer.cancel()
+            del self.requests[request.request_id]
+            if not router_knows_end:
                 with anyio.CancelScope(shield=True):
-                    await self.tell(a, a.n, "gone")
-
-    def watch(self, a, left):
-        """A request that the part does not know any more still ends."""
-        until = time.monotonic() + (left + SLACK) / SECOND
-        if until > a.until:
-            if a.guard:
-                a.guard.cancel()
-            a.until = until
-            a.guard = asyncio.get_running_loop().call_at(
-                asyncio.get_running_loop().time() + (left + SLACK) / SECOND, a.put, ("forgotten", a.rid)
-            )
-
-    async def serve(self, a):
-        """-> whether the part knows that the request is over."""
+                    await self.report(request, request.attempt_number, Outcome.GONE)
+
+    def set_forget_timer(self, request: ClientRequest, remaining: timedelta) -> None:
+        """End a request a little after its deadline even if the router does not know it any more."""
+        delay_s = (remaining + FORGET_MARGIN) / SECOND
+        forget_at = time.monotonic() + delay_s
+        if forget_at > request.forget_at:
+            if request.forget_timer:
+                request.forget_timer.cancel()
+            loop = asyncio.get_running_loop()
+            request.forget_at = forget_at
+            request.forget_timer = loop.call_at(loop.time() + delay_s, request.put, RequestEnd.FORGOTTEN)
+
+    async def _follow_instructions(self, request: ClientRequest) -> bool:
+        """Follow the router's instructions until the request is over; returns whether the router knows that it is."""
         while True:
-            match await a.take():
-                case ("try", _, n, t):
-                    t = Try(**t)
-                    a.n, a.held = n, None
-                    if not self.may(a, t):
-                        a.cut()
-                        return False
-                    self.watch(a, timedelta(milliseconds=t.deadline_ms))
-                    with anyio.CancelScope() as a.scope:
-                        what = await self.attempt(a, n, t)
-                    dropped, a.scope = a.scope.cancelled_caught, None
-                    if dropped:
-                        continue
-                    await self.tell(a, n, *what)
-                    if what[0] == "done":
-                        return True
-                case ("pass", _, n):
-                    if a.started:
-                        a.cut()
-                    elif a.held and n == a.n:
-                        await a.whole(*a.held)
-                    else:
-                        await small(a.send, 502, 808, close=self.closing())
+            match await request.next_instruction():
+                case StartAttempt(attempt=number, target=target):
+                    router_knows_end = await self._run_attempt(request, number, AttemptTarget(**target))
+                    if router_knows_end is not None:
+                        return router_knows_end
+                case PassResponse(attempt=number):
+                    await self._pass_held_response(request, number)
                     return True
-                case ("answer", _, status, wait, code):
-                    if a.started:
-                        a.cut()
+                case AnswerClient(status=status, retry_after=retry_after, code=code):
+                    if request.was_started:
+                        request.cut()
                     else:
-                        await small(a.send, status, code, wait=wait, close=self.closing())
+                        await request.respond_with_code(status, code, retry_after=retry_after)
                     return True
-                case ("forgotten" | "concluded" as why, _):
-                    if a.started:
-                        a.cut()
-                    elif a.tried:
-                        await small(a.send, 502, 403, close=self.closing())
-                    elif why == "concluded":
-                        await small(a.send, 503, 811, wait=ELSEWHERE, close=True)
-                    else:
-                        await small(a.send, 503, 310, wait=1.0, close=self.closing())
-                    return False
-                case ("break", *_):
-                    a.cut()
+                case BreakResponse():
+                    request.cut()
                     return True
-                case ("gone",):
+                case RequestEnd.CLIENT_GONE:
+                    return False
+                case RequestEnd() as why:
+                    await self._end(request, why)
                     return False
 
-    def may(self, a, t):
-        """Nothing can go on behind a part of an answer but the rest of a stream."""
-        return t.resume or not a.started
-
-    async def attempt(self, a, n, t):
-        """Run one try; -> the last word on it."""
-        due = time.monotonic() + t.deadline_ms / 1000
-        while True:
-            try:
-                c = await self.pool.take(addr=t.addr, replica=t.replica, cap=t.cap, timeout=t.connect, attempt=a.attempt)
-            except RequestNotSentError as e:
-                return ("unsent", e.why)
-            keep = None
-            c.tcp.begin()
-            self.silence.begin(a, n, t, c)
-            try:
-                what, keep = await self.exchange(a, n, t, c, due)
-                return what
-            except StaleConnectionError as e:  # ended between `take` and the first byte
-                if not c.until:  # a new one: this replica has no place for it
-                    return ("unsent", e.why)
-            finally:
-                self.silence.end(a)
-                self.pool.release(c, keep=keep, last=a.attempt)
-
-    def request(self, a, t, c, due):
-        """The request as this try sends it."""
-        d = self.dialect
-        ours = [(d.deadline, b"%d" % max(1, round((due - time.monotonic()) * 1000)))]
-        if t.expect:
-            ours.append((d.expect, t.replica.encode()))
-        if t.urgency is not None:
-            ours.append((d.urgency, b"%d" % t.urgency))
-        if t.last_event is not None:
-            ours.append((d.last_event, t.last_event.encode()))
-        names = {k for k, _ in ours}
-        ip, port = c.key[0].rsplit(":", 1)
-        return httpcore.Request(
-            a.method,
-            httpcore.URL(scheme=b"http", host=ip.encode(), port=int(port), target=a.target),
-            headers=[h for h in a.headers if h[0] not in names] + ours,
-            content=a.body or None,
-        )
-
-    async def exchange(self, a, n, t, c, due):
-        """-> (the last word, seconds that the connection may be kept or None)."""
-        d, req = self.dialect, self.request(a, t, c, due)
-        for _ in range(SKIP):
-            try:
-                r = await c.http.handle_async_request(req)
-            except BROKEN as e:
-                return (("lost" if c.tcp.wrote else "unsent", type(e).__name__), None)
-            finally:
-                a.tried = a.tried or c.tcp.wrote
-            h = {k.lower(): v for k, v in reversed(r.headers)}
-            if self.ours(a, h) and r.status != 101:
-                break
-            if not h.get(d.attempt) or await self.whole(r) is None or not c.http.is_idle():
-                return (("lost", "not-ours"), None)
-            c.tcp.mute = True  # a surplus answer; ours comes behind it
-        else:
-            return (("lost", "not-ours"), None)
-        if r.status > 599:
-            return (("lost", "status"), None)
-        ok, not_run = 200 <= r.status < 300, d.not_run in h or r.status == 421
-        if ok:
-            if not_run or not h.get(d.seal) or a.method == "CONNECT":
-                return (("lost", "no-seal"), None)
-            if not self.framed(a, r, h):
-                return (("lost", "no-length"), None)
-            return await self.success(a, n, t, c, r, h)
-        body = await self.whole(r) if self.framed(a, r, h) else None
-        if body is not None:
-            a.held = (r.status, self.back(a, r, h, body), body)
-        if not_run:
-            what = ("not-run", r.status, seconds(h.get(b"retry-after", b"")))
-        else:
-            what = ("lost", "cut") if body is None else ("failed", r.status)
-        return (what, self.settle(c, h))
-
-    async def success(self, a, n, t, c, r, h):
-        events = t.stream and h.get(b"content-type", b"").lower().startswith(b"text/event-stream")
-        if t.resume and not events:
-            return (("lost", "no-stream"), None)
-        await self.tell(a, n, "began", r.status)
-        if not t.resume or not a.head:
-            a.head = (r.status, end_to_end_headers(r.headers, h))
-        try:
-            if events:
-                what = await self.stream(a, n, t, c, r)
-            else:
-                what = await self.plain(a, n, r, h)
-        except (*BROKEN, ValueError):
-            what = ("cut", a.last)
-        return (what, self.settle(c, h) if what[0] == "done" else None)
-
-    async def plain(self, a, n, r, h):
-        """Held until it is whole, or passed on once it is too long to hold."""
-        got, size = [], 0
-        async for b in r.stream:
-            if a.started:
-                await a.data(b)
-                continue
-            got.append(b)
-            size += len(b)
-            if size > HOLD:
-                await a.whole(*a.head, b"".join(got), more=True)
-                await self.tell(a, n, "first")
-                got.clear()
-        await r.stream.aclose()
-        if a.started:
-            await a.end()
+    async def _run_attempt(self, request: ClientRequest, number: int, target: AttemptTarget) -> bool | None:
+        """Run an attempt; returns whether the router knows that the request is over, or None if it is not over."""
+        request.attempt_number, request.held_response = number, None
+        if not self.may_attempt(request, target):
+            request.cut()
+            return False
+        self.set_forget_timer(request, timedelta(milliseconds=target.deadline_ms))
+        with anyio.CancelScope() as scope:
+            request.attempt_scope = scope
+            result = await self.attempts.run(request, number, target)
+        request.attempt_scope = None
+        if scope.cancelled_caught:
+            return None
+        await self.report(request, number, result.outcome, *result.details)
+        return True if result.outcome is Outcome.DONE else None
+
+    def may_attempt(self, request: ClientRequest, target: AttemptTarget) -> bool:
+        """Whether an attempt may run: nothing can go on behind a part of a response but the rest of a stream."""
+        return target.resume or not request.was_started
+
+    async def _pass_held_response(self, request: ClientRequest, number: int) -> None:
+        """Hand the client the response of the last attempt, if this is the one."""
+        if request.was_started:
+            request.cut()
+        elif request.held_response and number == request.attempt_number:
+            await request.respond(*request.held_response)
         else:
-            body = b"".join(got)
-            await a.whole(r.status, self.back(a, r, h, body), body)
-        return ("done",)
-
-    async def stream(self, a, n, t, c, r):
-        """Whole events as they come, and together what came together; the client's own pace is the replica's."""
-        cut, skip, got, first = EventSplitter(), a.last if t.resume else None, [], True
-
-        async def push():
-            nonlocal first
-            if not got:
-                return
-            block = b"".join(got)
-            got.clear()
-            if a.started:
-                await a.data(block)
-            else:
-                await a.whole(a.head[0], self.unsized(a.head[1]), block, more=True)
-            a.last = last_id(block) or a.last
-            if first:
-                first = False
-                await self.tell(a, n, "first")
-
-        c.tcp.pause = push
-        try:
-            async for b in r.stream:
-                block = cut.feed(b)
-                if skip is not None and block:
-                    block, found = beyond(block, skip)
-                    skip = None if found else skip
-                if block:
-                    got.append(block)
-        except (*BROKEN, ValueError):
-            await push()
-            raise
-        await r.stream.aclose()
-        if first or cut.rest:
-            await push()
-        if cut.rest:
-            return ("cut", a.last)
-        if a.started:
-            await a.end(b"".join(got))
+            await request.respond_with_code(502, result_codes.LOST_ANSWER)
+
+    async def _end(self, request: ClientRequest, why: RequestEnd) -> None:
+        """End a request without the router: by what its client may rely on."""
+        if request.was_started:
+            request.cut()
+        elif request.was_sent:
+            await request.respond_with_code(502, result_codes.REPLICA_SILENT)
+        elif why is RequestEnd.SHUTDOWN:
+            await request.respond_with_code(503, result_codes.LEAVING, retry_after=ELSEWHERE, close=True)
         else:
-            await a.whole(a.head[0], self.unsized(a.head[1]), b"")
-        return ("done",)
+            await request.respond_with_code(503, result_codes.BUSY, retry_after=RETRY_WHEN_BUSY_S)
 
-    async def whole(self, r):
-        """The body of an answer that is held, or None."""
-        got, size = [], 0
-        try:
-            async for b in r.stream:
-                got.append(b)
-                size += len(b)
-                if size > HOLD:
-                    return None
-        except BROKEN:
-            return None
-        finally:
-            await r.stream.aclose()
-        return b"".join(got)
-
-    async def get(self, *, replica, addr, path, wait=timedelta(seconds=1)):
-        """A plain GET of a replica on a connection of its pool -> the body of a 200, else None."""
-        ip, port = addr.rsplit(":", 1)
-        req = httpcore.Request(
-            b"GET", httpcore.URL(scheme=b"http", host=ip.encode(), port=int(port), target=path.encode()), headers=[(b"host", addr.encode())]
-        )
-        c = keep = None
-        try:
-            with anyio.fail_after(wait / SECOND):
-                c = await self.pool.take(addr=addr, replica=replica, cap=PROBES, timeout=wait)
-                c.tcp.begin()
-                r = await c.http.handle_async_request(req)
-                body = await self.whole(r)
-            keep = self.settle(c, {k.lower(): v for k, v in reversed(r.headers)})
-            return body if r.status == 200 else None
-        except (RequestNotSentError, TimeoutError, *BROKEN):
-            return None
-        finally:
-            if c:
-                self.pool.release(c, keep=keep)
-
-    def ours(self, a, h):
-        return h.get(self.dialect.attempt, b"") == a.attempt
-
-    def framed(self, a, r, h):
-        """Does the answer tell where it ends?"""
-        return b"content-length" in h or b"transfer-encoding" in h or a.method == "HEAD" or r.status in (204, 304)
-
-    def back(self, a, r, h, body):
-        """Headers of a whole answer for the client."""
-        out = end_to_end_headers(r.headers, h)
-        if b"content-length" not in h and a.method != "HEAD" and r.status not in (204, 304):
-            out.append((b"content-length", b"%d" % len(body)))
-        return out
-
-    def unsized(self, headers):
-        """A stream may go on at another replica: its length is not known."""
-        return [h for h in headers if h[0].lower() != b"content-length"]
-
-    def settle(self, c, h):
-        """May the connection be used again, and for how long? Bytes behind a whole answer end it."""
-        return self.pool.patience(h, c.tcp.trip) if self.reuse and c.http.is_idle() and not c.surplus() and not c.tcp.ended else None
+    async def get(self, *, replica: str, addr: str, path: str) -> bytes | None:
+        """Send a replica a plain GET and return the body of a 200, else None."""
+        return await self.attempts.get(replica=replica, addr=addr, path=path)
--- a/silverglade/server/response_timeouts.py
+++ b/silverglade/server/response_timeouts.py
@@ -1,50 +1,75 @@
-"""Replicas that say nothing (design 15.3): one timer tells the part of all tries whose replica is silent for too long."""
+"""Replicas that say nothing (design 15.3): one timer tells the router of all attempts whose replica is silent for too long."""
+
+from __future__ import annotations
 
 import asyncio
 import time
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+from ..http.connection_pool import SECOND, PooledConnection
+from .attempt import AttemptTarget
+from .client_request import ClientRequest
+
+CHECK_INTERVAL_S = 0.1
 
-from ..http.connection_pool import SECOND
+ReportSilence = Callable[[ClientRequest, int], Coroutine[Any, Any, None]]
+"""Tells the router that the replica of a request's attempt, given by its number, is silent."""
 
-LOOK_EVERY = 0.1  # seconds between looks at the tries under way
 
+class _WatchedAttempt:
+    """One attempt whose replica is watched.
 
-class _Watched:
-    """One try whose replica's silence is told. since: when it was sent, or last told as silent."""
+    :ivar silent_since: when it was sent, or last reported as silent; in seconds of the monotonic clock.
+    """
 
-    __slots__ = ("number", "attempt", "connection", "since")
+    __slots__ = ("number", "target", "connection", "silent_since")
 
-    def __init__(self, number, attempt, connection):
-        self.number, self.attempt, self.connection, self.since = number, attempt, connection, time.monotonic()
+    def __init__(self, number: int, target: AttemptTarget, connection: PooledConnection) -> None:
+        self.number = number
+        self.target = target
+        self.connection = connection
+        self.silent_since = time.monotonic()
 
 
 class SilenceWatch:
-    """tell(ask, number of the try): an async function that tells the part, once for each spell of silence."""
+    """Watches the replicas of attempts under way.
 
-    def __init__(self, *, tell):
-        self.tell, self.under_way, self.timer = tell, {}, None
-        self.reports = set()  # on their way to the part
+    :param report: called once for each spell of silence.
+    :ivar reports: reports on their way to the router.
+    """
 
-    def begin(self, ask, number, attempt, connection):
-        """From here on silence of the replica of this try is told."""
-        if attempt.patience:
-            self.under_way[ask] = _Watched(number, attempt, connection)
+    def __init__(self, *, report: ReportSilence) -> None:
+        self.under_way: dict[ClientRequest, _WatchedAttempt] = {}
+        self.timer: asyncio.TimerHandle | None = None
+        self.reports: set[asyncio.Future[None]] = set()
+        self._report = report
+
+    def begin(self, request: ClientRequest, number: int, target: AttemptTarget, connection: PooledConnection) -> None:
+        """Watch the replica of an attempt, if the router wants it."""
+        if target.patience:
+            self.under_way[request] = _WatchedAttempt(number, target, connection)
             if self.timer is None:
-                self.timer = asyncio.get_running_loop().call_later(LOOK_EVERY, self.look)
+                self._set_timer()
 
-    def end(self, ask):
-        """The try of this request is over."""
-        self.under_way.pop(ask, None)
+    def end(self, request: ClientRequest) -> None:
+        """Stop watching: the attempt of this request is over."""
+        self.under_way.pop(request, None)
 
-    def look(self):
-        """Whose replica has said nothing for too long, on any of its connections?"""
+    def check(self) -> None:
+        """Report each attempt whose replica has said nothing for too long, on any of its connections."""
         self.timer, now = None, time.monotonic()
-        for ask, watched in self.under_way.items():
-            attempt, tcp = watched.attempt, watched.connection.tcp
-            longest = (attempt.pause if ask.started and attempt.pause else attempt.patience) / SECOND
-            if now - max(watched.since, tcp.heard, tcp.peer[0]) > longest:
-                watched.since = now
-                report = asyncio.ensure_future(self.tell(ask, watched.number))
+        for request, watched in self.under_way.items():
+            target, stream = watched.target, watched.connection.stream
+            limit = target.pause if request.was_started and target.pause else target.patience
+            assert limit is not None
+            if now - max(watched.silent_since, stream.received_at, stream.replica_activity.received_at) > limit / SECOND:
+                watched.silent_since = now
+                report = asyncio.ensure_future(self._report(request, watched.number))
                 self.reports.add(report)
                 report.add_done_callback(self.reports.discard)
         if self.under_way:
-            self.timer = asyncio.get_running_loop().call_later(LOOK_EVERY, self.look)
+            self._set_timer()
+
+    def _set_timer(self) -> None:
+        self.timer = asyncio.get_running_loop().call_later(CHECK_INTERVAL_S, self.check)
--- a/silverglade/server/shutdown.py
+++ b/silverglade/server/shutdown.py
@@ -1,85 +1,107 @@
-"""SIGTERM (design 1.4, 15.9): the daemon leaves by its timetable; what it has read ends whole or is answered."""
+"""SIGTERM (design 1.4, 15.9): a daemon shuts down by its timetable; what it has read ends complete or is answered."""
+
+from __future__ import annotations
 
 import signal
 import time
 from datetime import timedelta
+from typing import TYPE_CHECKING, Any
 
 import anyio
 
-from ..runtime.shutdown_timetable import timetable
+from ..runtime import result_codes
+from ..runtime.effects import Reply, to_tuple
+from ..runtime.events import DaemonStateChanged, DrainStarted, ShutdownStarted
+from ..runtime.shutdown_timetable import Timetable, timetable
 from ..runtime.structured_logging import format_line
 
-GRACE = timedelta(seconds=31)  # of a daemon of which nothing else says how long it may take
-LOOK, LAST_LOOKS = 0.1, 0.05  # seconds between looks at what is under way
-TOLD = 0.3  # seconds for the others to hear that it has left
-LOST_WITH_DAEMON, UNKNOWN_OUTCOME = 405, 503
+if TYPE_CHECKING:
+    from .daemon import Daemon
+
+DEFAULT_GRACE = timedelta(seconds=31)
+"""Of a daemon of which nothing else says how long it may take."""
+
+CHECK_INTERVAL_S, LAST_CHECK_INTERVAL_S = 0.1, 0.05
+"""Between looks at what is under way."""
 
+ANNOUNCEMENT_S = 0.3
+"""For the others to hear that it has left."""
 
-def clock():
+RETRY_TENANT_REQUEST_MS = 1000
+
+
+def clock() -> timedelta:
+    """Return the time of the monotonic clock."""
     return timedelta(seconds=time.monotonic())
 
 
 class SignalTimes:
-    """When SIGTERM came: Python's own handler runs between two steps of the program, the event loop's may run much later."""
+    """Notes when SIGTERM came: Python's own handler runs between two steps of the program, the event loop's may run much later.
+
+    :ivar told_at: when the first came, or None.
+    """
 
-    def __init__(self):
-        self.told_at = None
+    def __init__(self) -> None:
+        self.told_at: timedelta | None = None
 
-    def watch(self):
-        """To be called once the event loop has its own handler, which goes on being woken."""
-        signal.signal(signal.SIGTERM, self.note)
+    def watch(self) -> None:
+        """Begin; to be called once the event loop has its own handler, which goes on being woken."""
+        signal.signal(signal.SIGTERM, self._note)
 
-    def note(self, *_):
+    def _note(self, *_: Any) -> None:
         self.told_at = self.told_at or clock()
 
 
-def times(daemon, told_at):
-    """The timetable of this daemon, told at that time to stop."""
-    outer = daemon.outer
-    if outer is None:
-        return timetable(told_at=told_at, grace=GRACE)
-    linger = outer.linger if outer.front else timedelta(0)
-    return timetable(told_at=told_at, grace=outer.grace, linger=linger, cut_streams_for=outer.cut_streams_for)
+def timetable_of(daemon: Daemon, told_at: timedelta) -> Timetable:
+    """Return the timetable of a daemon that was told at that time to stop."""
+    adapter = daemon.adapter
+    if adapter is None:
+        return timetable(told_at=told_at, grace=DEFAULT_GRACE)
+    linger = adapter.linger if adapter.client_address else timedelta(0)
+    return timetable(told_at=told_at, grace=adapter.grace, linger=linger, cut_streams_for=adapter.cut_streams_for)
 
 
-def holds_door(daemon, at):
-    """Is there a reason to keep listening? Clients that don't know better, orders, and for a while requests under way."""
+def must_listen(daemon: Daemon, times: Timetable) -> bool:
+    """Whether there is a reason to keep listening: clients that know no better, tenants' requests, for a while forwarded ones."""
     now = clock()
-    return now < at.quiet_at or daemon.relays or daemon.jobs or daemon.shell.asks and now < at.half_at
+    if now < times.quiet_at or daemon.tenant_requests.result_streams or daemon.tenant_requests.dispatches:
+        return True
+    return bool(daemon.forwarder.requests) and now < times.half_at
 
 
-async def leave(daemon, *, told_at=None):
+async def shut_down(daemon: Daemon, *, told_at: timedelta | None = None) -> None:
     """Stop taking work, tell the others, end what is under way, answer the rest; then the daemon ends. A second call does nothing."""
     if daemon.draining:
         return
     daemon.draining = True
-    daemon.lg.info(format_line("drain", []))
-    at = times(daemon, told_at or clock())
-    await daemon.lanes.send(("leaving", at.streams_until, at.answer_at, at.end_at))
-    await daemon.lanes.send(("drain",))
-    await daemon.lanes.send(("state", "leaving"))
-    while clock() < at.close_by and holds_door(daemon, at):
-        await anyio.sleep(LOOK)
-    while clock() < at.close_by and daemon.store and not daemon.released:
-        await anyio.sleep(LOOK)
-    await daemon.lanes.send(("state", "left"))
-    await anyio.sleep(TOLD)
-    daemon.closing.set()  # no new connections; idle ones end, the others with their answers
-    while clock() < at.answer_at and (daemon.relays or daemon.shell.asks or daemon.open):
-        await anyio.sleep(LAST_LOOKS)
-    conclude(daemon)
-    while clock() < at.end_at and (daemon.shell.asks or daemon.open):
-        await anyio.sleep(LAST_LOOKS)
+    daemon.logger.info(format_line("drain"))
+    times = timetable_of(daemon, told_at or clock())
+    await daemon.queues.send(ShutdownStarted(times.streams_until, times.answer_at, times.end_at))
+    await daemon.queues.send(DrainStarted())
+    await daemon.queues.send(DaemonStateChanged("leaving"))
+    while clock() < times.close_by and must_listen(daemon, times):
+        await anyio.sleep(CHECK_INTERVAL_S)
+    while clock() < times.close_by and daemon.data_folder and not daemon.may_exit:
+        await anyio.sleep(CHECK_INTERVAL_S)
+    await daemon.queues.send(DaemonStateChanged("left"))
+    await anyio.sleep(ANNOUNCEMENT_S)
+    daemon.closing.set()  # no new connections; idle ones end, the others with their responses
+    while clock() < times.answer_at and (daemon.tenant_requests.result_streams or daemon.forwarder.requests or daemon.open_connections):
+        await anyio.sleep(LAST_CHECK_INTERVAL_S)
+    answer_what_waits(daemon)
+    while clock() < times.end_at and (daemon.forwarder.requests or daemon.open_connections):
+        await anyio.sleep(LAST_CHECK_INTERVAL_S)
     daemon.stopping.set()
 
 
-def conclude(daemon):
-    """The last moment for answers: to requests, to visitors' orders, to operators."""
-    left = dict(requests=len(daemon.shell.asks), orders=len(daemon.relays), calls=len(daemon.calls))
-    if any(left.values()):
-        daemon.lg.warning(format_line("concluded", list(left.items())))
-    daemon.shell.conclude()
-    for order in list(daemon.relays):
-        daemon.result(order, "fault", [LOST_WITH_DAEMON, "maybe", 1000])
-    for call in list(daemon.calls):
-        daemon.act(("reply", call, UNKNOWN_OUTCOME, {}))
+def answer_what_waits(daemon: Daemon) -> None:
+    """Answer, at the last moment, forwarded requests, tenants' requests and operators' calls."""
+    forwarded, tenants, calls = daemon.forwarder.requests, daemon.tenant_requests.result_streams, daemon.pending_calls
+    if forwarded or tenants or calls:
+        counts = [("forwarded", len(forwarded)), ("tenant_requests", len(tenants)), ("calls", len(calls))]
+        daemon.logger.warning(format_line("answered-at-shutdown", counts))
+    daemon.forwarder.answer_before_shutdown()
+    for request_id in list(tenants):
+        daemon.deliver_result(request_id, "fault", (result_codes.LINK_LOST, "maybe", RETRY_TENANT_REQUEST_MS))
+    for call_id in list(calls):
+        daemon.carry_out(to_tuple(Reply(call_id, result_codes.UNKNOWN_OUTCOME, {})))
--- a/silverglade/testbed/experiments/loopback_cpu.py
+++ b/silverglade/testbed/experiments/loopback_cpu.py
@@ -38,15 +38,15 @@
     """The lanes and a task that takes from them, as the daemon has; one try for each request."""
 
     def __init__(self, addr):
-        self.addr, self.bodies, self.draining, self.lg = addr, 0, False, None
-        self.lanes, self.shell = PriorityQueues(), RequestForwarder(daemon=self, dialect=OWN)
+        self.addr, self.buffered_body_bytes, self.draining, self.logger = addr, 0, False, None
+        self.queues, self.forwarder = PriorityQueues(), RequestForwarder(daemon=self, dialect=OWN)
 
     async def think(self):
         while True:
-            ev = await self.lanes.take()
+            ev = await self.queues.take()
             match ev:
                 case ("request", rid, _):
-                    self.shell.act(
+                    self.forwarder.carry_out(
                         (
                             "try",
                             rid,
@@ -67,7 +67,7 @@
                         )
                     )
                 case ("tried", rid, _, ("failed" | "not-run" | "unsent" | "lost" | "cut"), *_):
-                    self.shell.act(("answer", rid, 502, None, 808))
+                    self.forwarder.carry_out(("answer", rid, 502, None, 808))
 
 
 async def replica(r, w):
@@ -143,7 +143,7 @@
     cfg = uvicorn.Config(None, log_config=None, access_log=False, log_level="critical", date_header=False, ws="none")
     cfg.load()
     state = ServerState()
-    srv = await asyncio.get_running_loop().create_server(lambda: face(cfg, state, {}, shell=d.shell), "127.0.0.1", 0)
+    srv = await asyncio.get_running_loop().create_server(lambda: face(cfg, state, {}, forwarder=d.forwarder), "127.0.0.1", 0)
     task = asyncio.ensure_future(d.think())
     out.append(("idle", resident()))
     pipe.send(srv.sockets[0].getsockname()[1])
--- a/silverglade/testbed/local_fleet/clients.py
+++ b/silverglade/testbed/local_fleet/clients.py
@@ -7,7 +7,7 @@
 import anyio
 import httpcore
 
-from ...server.replica_calls import events
+from ...server.replica_calls import EventParser
 from .fleet import SLOW
 
 
@@ -60,13 +60,12 @@
         return row
 
     async def take(self, row, r, c):
-        ev, whole = events(), b""
-        next(ev)
+        parser, whole = EventParser(), b""
         async for b in r.aiter_stream():
             if r.status != 200 or not c["stream"]:
                 whole += b
                 continue
-            for name, n, data in ev.send(b):
+            for name, n, data in parser.feed(b):
                 row.setdefault("first", time.monotonic())
                 if name == "done":
                     row["code"] = 100
--- a/silverglade/testbed/simulator/daemons.py
+++ b/silverglade/testbed/simulator/daemons.py
@@ -136,7 +136,7 @@
     @property
     def control(self):
         """The state of this core's control part, while it is up: to be read alone."""
-        return self.hub.parts["control"].state
+        return self.hub.components["control"].state
 
     def kill(self):
         self.hub, self.frozen = None, None
@@ -146,7 +146,7 @@
     def pulse(self, life):
         if self.hub is None or life != self.life:
             return
-        if self.frozen is None and self.hub.next() <= self.w.now + self.skew:
+        if self.frozen is None and self.hub.next_timer() <= self.w.now + self.skew:
             self.feed(("pulse",))
         self.w.after(self.w.opt["pulse"], self.pulse, life)
 
--- a/silverglade/testbed/simulator/inspection.py
+++ b/silverglade/testbed/simulator/inspection.py
@@ -13,7 +13,7 @@
 
     def _held(self, component: str, name: str) -> Any:
         """A field of a component's state machine, or a local variable of one that is a generator."""
-        part = self.hub.parts[component]
+        part = self.hub.components[component]
         if hasattr(part, "machine"):
             return getattr(part.machine, name)
         return part.gi_frame.f_locals[name]
--- a/tests/configuration/test_bad_input.py
+++ b/tests/configuration/test_bad_input.py
@@ -42,7 +42,7 @@
 
 
 class Control(Daemon):
-    def change(self):
+    def new_change_id(self):
         return "minted"
 
 
@@ -258,12 +258,12 @@
     lanes = PriorityQueues()
 
     class Waiting(Control):
-        n, calls = 0, {}
+        _id_count, pending_calls = 0, {}
         call = Real.call
 
     for receive in ([], [{"type": "http.disconnect"}]):
         d = Waiting()
-        d.lanes = lanes
+        d.queues = lanes
         got = []
 
         async def play(d=d, receive=receive, got=got):
@@ -282,7 +282,7 @@
             return scope.cancelled_caught
 
         assert anyio.run(play) is not bool(receive) and got == []
-    events = [lanes.next() for _ in range(3)]
+    events = [lanes.next_event() for _ in range(3)]
     assert [e and e[0] for e in events] == ["call", "call-gone", None]  # of the one that left at once nothing was begun
 
 
--- a/tests/configuration/test_reload.py
+++ b/tests/configuration/test_reload.py
@@ -33,8 +33,8 @@
 def reloaded(**changed):
     """-> a daemon that has read its settings again, with these changes; its log."""
     log = Lines()
-    daemon = Daemon(lg=log, settings=checked(dict(BASE)), reread=lambda: checked(dict(BASE, **changed)))
-    anyio.run(daemon.reload)
+    daemon = Daemon(logger=log, settings=checked(dict(BASE)), read_settings=lambda: checked(dict(BASE, **changed)))
+    anyio.run(daemon.settings_reloader.reload)
     return daemon, log.lines
 
 
@@ -42,34 +42,34 @@
     """Addresses that a daemon without a roll asks in the 20 s from then on."""
     to, now = set(), milliseconds(start)
     for _ in range(400):
-        now += daemon.opt["pulse"]
-        to |= {e[1] for e in daemon.hub.feed(now, ("pulse",)) if e[0] == "send" and e[2][0] == "get"}
+        now += daemon.tuning["pulse"]
+        to |= {e[1] for e in daemon.machine.feed(now, ("pulse",)) if e[0] == "send" and e[2][0] == "get"}
     return to
 
 
 def test_seeds_of_the_settings_read_again_are_asked_and_those_of_before_no_more():
     daemon, lines = reloaded(**NEW)
-    assert daemon.lanes.next() == (event := ("seeds", ("127.0.0.1:4", "127.0.0.1:5")))
+    assert daemon.queues.next_event() == (event := ("seeds", ("127.0.0.1:4", "127.0.0.1:5")))
     assert asked(daemon, 0) == {"@127.0.0.1:3"}
-    daemon.hub.feed(milliseconds(20000), event)
+    daemon.machine.feed(milliseconds(20000), event)
     assert asked(daemon, 20000) == {"@127.0.0.1:4", "@127.0.0.1:5"}
     assert len(lines) == 1 and "event=settings " in lines[0] + " " and "127.0.0.1:4" in lines[0]
-    anyio.run(daemon.reload)
-    assert daemon.lanes.next() is None  # the same again is no news
+    anyio.run(daemon.settings_reloader.reload)
+    assert daemon.queues.next_event() is None  # the same again is no news
 
 
 @pytest.mark.parametrize("changed", [dict(zone="y"), dict(listen="127.0.0.1:9", http="127.0.0.1:8"), dict(tolerance={"zones": 2})])
 def test_what_needs_a_restart_is_refused_whole_and_named_in_one_line(changed):
     daemon, lines = reloaded(**NEW, **changed)
     assert len(lines) == 1 and "settings-refused" in lines[0]
-    assert lines[0].endswith(f'why="needs a restart: {",".join(sorted(changed, key=list(daemon.s).index))}"')
-    assert daemon.lanes.next() is None and daemon.s["seeds"] == checked(dict(BASE))["seeds"]
+    assert lines[0].endswith(f'why="needs a restart: {",".join(sorted(changed, key=list(daemon.settings).index))}"')
+    assert daemon.queues.next_event() is None and daemon.settings["seeds"] == checked(dict(BASE))["seeds"]
 
 
 def test_settings_that_cannot_be_read_change_nothing():
     daemon, lines = reloaded(**NEW, colour=1)
     assert len(lines) == 1 and "settings-refused" in lines[0] and "code=701" in lines[0]
-    assert daemon.lanes.next() is None
+    assert daemon.queues.next_event() is None
 
 
 def five_cores():
@@ -115,15 +115,15 @@
         read.append(path.read_text())
         return checked(dict(BASE))
 
-    daemon = Daemon(lg=Lines(), settings=checked(dict(BASE)), reread=reread, settings_file=str(path))
-    anyio.run(daemon.look_at_settings)
+    daemon = Daemon(logger=Lines(), settings=checked(dict(BASE)), read_settings=reread, settings_file=str(path))
+    anyio.run(daemon.settings_reloader.reload_if_changed)
     assert read == []
     path.write_text("another")
-    anyio.run(daemon.look_at_settings)
-    anyio.run(daemon.look_at_settings)
+    anyio.run(daemon.settings_reloader.reload_if_changed)
+    anyio.run(daemon.settings_reloader.reload_if_changed)
     assert read == ["another"]
     path.unlink()  # being replaced: nothing to read now
-    anyio.run(daemon.look_at_settings)
+    anyio.run(daemon.settings_reloader.reload_if_changed)
     path.write_text("third")
-    anyio.run(daemon.look_at_settings)
+    anyio.run(daemon.settings_reloader.reload_if_changed)
     assert read == ["another", "third"]
--- a/tests/golden/recorded_plays.py
+++ b/tests/golden/recorded_plays.py
@@ -27,7 +27,7 @@
 
         def feed(self, now, event):
             effects = super().feed(now, event)
-            trace.effects(now, self.me, self.recorded_life, effects)
+            trace.effects(now, self.name, self.recorded_life, effects)
             return effects
 
     return RecordingHub
--- a/tests/http/test_connection_pool.py
+++ b/tests/http/test_connection_pool.py
@@ -39,7 +39,7 @@
             try:
                 return await go(pool, take, rep)
             finally:
-                pool.shut()
+                pool.close()
     return play(main)
 
 
@@ -49,9 +49,9 @@
         for x in (a, b, c):
             pool.release(x, keep=5)
         assert [await take(), await take(), await take()] == [c, b, a]
-        assert pool.waiting == 0
+        assert pool.idle_count == 0
         d = await take("i2")                          # another life at the address shares none
-        return d not in (a, b, c) and len(pool.all) == 2
+        return d not in (a, b, c) and len(pool.connections) == 2
     assert pooled(go)
 
 
@@ -80,13 +80,13 @@
         pool.release(a, keep=2)
         clock.now += 2
         b = await take()
-        assert b is not a and a.tcp.t.is_closing()
+        assert b is not a and a.stream.transport.is_closing()
         pool.release(b, keep=1)
         pool.sweep()
-        assert not b.tcp.t.is_closing()
+        assert not b.stream.transport.is_closing()
         clock.now += 1
         pool.sweep()                                  # nobody asks for it: closed all the same
-        return b.tcp.t.is_closing() and pool.all == {} == pool.idle and pool.timer is None
+        return b.stream.transport.is_closing() and pool.connections == {} == pool.idle and pool.sweep_timer is None
     assert pooled(go)
 
 
@@ -96,15 +96,15 @@
     ({b"keep-alive": b"timeout=soon"}, 0, None), ({b"keep-alive": b"max=3"}, 0, 20), ({}, 0, 20), ({}, 0.05, 4),
     ({b"connection": b"keep-alive"}, 0, 20), ({b"connection": b"x, Close", b"keep-alive": b"timeout=5"}, 0, None)])
 def test_how_long_by_the_replicas_word_and_the_way_there(headers, trip, secs):
-    got = ConnectionPool(keep=timedelta(seconds=20)).patience(headers, trip)
+    got = ConnectionPool(keep=timedelta(seconds=20)).reuse_time(headers, trip)
     assert got == (secs if secs is None else pytest.approx(secs))
 
 
 def test_no_margin_or_none_left_closes():
     async def go(pool, take, rep):
         a = await take()
-        pool.release(a, keep=pool.patience({b"keep-alive": b"timeout=0"}, 0))
-        return a.tcp.t.is_closing() and pool.all == {}
+        pool.release(a, keep=pool.reuse_time({b"keep-alive": b"timeout=0"}, 0))
+        return a.stream.transport.is_closing() and pool.connections == {}
     assert pooled(go)
 
 
@@ -122,9 +122,9 @@
         a = await take()
         pool.release(a, keep=5)
         go_on.set()
-        while a.key in pool.all:
+        while a.key in pool.connections:
             await asyncio.sleep(0)
-        assert a.tcp.t.is_closing()
+        assert a.stream.transport.is_closing()
         return await take() is not a
     go_on = asyncio.Event()
     assert pooled(go, script)
@@ -153,7 +153,7 @@
         with listener() as lis:
             pool = ConnectionPool()
             if sound:
-                upstream.Tcp.sound = sound
+                upstream.ReplicaStream.is_usable = sound
             try:
                 a, far = await raw_pair(pool, lis)
                 pool.release(a, keep=5)
@@ -165,17 +165,17 @@
                         s.close()
                 return b is a
             finally:
-                pool.shut()
-    was = upstream.Tcp.sound
+                pool.close()
+    was = upstream.ReplicaStream.is_usable
     try:
         return play(go)
     finally:
-        upstream.Tcp.sound = was
+        upstream.ReplicaStream.is_usable = was
 
 
 def test_bytes_that_wait_in_the_kernel_are_seen_before_a_connection_is_used():
     assert not surplus_in_the_kernel()
-    assert surplus_in_the_kernel(sound=lambda tcp: not tcp.ended and not tcp.got)      # planted: the loop's word alone
+    assert surplus_in_the_kernel(sound=lambda stream: not stream.ended and not stream.received)      # planted: the loop's word alone
 
 
 def test_what_ends_between_take_and_the_first_byte_is_stale_not_lost():
@@ -186,18 +186,18 @@
             pool.release(a, keep=5)
             b, _ = await pool.take(addr=a.key[0], replica="i1", cap=4, timeout=SEC), None
             assert b is a
-            a.tcp.begin()
-            await a.tcp.write(b"POST")
+            a.stream.begin_request()
+            await a.stream.write(b"POST")
             far.sendall(b"x")
-            while not a.tcp.got:
+            while not a.stream.received:
                 await asyncio.sleep(0)
             with pytest.raises(StaleConnectionError):
-                await a.tcp.read(10)
-            assert not a.tcp.wrote
+                await a.stream.read(10)
+            assert not a.stream.was_written
             far.setblocking(False)
             with pytest.raises(BlockingIOError):
                 far.recv(10)
-            pool.shut()
+            pool.close()
             far.close()
     play(go)
 
@@ -207,12 +207,12 @@
         a = await take()
         pool.release(a, keep=5, last=b"x1")
         b = await take(attempt=b"x1")
-        assert b is not a and not a.tcp.t.is_closing()
+        assert b is not a and not a.stream.transport.is_closing()
         assert await take(attempt=b"x2") is a
         pool.release(a, keep=5, last=b"x1")
         pool.release(b, keep=5, last=b"x1")
         c = await take(attempt=b"x1", cap=2)          # no room beside them: one gives way
-        return c not in (a, b) and a.tcp.t.is_closing() != b.tcp.t.is_closing()
+        return c not in (a, b) and a.stream.transport.is_closing() != b.stream.transport.is_closing()
     assert pooled(go)
 
 
@@ -222,9 +222,9 @@
         pool.release(a, keep=5)
         pool.release(c, keep=5)
         pool.forget("i1")
-        assert a.tcp.t.is_closing() and not b.tcp.t.is_closing() and not c.tcp.t.is_closing()
+        assert a.stream.transport.is_closing() and not b.stream.transport.is_closing() and not c.stream.transport.is_closing()
         pool.release(b, keep=5)                       # busy until now
-        return b.tcp.t.is_closing() and set(pool.all) == {c.key}
+        return b.stream.transport.is_closing() and set(pool.connections) == {c.key}
     assert pooled(go)
 
 
@@ -233,8 +233,8 @@
         got = [await take(f"i{n}") for n in range(4)]
         for c in got:
             pool.release(c, keep=5)
-        return [c.tcp.t.is_closing() for c in got]
-    assert pooled(go, most=3) == [False, False, False, True]
+        return [c.stream.transport.is_closing() for c in got]
+    assert pooled(go, max_idle=3) == [False, False, False, True]
 
 
 def test_a_connection_that_does_not_come_up_is_unsent_and_leaves_no_trace(monkeypatch):
@@ -245,7 +245,7 @@
         monkeypatch.setattr(loop, "sock_connect", never, raising=False)
         with pytest.raises(RequestNotSentError) as e:
             await pool.take(addr=rep.addr, replica="i1", cap=1, timeout=10 * MS)
-        return e.value.why, pool.all
+        return e.value.why, pool.connections
     assert pooled(go) == ("connect-timeout", {})
 
 
@@ -263,18 +263,18 @@
         t.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await t
-        return pool.all
+        return pool.connections
     assert pooled(go) == {}
 
 
 def test_the_options_and_the_local_address_of_a_connection():
     async def go(pool, take, rep):
         c = await take()
-        assert 0 < c.tcp.trip < 1
-        s = c.tcp.t.get_extra_info("socket")
+        assert 0 < c.stream.connect_s < 1
+        s = c.stream.transport.get_extra_info("socket")
         assert s.getsockname()[0] == "127.0.0.2"
         assert s.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
-        return all(s.getsockopt(lv, o) == v for lv, o, v in upstream.OPTIONS)
+        return all(s.getsockopt(lv, o) == v for lv, o, v in upstream.SOCKET_OPTIONS)
     assert pooled(go, local="127.0.0.2")
 
 
@@ -384,7 +384,7 @@
         reached = await pool.reaches(addr=up, timeout=SEC)
         server.close()
         refused = await pool.reaches(addr=up, timeout=SEC)  # nobody listens, but that word came from there
-        return reached, refused, pool.all
+        return reached, refused, pool.connections
 
     assert asyncio.run(go()) == (True, True, {})
 
--- a/tests/http/test_early_answers.py
+++ b/tests/http/test_early_answers.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from silverglade.http.connection_pool import HIGH
+from silverglade.http.connection_pool import HIGH_WATER_BYTES
 
 from ..support.scripted_replicas import ID, NOT, answer, scene
 
-SMALL, LARGE, HUGE = 40, 3 * HIGH, 40 * HIGH  # one packet; several writes; more than the kernel takes at once
+SMALL, LARGE, HUGE = 40, 3 * HIGH_WATER_BYTES, 40 * HIGH_WATER_BYTES  # one packet; several writes; more than the kernel takes at once
 REFUSALS = [
     (lambda i: answer(i, "", status="421 Misdirected", seal=""), 421),
     (lambda i: answer(i, "full", status="503 Full", seal="", more=(f"{NOT}: 1", "Connection: close")), 503),
--- a/tests/http/test_event_stream.py
+++ b/tests/http/test_event_stream.py
@@ -6,7 +6,7 @@
 import pytest
 
 from silverglade.http import event_stream as events
-from silverglade.http.event_stream import EventSplitter, beyond, last_id
+from silverglade.http.event_stream import EventSplitter, events_after, last_event_id
 
 
 def lines(raw):
@@ -109,7 +109,7 @@
     for _ in range(3000):
         raw = whole(text(rng))
         ids = [i for e in apart(raw) if (i := named(e)) is not None]
-        assert last_id(raw) == (ids[-1] if ids else None), raw
+        assert last_event_id(raw) == (ids[-1] if ids else None), raw
 
 
 def test_what_was_passed_on_before_is_left_out():
@@ -118,11 +118,11 @@
         raw, last = whole(text(rng)), rng.randrange(99)
         es = apart(raw)
         new = [i for i, e in enumerate(es) if (named(e) or "").isdigit() and int(named(e)) > last]
-        assert beyond(raw, str(last)) == ((b"".join(es[new[0] :]), True) if new else (b"", False))
+        assert events_after(raw, str(last)) == ((b"".join(es[new[0] :]), True) if new else (b"", False))
 
 
 def test_an_event_without_an_end_is_given_up():
-    s = EventSplitter(cap=100)
+    s = EventSplitter(max_bytes=100)
     s.feed(b"x" * 100)
     with pytest.raises(ValueError):
         s.feed(b"x")
@@ -134,16 +134,16 @@
         lambda b, start=0: b.rfind(b"\n\n") + 2 if b"\n\n" in b else 0,  # one kind of line end only
         lambda b, start=0: len(b) if b[-1:] in b"\r\n" else 0,  # ends of lines, not of events
         lambda b, start=0: len(b),  # whatever came
-        lambda b, start=0: events_border(b, start + 3),  # looks too late behind a cut
-        lambda b, start=0: (lambda at: at - (at and b[at - 2 : at] == b"\r\n"))(events_border(b, start)),  # CR LF cut in two
+        lambda b, start=0: real_end_of_last_event(b, start + 3),  # looks too late behind a cut
+        lambda b, start=0: (lambda at: at - (at and b[at - 2 : at] == b"\r\n"))(real_end_of_last_event(b, start)),  # CR LF cut in two
     ],
 )
 def test_planted_breaches_of_the_splitter_are_seen(monkeypatch, bad):
-    monkeypatch.setattr(events, "border", bad)
+    monkeypatch.setattr(events, "end_of_last_event", bad)
     with pytest.raises(AssertionError):
         test_every_short_text_cut_in_every_way()
         test_two_events_cut_in_every_way()
         test_long_texts_cut_at_random()
 
 
-events_border = events.border
+real_end_of_last_event = events.end_of_last_event
--- a/tests/http/test_every_byte.py
+++ b/tests/http/test_every_byte.py
@@ -192,7 +192,7 @@
         (status, body, words), d, rep = scene(script, talk)
         assert (status, body) == (200, b"for a2"), k
         assert [f[ID] for _, f, _ in rep.seen] == ["a1", "a2"] and len(rep.conns) == 2
-        assert d.shell.asks == {} and words.count((1, "gone")) == 1
+        assert d.forwarder.requests == {} and words.count((1, "gone")) == 1
 
 
 def test_an_address_used_again_by_another_replica_gets_a_connection_of_its_own():
@@ -236,7 +236,7 @@
         await c.ask("a1")
         await c.answer()
         if renewed:
-            d.shell.act(("renew", "i1"))
+            d.forwarder.carry_out(("renew", "i1"))
         await c.ask("a2")
         return (await c.answer())[0], d.words()[-1][1:3]
 
@@ -258,11 +258,11 @@
     async def talk(c, d, rep, client):
         real, fell = d.send, []
 
-        async def send(ev, lane="first"):
-            if ev[3] == "done" and not fell:
-                fell.append(ev)
+        async def send(event, queue="first"):
+            if event.outcome == "done" and not fell:
+                fell.append(event)
                 raise RuntimeError("no room")
-            await real(ev, lane)
+            await real(event, queue)
 
         d.send = send
         await c.ask("a1")
--- a/tests/http/test_every_byte_breaches.py
+++ b/tests/http/test_every_byte_breaches.py
@@ -5,35 +5,36 @@
 from silverglade.http import connection_pool as upstream
 from silverglade.http import forwarding_protocol as front
 from silverglade.routing import router as part
-from silverglade.server import request_forwarding as forwarding
+from silverglade.server import attempt_runner
+from silverglade.server.attempt import Outcome
 
 from ..routing import test_doubtful_replicas as doubt
 from ..support import scripted_replicas as scripted
 from . import test_every_byte as bytes_
 
-S, P, T = forwarding.RequestForwarder, upstream.ConnectionPool, upstream.Tcp
+R, P, T = attempt_runner.AttemptRunner, upstream.ConnectionPool, upstream.ReplicaStream
 
 
 async def unmuted(self, buffer, timeout=None):
     if buffer:
-        self.out.append(buffer)
+        self._unwritten.append(buffer)
 
 
-real_take, real_exchange = P.take, S.exchange
+real_take, real_exchange = P.take, R.exchange
 
 
 async def one_pool(self, *, addr, replica, **kw):
     return await real_take(self, addr=addr, replica="any", **kw)
 
 
-async def early(self, a, n, t, c, due):
+async def early(self, attempt):
     """Any answer that breaks off is taken for a refusal."""
-    what, keep = await real_exchange(self, a, n, t, c, due)
-    return (("not-run", 503, None) if what[0] == "lost" else what), keep
+    result = await real_exchange(self, attempt)
+    return result._replace(outcome=Outcome.NOT_RUN, details=(503, None)) if result.outcome is Outcome.LOST else result
 
 
 CASES = [
-    ("anybody's answer", S, "ours", lambda s, a, h: True, bytes_.test_a_surplus_answer_placed_anywhere_is_nobodys_answer),
+    ("anybody's answer", R, "is_ours", lambda s, a, h: True, bytes_.test_a_surplus_answer_placed_anywhere_is_nobodys_answer),
     ("said again", T, "write", unmuted, bytes_.test_a_surplus_answer_placed_anywhere_is_nobodys_answer),
     ("the address alone", P, "take", one_pool, bytes_.test_an_address_used_again_by_another_replica_gets_a_connection_of_its_own),
     ("old connections", P, "renew", lambda p, r: None, bytes_.test_a_machine_that_went_dark_and_came_back_is_asked_on_a_new_connection),
@@ -46,7 +47,7 @@
     ),
     (
         "a loss taken for a promise",
-        S,
+        R,
         "exchange",
         early,
         lambda: bytes_.test_a_request_that_is_cut_off_at_any_byte_is_sent_once_and_never_promised_not_to_have_run("close"),
--- a/tests/http/test_forwarding.py
+++ b/tests/http/test_forwarding.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from silverglade.server import request_forwarding as forwarding
+from silverglade.server import attempt_runner
 
 from ..support.scripted_replicas import ID, NOT, SEAL, answer, chunk, event, one, scene, stream
 
@@ -31,7 +31,7 @@
     status, h, body, whole = got
     assert (status, body, whole, h["x-kind"], h[SEAL], h[ID]) == (200, b"body", True, "y", "s", "a1")
     assert not {"keep-alive", "connection", "x-hop", "date", "server"} & set(h)
-    assert d.words() == [(1, "began", 200), (1, "done")] and d.shell.asks == {} and d.bodies == 0
+    assert d.words() == [(1, "began", 200), (1, "done")] and d.forwarder.requests == {} and d.buffered_body_bytes == 0
 
 
 def test_a_request_reaches_the_replica_unchanged_but_for_its_hops():
@@ -147,7 +147,7 @@
     ),
     (says(OTHER, answer("a1"), close=False), [(1, "began", 200), (1, "done")], (200, b"ok")),  # read past, ours behind it
     (says(OTHER, OTHER, answer("a1"), close=False), [(1, "began", 200), (1, "done")], (200, b"ok")),
-    (says(*[OTHER] * forwarding.SKIP, answer("a1"), close=False), [(1, "lost", "not-ours")], (502,)),
+    (says(*[OTHER] * attempt_runner.MAX_RESPONSES_READ, answer("a1"), close=False), [(1, "lost", "not-ours")], (502,)),
     (says(OTHER[:-1]), [(1, "lost", "not-ours")], (502,)),
     (says(answer("old", status="503 Full", more=(f"{NOT}: 1",)), answer("a1")), [(1, "began", 200), (1, "done")], (200, b"ok")),
     (says(f"HTTP/1.1 204 Gone\r\n{ID}: a1\r\n{SEAL}: s\r\n\r\n"), [(1, "began", 204), (1, "done")], (204, b"")),
@@ -162,7 +162,7 @@
     if want:
         assert (got[0], got[2])[: len(want)] == want and got[3]
     assert len(rep.raw) == 1 and rep.rest == b""  # never sent twice
-    assert d.lg.said == []
+    assert d.logger.said == []
 
 
 def test_a_reset_after_the_request_was_read_is_lost_and_a_closed_port_is_unsent():
@@ -311,8 +311,8 @@
     async def talk(c, d, rep, client):
         await c.ask()
         await d.heard(word)
-        for rid in list(d.shell.asks):
-            d.shell.act(("break", rid))
+        for rid in list(d.forwarder.requests):
+            d.forwarder.carry_out(("break", rid))
         return await c.answer()
 
     got, d, rep = scene(script, talk, part=resuming({}))
@@ -341,7 +341,7 @@
 
 
 def test_a_long_plain_answer_is_passed_on_and_cut_short_when_it_breaks():
-    body = "x" * (forwarding.HOLD + 70000)
+    body = "x" * (attempt_runner.MAX_HELD_BYTES + 70000)
     got, d, rep = scene(says(answer("a1", body)), ask)
     assert got[2] == body.encode() and got[3]
     got, d, rep = scene(says(answer("a1", body)[:-1]), ask)
--- a/tests/http/test_forwarding_breaches.py
+++ b/tests/http/test_forwarding_breaches.py
@@ -5,6 +5,8 @@
 from silverglade.http import connection_pool as upstream
 from silverglade.http import event_stream as events
 from silverglade.http import forwarding_protocol as forward
+from silverglade.runtime.effects import CancelAttempt
+from silverglade.server import attempt_runner
 from silverglade.server import client_request as ask
 from silverglade.server import request_forwarding as forwarding
 
@@ -15,7 +17,14 @@
 from .test_connection_pool import TWICE
 from .test_forwarding import CUT, PLAIN
 
-S, A, T, P, F = forwarding.RequestForwarder, ask.ClientRequest, upstream.Tcp, upstream.ConnectionPool, forward.ForwardingProtocol
+S, R, A, T, P, F = (
+    forwarding.RequestForwarder,
+    attempt_runner.AttemptRunner,
+    ask.ClientRequest,
+    upstream.ReplicaStream,
+    upstream.ConnectionPool,
+    forward.ForwardingProtocol,
+)
 
 
 def plain(word):
@@ -35,14 +44,14 @@
     return lambda: test_forwarding.test_a_cut_stream_passes_whole_events_only_and_does_not_look_complete(n)
 
 
-async def not_muted(tcp, buffer, timeout=None):
+async def not_muted(stream, buffer, timeout=None):
     if buffer:
-        tcp.out.append(buffer)
+        stream._unwritten.append(buffer)
 
 
-def any_time(tcp):
-    out, tcp.out, tcp.wrote = tcp.out, [], True
-    tcp.t.write(b"".join(out))
+def any_time(stream):
+    pieces, stream._unwritten, stream.was_written = stream._unwritten, [], True
+    stream.transport.write(b"".join(pieces))
 
 
 def ended_well(face):
@@ -51,11 +60,11 @@
 
 
 def deaf(a, e, put=ask.ClientRequest.put):
-    return None if e == ("gone",) else put(a, e)
+    return None if e is ask.RequestEnd.CLIENT_GONE else put(a, e)
 
 
 def no_drop(a, e, put=ask.ClientRequest.put):
-    return None if e[0] == "drop" else put(a, e)
+    return None if isinstance(e, CancelAttempt) else put(a, e)
 
 
 def unmarked(pool, c, *, keep=None, last=None, release=upstream.ConnectionPool.release):
@@ -64,7 +73,7 @@
 
 def unwatched(pool, c, *, keep=None, last=None, release=upstream.ConnectionPool.release):
     release(pool, c, keep=keep, last=last)
-    c.tcp.idle = None
+    c.stream.on_idle_activity = None
 
 
 def no_cap(pool, *, cap, take=upstream.ConnectionPool.take, **kw):
@@ -73,48 +82,60 @@
 
 SKIPPED = [i for i, (_, _, want) in enumerate(PLAIN) if want == (200, b"ok")][1]  # the first of them has a 1xx
 CASES = [
-    ("id", S, "ours", lambda s, a, h: True, looked(SKIPPED)),
-    ("id missing", S, "ours", lambda s, a, h: True, looked(plain((1, "lost", "not-ours")))),
+    ("id", R, "is_ours", lambda s, a, h: True, looked(SKIPPED)),
+    ("id missing", R, "is_ours", lambda s, a, h: True, looked(plain((1, "lost", "not-ours")))),
     ("seal", scripted, "OWN", OWN._replace(seal=OWN.attempt), looked(plain((1, "lost", "no-seal")))),
     ("word of not having run", scripted, "OWN", OWN._replace(not_run=b"x"), looked(plain((1, "not-run", 503, 0.75)))),
-    ("length", S, "framed", lambda s, a, r, h: True, looked(plain((1, "lost", "no-length")))),
-    ("skipping", forwarding, "SKIP", 1, looked(SKIPPED)),
+    ("length", R, "states_end", lambda s, a, r, h: True, looked(plain((1, "lost", "no-length")))),
+    ("skipping", attempt_runner, "MAX_RESPONSES_READ", 1, looked(SKIPPED)),
     (
         "skipping without end",
-        forwarding,
-        "SKIP",
+        attempt_runner,
+        "MAX_RESPONSES_READ",
         9,
         looked(next(i for i, (_, w, _) in enumerate(PLAIN) if w == [(1, "lost", "not-ours")] and i > SKIPPED)),
     ),
     ("mute", T, "write", not_muted, again(10)),
-    ("hops", ask, "HOP", frozenset(), test_forwarding.test_a_request_reaches_the_replica_unchanged_but_for_its_hops),
-    ("surplus bytes", upstream.Conn, "surplus", lambda c: False, again(8)),
-    ("a second answer", upstream.Conn, "surplus", lambda c: False, again(9)),
-    ("keep-alive", P, "patience", lambda p, h, trip: 9.0, again(2)),
+    ("hops", ask, "HOP_BY_HOP_HEADERS", frozenset(), test_forwarding.test_a_request_reaches_the_replica_unchanged_but_for_its_hops),
+    ("surplus bytes", upstream.PooledConnection, "has_surplus", lambda c: False, again(8)),
+    ("a second answer", upstream.PooledConnection, "has_surplus", lambda c: False, again(9)),
+    ("keep-alive", P, "reuse_time", lambda p, h, trip: 9.0, again(2)),
     ("whole events", events.EventSplitter, "feed", lambda s, b: b, cut(0)),
-    ("end at a border", forwarding, "EventSplitter", lambda: type("All", (), {"rest": b"", "feed": lambda s, b: b})(), cut(1)),
+    ("end at a border", attempt_runner, "EventSplitter", lambda: type("All", (), {"rest": b"", "feed": lambda s, b: b})(), cut(1)),
     ("unclean end", F, "cut", ended_well, cut(0)),
-    ("length of a stream", S, "unsized", lambda s, h: h, test_forwarding.test_a_stream_with_a_length_is_passed_on_in_chunks),
+    (
+        "length of a stream",
+        attempt_runner,
+        "without_length",
+        lambda h: h,
+        test_forwarding.test_a_stream_with_a_length_is_passed_on_in_chunks,
+    ),
     (
         "behind the last event",
-        forwarding,
-        "beyond",
+        attempt_runner,
+        "events_after",
         lambda b, last: (b, True),
         test_forwarding.test_a_stream_goes_on_at_another_replica_under_its_first_head,
     ),
-    ("limit of what is held", upstream, "HIGH", 1 << 40, test_forwarding_ends.test_a_client_that_does_not_read_holds_the_replica_up),
+    (
+        "limit of what is held",
+        upstream,
+        "HIGH_WATER_BYTES",
+        1 << 40,
+        test_forwarding_ends.test_a_client_that_does_not_read_holds_the_replica_up,
+    ),
     (
         "guard",
         S,
-        "watch",
-        lambda s, a, left: setattr(a, "guard", a.guard or type("No", (), {"cancel": lambda s: None})()),
+        "set_forget_timer",
+        lambda s, a, left: setattr(a, "forget_timer", a.forget_timer or type("No", (), {"cancel": lambda s: None})()),
         lambda: test_forwarding_ends.test_a_full_door_refuses_and_a_part_that_forgets_ends_in_a_refusal(pytest.MonkeyPatch()),
     ),
     ("gone", A, "put", deaf, test_forwarding_ends.test_a_client_that_goes_ends_its_try_and_one_that_waits_for_none),
-    ("behind a part", S, "may", lambda s, a, t: True, test_forwarding_ends.test_nothing_goes_on_behind_a_part_of_a_plain_answer),
+    ("behind a part", S, "may_attempt", lambda s, a, t: True, test_forwarding_ends.test_nothing_goes_on_behind_a_part_of_a_plain_answer),
     ("drop", A, "put", no_drop, test_forwarding_ends.test_a_dropped_try_ends_and_the_next_one_runs),
-    ("draining", S, "closing", lambda s: False, test_forwarding_ends.test_answers_of_a_daemon_that_drains_say_so),
-    ("first byte", T, "flush", any_time, test_upstream.test_what_ends_between_take_and_the_first_byte_is_stale_not_lost),
+    ("draining", S, "is_draining", lambda s: False, test_forwarding_ends.test_answers_of_a_daemon_that_drains_say_so),
+    ("first byte", T, "_flush", any_time, test_upstream.test_what_ends_between_take_and_the_first_byte_is_stale_not_lost),
     ("idle watch", P, "release", unwatched, lambda: test_upstream.test_whatever_comes_on_an_idle_connection_ends_it("bytes")),
     ("same attempt", P, "release", unmarked, test_upstream.test_a_connection_that_carried_this_attempt_is_left_alone),
     ("forget", P, "forget", lambda p, r: None, test_upstream.test_a_replica_that_left_keeps_no_connection),
--- a/tests/http/test_forwarding_ends.py
+++ b/tests/http/test_forwarding_ends.py
@@ -6,6 +6,7 @@
 from types import SimpleNamespace
 
 from silverglade.http import connection_pool as upstream
+from silverglade.server import attempt_runner
 from silverglade.server import request_forwarding as forwarding
 from silverglade.server import response_timeouts as silence
 
@@ -28,7 +29,7 @@
 
 
 def test_nothing_goes_on_behind_a_part_of_a_plain_answer():
-    body = "x" * (forwarding.HOLD + 70000)
+    body = "x" * (attempt_runner.MAX_HELD_BYTES + 70000)
     got, d, rep = scene(says(answer("a1", body)[:-1]), ask, part=again)
     assert len(got[2]) < len(body) and not got[3] and len(rep.raw) == 1 and d.words()[-1] == (2, "gone")
 
@@ -43,8 +44,8 @@
     async def talk(c, d, rep, client):
         await c.ask()
         await d.heard("lost")
-        for rid in list(d.shell.asks):
-            d.shell.act(("pass", rid, 1))
+        for rid in list(d.forwarder.requests):
+            d.forwarder.carry_out(("pass", rid, 1))
         return await c.answer()
 
     def part(addr):
@@ -67,7 +68,7 @@
         await rep.conns[0].over.wait()
 
     _, d, rep = scene(script, talk)
-    assert d.words() == [(1, "gone")] and d.shell.asks == {} and d.bodies == 0
+    assert d.words() == [(1, "gone")] and d.forwarder.requests == {} and d.buffered_body_bytes == 0
 
     async def waits(c, d, rep, client):
         await c.ask()
@@ -77,7 +78,7 @@
         await d.heard("gone")
 
     _, d, rep = scene(script, waits, part=lambda addr: lambda ev: ())
-    assert d.words() == [(0, "gone")] and d.shell.asks == {}
+    assert d.words() == [(0, "gone")] and d.forwarder.requests == {}
 
 
 def test_a_dropped_try_ends_and_the_next_one_runs():
@@ -99,10 +100,10 @@
     async def talk(c, d, rep, client):
         await c.ask()
         await rep_asked(rep)
-        (rid,) = d.shell.asks
-        d.shell.act(("drop", rid, 1))
+        (rid,) = d.forwarder.requests
+        d.forwarder.carry_out(("drop", rid, 1))
         await rep.first.over.wait()
-        d.shell.act(("try", rid, 2, one(rep.addr)))
+        d.forwarder.carry_out(("try", rid, 2, one(rep.addr)))
         return await c.answer()
 
     got, d, rep = scene(script, talk, part=part)
@@ -127,7 +128,7 @@
 
     got, d, _ = scene(says(), full)
     assert got[0] == 503 and "retry-after" in got[1] and d.told == []
-    monkeypatch.setattr(forwarding, "SLACK", upstream.SECOND / 100)
+    monkeypatch.setattr(forwarding, "FORGET_MARGIN", upstream.SECOND / 100)
 
     async def forgot(c, d, rep, client):
         await c.ask(more=("Silverglade-Due: 10",))
@@ -257,29 +258,29 @@
         monkeypatch.setattr(silence.time, "monotonic", lambda: now[0])
 
         def row(patience, *, pause=None, started=False):
-            a = Stands(rid="r1", started=started, last=None)
-            tcp = SimpleNamespace(heard=0.0, peer=peer)
-            d.shell.silence.begin(a, 1, SimpleNamespace(patience=patience, pause=pause), SimpleNamespace(tcp=tcp))
-            return a
+            request = Stands(request_id="r1", was_started=started, last_event_id=None)
+            stream = SimpleNamespace(received_at=0.0, replica_activity=activity)
+            d.forwarder.attempts.silence.begin(request, 1, SimpleNamespace(patience=patience, pause=pause), SimpleNamespace(stream=stream))
+            return request
 
-        peer = [0.0]
+        activity = upstream.ReplicaActivity()
         quiet, other = row(SHORT), row(None)
         stream = row(SHORT * 100, pause=SHORT, started=True)
-        assert quiet in d.shell.silence.under_way and other not in d.shell.silence.under_way
+        assert quiet in d.forwarder.attempts.silence.under_way and other not in d.forwarder.attempts.silence.under_way
         now[0] += 0.02
-        d.shell.silence.look()
-        assert not d.shell.silence.reports  # not long enough
-        now[0], peer[0] = 100.1, 100.09
-        d.shell.silence.look()
-        assert not d.shell.silence.reports  # bytes came on another connection
+        d.forwarder.attempts.silence.check()
+        assert not d.forwarder.attempts.silence.reports  # not long enough
+        now[0], activity.received_at = 100.1, 100.09
+        d.forwarder.attempts.silence.check()
+        assert not d.forwarder.attempts.silence.reports  # bytes came on another connection
         now[0] = 100.2
-        d.shell.silence.look()
-        assert len(d.shell.silence.reports) == 2  # the quiet one, and the stream by its own measure
-        d.shell.silence.look()
-        assert len(d.shell.silence.reports) == 2  # told once, until as long has gone by again
-        await asyncio.gather(*d.shell.silence.reports)
-        del d.shell.silence.under_way[quiet], d.shell.silence.under_way[stream]
-        d.shell.silence.timer.cancel()
+        d.forwarder.attempts.silence.check()
+        assert len(d.forwarder.attempts.silence.reports) == 2  # the quiet one, and the stream by its own measure
+        d.forwarder.attempts.silence.check()
+        assert len(d.forwarder.attempts.silence.reports) == 2  # told once, until as long has gone by again
+        await asyncio.gather(*d.forwarder.attempts.silence.reports)
+        del d.forwarder.attempts.silence.under_way[quiet], d.forwarder.attempts.silence.under_way[stream]
+        d.forwarder.attempts.silence.timer.cancel()
         assert [e[3] for e in d.told] == ["silent", "silent"]
 
     asyncio.run(go())
--- a/tests/http/test_forwarding_protocol.py
+++ b/tests/http/test_forwarding_protocol.py
@@ -8,10 +8,10 @@
 import pytest
 
 from silverglade.http import forwarding_protocol as forward
-from silverglade.http.forwarding_protocol import host, pair, parts, whole
-from silverglade.http.listener import bound, serve
+from silverglade.http.forwarding_protocol import host_name, parse_integer, parse_prompt_parts, parse_token_counts
+from silverglade.http.listener import bound_socket, serve
 from silverglade.runtime import errors as faults
-from silverglade.server.client_request import Limits, small
+from silverglade.server.client_request import ClientLimits, send_result_code
 
 from ..support import scripted_replicas as scripted
 from ..support.scripted_replicas import ID, SEAL, answer, chunk, event, scene, stream
@@ -27,7 +27,7 @@
 
 
 def limits(**kw):
-    return Limits()._replace(**kw)
+    return ClientLimits()._replace(**kw)
 
 
 def raw(*said, lim=None, until=None):
@@ -35,7 +35,7 @@
 
     async def talk(c, d, rep, client):
         if lim:
-            d.shell.limits = lim
+            d.forwarder.limits = lim
             c = await client()
         for b in said:
             await c.say(b)
@@ -43,7 +43,7 @@
         return got, await c.closed() if until != "open" else None
 
     (got, closed), d, rep = scene(script, talk)
-    assert d.bodies == 0 and d.shell.asks == {}
+    assert d.buffered_body_bytes == 0 and d.forwarder.requests == {}
     return got, closed, d, rep
 
 
@@ -106,7 +106,7 @@
 
 
 def test_bodies_are_bounded_over_all_requests(monkeypatch):
-    monkeypatch.setattr(forward, "BODIES", 50)
+    monkeypatch.setattr(forward, "MAX_BUFFERED_BODY_BYTES", 50)
     got, closed, d, rep = raw(FIRST + "Content-Length: 60\r\n\r\n", "x" * 30, "x" * 30)
     assert got[0] == 503 and closed and "retry-after" in got[1] and d.told == []
 
@@ -127,7 +127,7 @@
 def test_an_idle_connection_is_closed_and_a_waiting_one_is_not():
     async def talk(c, d, rep, client):
         daemons.append(d)
-        d.shell.limits = limits(header_timeout=30 * MS, idle_timeout=30 * MS)
+        d.forwarder.limits = limits(header_timeout=30 * MS, idle_timeout=30 * MS)
         c = await client()
         await c.ask()
         got = await c.answer()
@@ -143,7 +143,7 @@
 
         def feed(ev):
             if ev[0] == "request":
-                (face,) = (a.client for a in daemons[0].shell.asks.values())
+                (face,) = (request.connection for request in daemons[0].forwarder.requests.values())
                 timers.append((face.head_timer, face.timeout_keep_alive_task))  # while it waits for its answer
             return simple(ev)
 
@@ -202,32 +202,32 @@
 def test_a_client_that_goes_with_its_body_half_sent_is_no_request():
     async def talk(c, d, rep, client):
         await c.say(FIRST + "Content-Length: 5\r\n\r\nab")
-        while not d.bodies:
+        while not d.buffered_body_bytes:
             await asyncio.sleep(0)
         c.close()
-        while d.bodies:
+        while d.buffered_body_bytes:
             await asyncio.sleep(0)
 
     _, d, rep = scene(script, talk)
-    assert d.told == [] and rep.conns == [] and d.lg.said == []
+    assert d.told == [] and rep.conns == [] and d.logger.said == []
 
 
 def test_a_fault_in_the_shell_ends_its_own_request_alone():
     async def talk(c, d, rep, client):
-        d.shell.request = None  # planted
+        d.forwarder.attempts.outgoing_request = None  # planted
         await c.ask()
         got = await c.answer()
-        del d.shell.request
+        del d.forwarder.attempts.outgoing_request
         e = await client()
         await e.ask("a2")
         return got, (await e.answer())[0]
 
     (got, status), d, _ = scene(script, talk)
-    assert got is None and status == 200 and (1, "gone") in d.words() and len(d.lg.said) == 1
+    assert got is None and status == 200 and (1, "gone") in d.words() and len(d.logger.said) == 1
 
 
 def test_names_and_numbers_of_a_head():
-    assert [host(b) for b in (b"Nony24.Example:80", b"a", b"[::1]:8", b"[::1]", b"a:b", b"")] == [
+    assert [host_name(b) for b in (b"Nony24.Example:80", b"a", b"[::1]:8", b"[::1]", b"a:b", b"")] == [
         "nony24.example",
         "a",
         "[::1]",
@@ -235,15 +235,15 @@
         "a:b",
         "",
     ]
-    assert parts(b"5c:800, 91:410") == (("5c", 800), ("91", 410))
-    assert [parts(b) for b in (None, b"", b"x", b"x:", b":1", b"x:-1", b"x:1,")] == [()] * 7
-    assert [pair(b) for b in (b"1,2", b"1", b"a,b", None, b"1, 2")] == [(1, 2), None, None, None, (1, 2)]
-    assert [whole(b) for b in (b"7", b"", None, b"-1", b"9" * 17, b"1.5")] == [7, None, None, None, None, None]
+    assert parse_prompt_parts(b"5c:800, 91:410") == (("5c", 800), ("91", 410))
+    assert [parse_prompt_parts(b) for b in (None, b"", b"x", b"x:", b":1", b"x:-1", b"x:1,")] == [()] * 7
+    assert [parse_token_counts(b) for b in (b"1,2", b"1", b"a,b", None, b"1, 2")] == [(1, 2), None, None, None, (1, 2)]
+    assert [parse_integer(b) for b in (b"7", b"", None, b"-1", b"9" * 17, b"1.5")] == [7, None, None, None, None, None]
 
 
 def test_limits_of_a_configuration():
-    lim = Limits.of({"header_bytes": 1, "body_bytes": 2, "header_ms": 3, "idle_ms": 4})
-    assert lim == (1, 2, 3 * MS, 4 * MS) and Limits.of(None) == Limits()
+    lim = ClientLimits.from_configuration({"header_bytes": 1, "body_bytes": 2, "header_ms": 3, "idle_ms": 4})
+    assert lim == (1, 2, 3 * MS, 4 * MS) and ClientLimits.from_configuration(None) == ClientLimits()
     assert all(n in faults.RESULT_CODES for n in (204, 208, 310, 311, 403, 810))
 
 
@@ -254,7 +254,7 @@
         seen = []
         srv = await asyncio.start_server(
             lambda r, w: seen.append(w.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)),
-            sock=bound("127.0.0.1:0"),
+            sock=bound_socket("127.0.0.1:0"),
         )
         r, w = await asyncio.open_connection(*srv.sockets[0].getsockname())
         while not seen:
@@ -273,7 +273,7 @@
 
 def test_the_address_says_which_face_a_call_meets():
     async def app(scope, receive, send):
-        await small(send, 404, 507)
+        await send_result_code(send, 404, 507)
 
     async def say(addr):
         c = scripted.Client(*await asyncio.open_connection(*addr.rsplit(":", 1)))
@@ -285,13 +285,16 @@
     async def go():
         async with scripted.replica(script) as rep:
             d = scripted.Daemon(scripted.simple([rep.addr]))
-            d.s, d.closing = {"http": free(), "name": "d", **{f"{r}_key": "" for r in ("operator", "replica", "platform")}}, anyio.Event()
-            d.outer, other = type("Outer", (), {"front": free()}), free()
-            d.faces = lambda: {other: app}
+            d.settings, d.closing = (
+                {"http": free(), "name": "d", **{f"{r}_key": "" for r in ("operator", "replica", "platform")}},
+                anyio.Event(),
+            )
+            d.adapter, other = type("Outer", (), {"client_address": free()}), free()
+            d.apps = lambda: {other: app}
             async with anyio.create_task_group() as tg:
                 tg.start_soon(serve, d)
                 got = []
-                for a in (d.outer.front, d.s["http"], other):
+                for a in (d.adapter.client_address, d.settings["http"], other):
                     while True:
                         try:
                             got.append(await say(a))
@@ -299,7 +302,7 @@
                         except ConnectionRefusedError:
                             await asyncio.sleep(0)
                 d.closing.set()
-            d.shell.pool.shut()
+            d.forwarder.pool.close()
             return got
 
     front, own, other = scripted.play(go)
--- a/tests/http/test_http_app.py
+++ b/tests/http/test_http_app.py
@@ -16,13 +16,17 @@
     """Stands for the daemon: scripted results and replies."""
 
     def __init__(self, results=(), reply=(100, {}), key=""):
-        self.s = {"operator_key": key, "replica_key": "", "platform_key": "", "name": "d"}
+        self.settings = {"operator_key": key, "replica_key": "", "platform_key": "", "name": "d"}
         self.results, self.said, self.reply, self.left = results, [], reply, []
 
-    def oid(self):
+    @property
+    def tenant_requests(self):
+        return self
+
+    def new_request_id(self):
         return "o1"
 
-    async def order(self, oid, spec):
+    def submit(self, oid, spec):
         self.said.append(spec)
         w, r = anyio.create_memory_object_stream(64)
         for x in self.results:
@@ -31,13 +35,13 @@
         return r
 
     @contextlib.contextmanager
-    def hold(self, size):
+    def reserve_body(self, size):
         yield
 
-    async def drained(self, oid, n):
+    async def acknowledge(self, oid, n):
         self.left.append((oid, n))
 
-    async def gone(self, oid):
+    async def abandon(self, oid):
         self.left.append(oid)
 
     async def call(self, op, args):
@@ -84,10 +88,9 @@
 
 def test_a_stream_ends_in_done_or_in_a_fault_and_an_unclean_close():
     st, _, b, clean = http(Daemon([("key", "k", True), ("piece", 1, b"a\nb"), ("done", 1)]), "POST", "/v1/orders/c")
-    ev = callout.events()
-    next(ev)
+    parser = callout.EventParser()
     assert (st, clean) == (200, True)
-    assert ev.send(b) == (("", 1, b"a\nb"), ("done", 1, b""))
+    assert parser.feed(b) == (("", 1, b"a\nb"), ("done", 1, b""))
     st, _, b, clean = http(Daemon([("piece", 1, b"a"), ("fault", 404, "yes", None)]), "POST", "/v1/orders/c")
     assert st == 200 and not clean and b"event: done" not in b
     assert json.loads(b.split(b"data: ")[-1]) == {"code": 404, "name": "broken-stream", "ran": "yes", "retry_after": None}
@@ -210,7 +213,7 @@
 
 def test_each_role_has_its_own_calls():
     d = Daemon()
-    d.s.update(operator_key="op", replica_key="rep", platform_key="plat")
+    d.settings.update(operator_key="op", replica_key="rep", platform_key="plat")
     calls = [
         ("GET", "/v1/config"),
         ("PUT", "/v1/zones/z/evacuation"),
--- a/tests/http/test_response_ownership.py
+++ b/tests/http/test_response_ownership.py
@@ -14,7 +14,7 @@
     """Its calls wait until the test lets them be answered."""
 
     def __init__(self):
-        self.s = {"operator_key": "", "replica_key": "", "platform_key": "", "name": "d"}
+        self.settings = {"operator_key": "", "replica_key": "", "platform_key": "", "name": "d"}
         self.open, self.begun = {}, anyio.Event()
 
     async def call(self, op, args):
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -134,7 +134,7 @@
 
 def test_two_watchers_or_the_silence_of_all_make_a_daemon_dead_not_one():
     s = hamlet()
-    t = s.w.nodes["core-north"].hub.parts["core_table"]
+    t = s.w.nodes["core-north"].hub.components["core_table"]
     t.send((s.w.now, ("msg", "edge-south-0", ("told", (
         ("doubt", "edge-north-0 edge-south-0", (1, 1), 1, soft.CORES),)))))
     s.w.run(2)
--- a/tests/routing/test_doubtful_replicas.py
+++ b/tests/routing/test_doubtful_replicas.py
@@ -55,8 +55,8 @@
 
     got = []
     d = object.__new__(Daemon)
-    d.shell = type("Shell", (), {"act": lambda self, e: got.append(e)})()
-    d.act(("renew", "1"))
+    d.forwarder = type("Shell", (), {"carry_out": lambda self, e: got.append(e)})()
+    d.carry_out(("renew", "1"))
     assert got == [("renew", "1")]
     s = Scene(town="hamlet", seed=1)
     s.settle()
--- a/tests/server/test_disk.py
+++ b/tests/server/test_disk.py
@@ -64,18 +64,18 @@
 def test_no_shared_memory_file_is_ever_made(tmp_path):
     s = DataFolder(folder=str(tmp_path), name="c1")
     s.write([("put", "meta", "a", 1)])
-    assert s.db.execute("PRAGMA journal_mode").fetchone()[0] == "delete"
+    assert s.database.execute("PRAGMA journal_mode").fetchone()[0] == "delete"
     assert not [f for f in os.listdir(tmp_path) if f.endswith(("-shm", "-wal"))]
 
 
 def test_a_store_of_the_layout_before_is_taken_over_and_kept_from_the_program_that_wrote_it(tmp_path):
     s = DataFolder(folder=str(tmp_path), name="a")
     s.write([("put", "meta", "sealed", 3)])
-    s.db.execute("PRAGMA user_version=1")
+    s.database.execute("PRAGMA user_version=1")
     s.close()
     s = DataFolder(folder=str(tmp_path), name="a")
     assert s.load()["meta"] == {"sealed": 3}
-    assert s.db.execute("PRAGMA user_version").fetchone()[0] == 2
+    assert s.database.execute("PRAGMA user_version").fetchone()[0] == 2
     s.close()
 
 
@@ -90,7 +90,7 @@
 
 def test_a_store_of_another_core_is_left_at_its_layout_and_unlocked(tmp_path):
     s = DataFolder(folder=str(tmp_path), name="b")
-    s.db.execute("PRAGMA user_version=1")
+    s.database.execute("PRAGMA user_version=1")
     s.close()
     was = (tmp_path / FILE).read_bytes()
     assert refused(folder=str(tmp_path), name="a") == 702
@@ -118,9 +118,9 @@
     s = DataFolder(folder=str(tmp_path), name="a")
     new = [("wipe", "book"), *(("put", "book", f"k{i}", "n" * 900) for i in range(40)), ("put", "meta", "recruited", 7)]
     s.write([("put", "book", f"k{i}", "o" * 50) for i in range(20)])
-    was, page, told = s.load(), s.db.execute("PRAGMA page_count").fetchone()[0], []
+    was, page, told = s.load(), s.database.execute("PRAGMA page_count").fetchone()[0], []
     for most in range(page, page + 40):
-        s.db.execute(f"PRAGMA max_page_count={most}")
+        s.database.execute(f"PRAGMA max_page_count={most}")
         try:
             s.write(new)
             told.append(True)
@@ -143,15 +143,15 @@
     s = DataFolder(folder=str(folder), name="a")
     s.write([("put", "book", f"k{i}", "old" * 300) for i in range(60)] + [("put", "meta", "n", 1)])
     was = s.load()
-    s.db.execute("PRAGMA cache_size=1")
+    s.database.execute("PRAGMA cache_size=1")
 
     def copy(statement):
         copies.append(tmp_path / f"at-{len(copies)}")
         shutil.copytree(folder, copies[-1])
 
-    s.db.set_trace_callback(copy)
+    s.database.set_trace_callback(copy)
     s.write([("wipe", "book"), *(("put", "book", f"k{i}", "new" * 300) for i in range(60)), ("put", "meta", "n", 2)])
-    s.db.set_trace_callback(None)
+    s.database.set_trace_callback(None)
     now = s.load()
     s.close()
     return copies, was, now
