--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -8,6 +8,8 @@
 
 from silverglade.runtime.shutdown_timetable import timetable
 from silverglade.server import shutdown as departure
+from silverglade.server.client_request import RequestEnd
+from silverglade.server.daemon import PendingCall
 
 from .test_priority_queues import daemon
 
@@ -18,7 +20,7 @@
     """A client's request under way, as the shell holds it."""
 
     def __init__(self, *, started=True):
-        self.rid, self.started, self.told = "r1", started, []
+        self.request_id, self.was_started, self.told = "r1", started, []
 
     def put(self, effect):
         self.told.append(effect)
@@ -40,11 +42,13 @@
             self.at = now[0] - begun
 
     async def go():
-        await departure.leave(d, told_at=told_at)
+        await departure.shut_down(d, told_at=told_at)
 
     d = daemon()
-    d.closing, d.store = Door(), core
-    d.outer = type("Outer", (), {"grace": grace, "linger": linger, "front": "x", "cut_streams_for": 3 * SEC})() if grace else None
+    d.closing, d.data_folder = Door(), core
+    d.adapter = (
+        type("Outer", (), {"grace": grace, "linger": linger, "client_address": "x", "cut_streams_for": 3 * SEC})() if grace else None
+    )
     monkeypatch.setattr(departure.anyio, "sleep", wait)
     monkeypatch.setattr(departure, "clock", lambda: timedelta(seconds=now[0]))
     before(d)
@@ -62,13 +66,13 @@
 def test_the_door_stays_open_for_as_long_as_clients_hold_the_address(monkeypatch):
     closing, stopping = leave(monkeypatch, lambda d, t: None, linger=5 * SEC)
     assert 5 <= closing <= stopping < 6.5
-    closing, stopping = leave(monkeypatch, lambda d, t: None, linger=50 * SEC)  # but not beyond the grace
+    closing, stopping = leave(monkeypatch, lambda d, t: None, linger=50 * SEC)  # but not events_after the grace
     assert 5 <= closing < stopping + 0.1 < 7.2
 
 
 def test_requests_under_way_end_first(monkeypatch):
     def step(d, t):
-        d.shell.asks = {"r1": Request()} if t < 2 else {}
+        d.forwarder.requests = {"r1": Request()} if t < 2 else {}
 
     closing, stopping = leave(monkeypatch, step)
     assert 2 <= closing < stopping + 0.1 < 3
@@ -76,8 +80,8 @@
 
 def test_the_door_shuts_half_way_and_the_rest_still_ends(monkeypatch):
     def step(d, t):
-        d.shell.asks = {"r1": Request()} if t < 6 else {}
-        d.open = {1} if t < 6.5 else set()  # an answer still on its way out
+        d.forwarder.requests = {"r1": Request()} if t < 6 else {}
+        d.open_connections = {1} if t < 6.5 else set()  # an answer still on its way out
 
     closing, stopping = leave(monkeypatch, step)
     assert 3.5 <= closing < 5 and 6.5 <= stopping < 7
@@ -85,7 +89,7 @@
 
 def test_the_time_given_is_kept(monkeypatch):
     def step(d, t):
-        d.shell.asks, d.open = {"r1": Request()}, {1}
+        d.forwarder.requests, d.open_connections = {"r1": Request()}, {1}
 
     assert leave(monkeypatch, step)[1] == pytest.approx(7, abs=0.2)
     assert leave(monkeypatch, step, grace=None)[1] == pytest.approx(30, abs=0.7)
@@ -93,7 +97,7 @@
 
 def test_orders_hold_the_door_open(monkeypatch):
     def step(d, t):
-        d.jobs = {"o.1": 1} if t < 20 else {}
+        d.tenant_requests.dispatches = {"o.1": 1} if t < 20 else {}
 
     closing, _ = leave(monkeypatch, step, grace=None)
     assert closing >= 20
@@ -103,7 +107,7 @@
 def test_a_core_stays_until_the_others_can_do_without_it_or_its_grace_runs_out(monkeypatch, grace, end):
     def step(d, t):
         if t > 2:
-            d.act(("released",))
+            d.carry_out(("released",))
 
     assert 2 <= leave(monkeypatch, step, grace=grace, core=True)[1] < 3
     assert leave(monkeypatch, lambda d, t: None, grace=grace, core=True)[1] == pytest.approx(end, abs=0.5)
@@ -113,28 +117,28 @@
     waiting, begun = Request(started=False), Request()
 
     def step(d, t):
-        d.shell.asks = {"r1": waiting, "r2": begun}
+        d.forwarder.requests = {"r1": waiting, "r2": begun}
 
     _, stopping = leave(monkeypatch, step, linger=6 * SEC)
-    assert waiting.told == [("concluded", "r1")] and begun.told == []
+    assert waiting.told == [RequestEnd.SHUTDOWN] and begun.told == []
     assert stopping == pytest.approx(7, abs=0.1)
 
 
 def test_orders_and_calls_that_still_wait_are_answered_before_the_end(monkeypatch):
-    results, call = [], [anyio.Event(), None]
+    results, call = [], PendingCall()
 
     def before(d):
-        d.result = lambda order, kind, rest: results.append((order, kind, *rest))
-        d.relays, d.calls = {"o1": 1}, {"c1": call}
+        d.deliver_result = lambda order, kind, rest: results.append((order, kind, *rest))
+        d.tenant_requests.result_streams, d.pending_calls = {"o1": 1}, {"c1": call}
 
     leave(monkeypatch, lambda d, t: None, before=before)
     assert results == [("o1", "fault", 405, "maybe", 1000)]
-    assert call[1] == (503, {}) and call[0].is_set()
+    assert call.result == (503, {}) and call.done.is_set()
 
 
 def test_the_grace_runs_from_the_signal_not_from_the_time_at_which_the_loop_got_to_it(monkeypatch):
     def step(d, t):
-        d.shell.asks, d.open = {"r1": Request()}, {1}
+        d.forwarder.requests, d.open_connections = {"r1": Request()}, {1}
 
     assert leave(monkeypatch, step, told_at=timedelta(seconds=18.5))[1] == pytest.approx(5.5, abs=0.2)
 
@@ -143,7 +147,7 @@
     async def go():
         d = daemon()
         d.draining = True
-        await departure.leave(d)
+        await departure.shut_down(d)
         return d.stopping.is_set()
 
     assert anyio.run(go) is False
--- a/tests/server/test_priority_queues.py
+++ b/tests/server/test_priority_queues.py
@@ -4,18 +4,23 @@
 import anyio.lowlevel
 import pytest
 
-from silverglade.http import app
+from silverglade.http import asgi
 from silverglade.runtime import structured_logging as log
 from silverglade.runtime.errors import SilvergladeError
 from silverglade.runtime.settings import checked
 from silverglade.server import priority_queues as lanes
 from silverglade.server import supervisor as tree
-from silverglade.server.daemon import BODIES, DISK, Daemon
+from silverglade.server.daemon import Daemon
+from silverglade.server.disk_writer import QUEUE_LENGTH as DISK_QUEUE_LENGTH
+from silverglade.server.limits import MAX_BUFFERED_BODY_BYTES
 from silverglade.testbed.simulator import daemons as world
 from silverglade.testbed.simulator.scenario import Scene
 from silverglade.testbed.simulator.tenant_replicas import SEC
 
 from ..http.test_http_app import http
+from .test_replica_calls import META as DISPATCH_FACTS
+
+META = dict(DISPATCH_FACTS, stream=True)
 
 
 class Quiet:
@@ -27,7 +32,7 @@
 
 def daemon(**kw):
     return Daemon(
-        lg=Quiet(),
+        logger=Quiet(),
         settings=checked(
             {
                 **dict(
@@ -44,16 +49,16 @@
         q, refused = lanes.PriorityQueues(), 0
         for i in range(1000):
             try:
-                q.knock(("order", i, ()))
+                q.admit(("order", i, ()))
             except SilvergladeError as e:
                 refused += e.code == 310
         for i in range(500):
-            await q.heard("x", ("ask", i))
-        await q.heard("x", ("hb", 1))
-        q.pulse()
-        q.pulse()
+            await q.on_message("x", ("ask", i))
+        await q.on_message("x", ("hb", 1))
+        q.fire_timer()
+        q.fire_timer()
         got = [await q.take() for _ in range(60)]
-        assert refused == 1000 - lanes.DOOR
+        assert refused == 1000 - lanes.QUEUE_LENGTHS[lanes.Queue.ADMISSION]
         assert got[:2] == [("pulse",), ("msg", "x", ("hb", 1))]
         kinds = [e[0] for e in got[2:]]
         assert 8 <= kinds.count("order") <= 15 and kinds.count("pulse") == 0  # each has its share
@@ -67,15 +72,15 @@
         q, done = lanes.PriorityQueues(), []
 
         async def fill():
-            for i in range(lanes.WORK + 1):
-                await q.heard("x", ("res", i))
+            for i in range(lanes.QUEUE_LENGTHS[lanes.Queue.WORK] + 1):
+                await q.on_message("x", ("res", i))
             done.append("work")
 
         async with anyio.create_task_group() as tg:
             tg.start_soon(fill)
             await anyio.wait_all_tasks_blocked()
             assert done == []
-            await q.heard("x", ("ping", 1))  # does not wait
+            await q.on_message("x", ("ping", 1))  # does not wait
             assert await q.take() == ("msg", "x", ("ping", 1))
             await q.take()
             await anyio.wait_all_tasks_blocked()
@@ -87,24 +92,24 @@
 def test_a_write_for_which_the_queue_has_no_room_is_told_as_failed():
     async def go():
         d = daemon()
-        async with anyio.create_task_group() as d.group:
-            for i in range(DISK + 1):
-                d.act(("disk", ("claim_follower", i), ()))
+        async with anyio.create_task_group() as d.task_group:
+            for i in range(DISK_QUEUE_LENGTH + 1):
+                d.carry_out(("disk", ("claim_follower", i), ()))
             await anyio.wait_all_tasks_blocked()
-        return d.lanes.next()
+        return d.queues.next_event()
 
-    assert anyio.run(go) == ("disk", ("claim_follower", DISK), False, None)
+    assert anyio.run(go) == ("disk", ("claim_follower", DISK_QUEUE_LENGTH), False, None)
 
 
 def test_bodies_are_held_up_to_a_bound_and_refused_beyond_it():
     async def go():
         d = daemon()
-        with d.hold(BODIES - 10), pytest.raises(SilvergladeError) as e:
-            with d.hold(11):
+        with d.reserve_body(MAX_BUFFERED_BODY_BYTES - 10), pytest.raises(SilvergladeError) as e:
+            with d.reserve_body(11):
                 pass
         assert e.value.code == 310
-        with d.hold(11):
-            return d.bodies
+        with d.reserve_body(11):
+            return d.buffered_body_bytes
 
     assert anyio.run(go) == 11
 
@@ -113,7 +118,7 @@
     """A daemon whose door refuses a head."""
 
     def __init__(self, *answer):
-        self.s, self.answer, self.read = {"operator_key": "", "name": "d"}, answer, 0
+        self.settings, self.answer, self.read = {"operator_key": "", "name": "d"}, answer, 0
 
     async def call(self, op, args):
         return self.answer
@@ -126,9 +131,9 @@
 
 
 def test_a_body_half_sent_is_given_up_in_bounded_time(monkeypatch):
-    monkeypatch.setattr(app, "BODY_SECS", 0)
+    monkeypatch.setattr(asgi, "BODY_TIMEOUT_S", 0)
     with pytest.raises(SilvergladeError) as e:
-        anyio.run(app.read, anyio.sleep_forever, {})
+        anyio.run(asgi.read_body, anyio.sleep_forever, {})
     assert e.value.code == 311
 
 
@@ -175,7 +180,7 @@
 
         flush = write
 
-    h = log.Patient(Full())
+    h = log.LossyStream(Full())
     h.write("x")
     lg = log.setup(stream=Full())
     for _ in range(3):
@@ -195,12 +200,12 @@
         if len(runs) <= falls:
             raise OSError("fell")
 
-    anyio.run(lambda: tree.keep(name="x", run=lambda: child(3), lg=Quiet()))
+    anyio.run(lambda: tree.supervise(name="x", run=lambda: child(3), logger=Quiet()))
     assert len(runs) == 4
     runs.clear()
     with pytest.raises(OSError):
-        anyio.run(lambda: tree.keep(name="x", run=lambda: child(99), lg=Quiet()))
-    assert len(runs) == tree.FEW
+        anyio.run(lambda: tree.supervise(name="x", run=lambda: child(99), logger=Quiet()))
+    assert len(runs) == tree.MAX_FAILURES
 
 
 def test_a_slow_visitor_of_a_handed_on_stream_holds_up_its_replica():
@@ -225,19 +230,19 @@
     async def go():
         d, read = daemon(), []
 
-        async def replica(*, room, **kw):
+        async def replica(*, wait_for_client, **kw):
             for i in range(3):
-                await room()
+                await wait_for_client()
                 read.append(i)
 
         monkeypatch.setattr("silverglade.server.replica_calls.dispatch", replica)
-        d.act(("ease", "o", False))
+        d.carry_out(("ease", "o", False))
         async with anyio.create_task_group() as tg:
-            tg.start_soon(d.dispatch, "o.1", "x", {}, b"")
+            tg.start_soon(d.tenant_requests.dispatch, "o.1", "x", META, b"")
             for _ in range(5):
                 await anyio.lowlevel.checkpoint()
             held = len(read)
-            d.act(("ease", "o", True))
+            d.carry_out(("ease", "o", True))
         return held, len(read)
 
     assert anyio.run(go) == (0, 3)
--- a/tests/server/test_replica_calls.py
+++ b/tests/server/test_replica_calls.py
@@ -9,6 +9,10 @@
 META = dict(tenant="t", cls="c", prefix="", due=1000, kind="model")
 
 
+def request(*, stream):
+    return callout.DispatchRequest.from_facts("o.1", "1.2.3.4:5", dict(META, stream=stream), b"{}")
+
+
 class Rsp:
     def __init__(self, status, headers, chunks, end=None):
         self.status, self.chunks, self.end = status, chunks, end
@@ -44,16 +48,14 @@
 def run(rsp, stream=False):
     said = []
 
-    async def tell(*what):
+    async def report(*what):
         said.append(what)
 
-    async def room():
+    async def wait_for_client():
         pass
 
     pool = Pool(rsp)
-    anyio.run(
-        lambda: callout.dispatch(pool=pool, did="o.1", addr="1.2.3.4:5", meta=dict(META, stream=stream), body=b"{}", tell=tell, room=room)
-    )
+    anyio.run(lambda: callout.dispatch(pool=pool, request=request(stream=stream), report=report, wait_for_client=wait_for_client))
     return said
 
 
@@ -95,9 +97,7 @@
     async def nothing(*a):
         pass
 
-    anyio.run(
-        lambda: callout.dispatch(pool=p, did="o.1", addr="1.2.3.4:5", meta=dict(META, stream=False), body=b"{}", tell=nothing, room=nothing)
-    )
+    anyio.run(lambda: callout.dispatch(pool=p, request=request(stream=False), report=nothing, wait_for_client=nothing))
     verb, url, head, body = p.sent
     assert (verb, url, body) == ("POST", "http://1.2.3.4:5/v1/run", b"{}")
     assert head["Silverglade-Dispatch"] == "o.1" and head["Silverglade-Due"] == "1000"
--- a/tests/server/test_shutdown_answers.py
+++ b/tests/server/test_shutdown_answers.py
@@ -10,11 +10,11 @@
     """Ask, wait until the part was told `word` (None: not at all), conclude, and read what comes."""
     d.draining = True
     await c.ask()
-    while not d.shell.asks:
+    while not d.forwarder.requests:
         await d.news.wait()
     if word:
         await d.heard(word)
-    d.shell.conclude()
+    d.forwarder.answer_before_shutdown()
     return await c.answer(), await c.closed()
 
 
@@ -39,7 +39,7 @@
         d.draining = True
         await c.ask()
         await rep.at_work.wait()
-        d.shell.conclude()
+        d.forwarder.answer_before_shutdown()
         return await c.answer(), await c.closed()
 
     (got, closed), d, _ = scene(script, talk)
@@ -57,7 +57,7 @@
         rep.go_on = asyncio.Event()
         await c.ask()
         await d.heard("first")
-        d.shell.conclude()
+        d.forwarder.answer_before_shutdown()
         rep.go_on.set()
         return await c.answer()
 
--- a/tests/support/scripted_replicas.py
+++ b/tests/support/scripted_replicas.py
@@ -11,6 +11,7 @@
 from silverglade.http.dialect import OWN
 from silverglade.http.forwarding_protocol import ForwardingProtocol
 from silverglade.runtime.errors import OverloadedError
+from silverglade.runtime.events import event_to_tuple
 from silverglade.server.request_forwarding import RequestForwarder
 
 SEC = timedelta(seconds=1)
@@ -107,24 +108,24 @@
     """Stands for the daemon: events go to `part`, a function from an event to effects."""
 
     def __init__(self, part, **kw):
-        self.lg, self.bodies, self.draining, self.full = Quiet(), 0, False, False
+        self.logger, self.buffered_body_bytes, self.draining, self.full = Quiet(), 0, False, False
         self.part, self.told, self.news = part, [], asyncio.Event()
-        self.lanes, self.shell = self, RequestForwarder(daemon=self, dialect=OWN, **kw)
+        self.queues, self.forwarder = self, RequestForwarder(daemon=self, dialect=OWN, **kw)
 
-    def knock(self, ev):
+    def admit(self, event):
         if self.full:
             raise OverloadedError()
-        self.feed(ev)
+        self.feed(event_to_tuple(event))
 
-    async def send(self, ev, lane="first"):
-        assert lane == "work"
-        self.feed(ev)
+    async def send(self, event, queue="first"):
+        assert queue == "work"
+        self.feed(event_to_tuple(event))
 
     def feed(self, ev):
         self.told.append(ev)
         self.news.set()
         for e in self.part(ev) or ():
-            self.shell.act(e)
+            self.forwarder.carry_out(e)
 
     async def heard(self, what):
         """Until the part was told `what` (the fourth word of "tried")."""
@@ -253,7 +254,7 @@
     d, made, state = Daemon(part, **kw), [], ServerState()
     cfg = uvicorn.Config(None, log_config=None, access_log=False, log_level="critical", date_header=False, ws="none")
     cfg.load()
-    srv = await asyncio.get_running_loop().create_server(lambda: ForwardingProtocol(cfg, state, {}, shell=d.shell), "127.0.0.1", 0)
+    srv = await asyncio.get_running_loop().create_server(lambda: ForwardingProtocol(cfg, state, {}, forwarder=d.forwarder), "127.0.0.1", 0)
 
     async def client():
         made.append(Client(*await asyncio.open_connection(*srv.sockets[0].getsockname())))
@@ -267,7 +268,7 @@
             c.w.transport.abort()
         for c in list(state.connections):
             c.transport.abort()
-        d.shell.pool.shut()
+        d.forwarder.pool.close()
 
 
 SECS = 10
--- a/tests/transport/test_framing.py
+++ b/tests/transport/test_framing.py
@@ -5,7 +5,7 @@
 import pytest
 
 from silverglade.runtime.errors import SilvergladeError
-from silverglade.server.replica_calls import events
+from silverglade.server.replica_calls import EventParser
 from silverglade.transport import framing as wire
 from silverglade.transport import message_schemas as messages
 
@@ -65,11 +65,10 @@
     rng = random.Random(9)
     raw = b"id: 1\ndata: a\ndata: b\n\nid: 2\r\ndata: c\r\n\r\nevent: done\nid: 2\ndata:\n\n"
     for _ in range(50):
-        ev, got, r = events(), [], raw
-        next(ev)
+        parser, got, r = EventParser(), [], raw
         while r:
             n = rng.randrange(1, 9)
-            got += ev.send(r[:n])
+            got += parser.feed(r[:n])
             r = r[n:]
         assert got == [("", 1, b"a\nb"), ("", 2, b"c"), ("done", 2, b"")]
 
