--- a/silverglade/cli/place.py
+++ b/silverglade/cli/place.py
@@ -1,137 +1,210 @@
-"""`silverglade place` (design 12): tenants' homes and replicas over zones, by a solver library.
+"""`silverglade place` (design 12): tenants' homes over zones, by a solver library.
 
 The result is a configuration to be reviewed and put by the operator; nothing is changed here.
 """
 
+from __future__ import annotations
+
+import argparse
 import json
+from typing import Any
 
-from ..configuration import schema as cf
-from ..configuration import validation as c
+from ..configuration.schema import parse_configuration
+from ..configuration.validation import integer, list_of, mapping_of, one_of, record, text, validate
 from ..runtime.errors import InvalidConfigurationError, InvalidConstraintsError, NoPlacementError
 
-SPEC = c.record(
+SOLVER_TIMEOUT_S = 20.0
+LOAD_SCALE = 1000
+"""Loads are whole numbers in the model: in thousandths."""
+
+MAX_USE = 10**12
+
+Constraints = dict[str, Any]
+"""A constraints file, checked against `SPECIFICATION`."""
+
+SPECIFICATION = record(
     {
-        "zones": c.mapping_of(c.record({"region": c.text(), "capacity": c.integer(most=100000)}), least=1),
-        "tenants": c.mapping_of(
-            c.record(
+        "zones": mapping_of(record({"region": text(), "capacity": integer(most=100000)}), least=1),
+        "tenants": mapping_of(
+            record(
                 {
-                    "burden": c.integer(default=1, least=1, most=100000),
-                    "homes": c.integer(default=2, least=1, most=50),
-                    "regions": c.integer(default=1, least=1, most=50),
-                    "keep": c.list_of(c.text(), default=(), unique=True),
-                    "avoid": c.list_of(c.text(), default=(), unique=True),
+                    "burden": integer(default=1, least=1, most=100000),
+                    "homes": integer(default=2, least=1, most=50),
+                    "regions": integer(default=1, least=1, most=50),
+                    "keep": list_of(text(), default=(), unique=True),
+                    "avoid": list_of(text(), default=(), unique=True),
                 }
             ),
             least=1,
         ),
-        "apart": c.list_of(c.list_of(c.text(), least=2, unique=True), default=()),
-        "survive": c.one_of("none", "zone", "region", default="zone"),
+        "apart": list_of(list_of(text(), least=2, unique=True), default=()),
+        "survive": one_of("none", "zone", "region", default="zone"),
     }
 )
 
 
-def checked(raw):
-    out, bad = c.validate(SPEC, raw)
-    bad = list(bad)
-    for t, d in out["tenants"].items() if not bad else ():
-        for k in ("keep", "avoid"):
-            bad += [(f"tenants.{t}.{k}", f"unknown zone {z}") for z in d[k] if z not in out["zones"]]
-    if not bad:
-        bad += [(f"apart[{i}]", f"unknown tenant {t}") for i, g in enumerate(out["apart"]) for t in g if t not in out["tenants"]]
-    if bad:
-        raise InvalidConstraintsError("; ".join(f"{p}: {s}" for p, s in bad))
-    return out
+def checked(raw: Any) -> Constraints:
+    """Return checked constraints.
+
+    :raises InvalidConstraintsError: they have faults; all are named.
+    """
+    constraints: Constraints
+    constraints, found = validate(SPECIFICATION, raw)
+    faults = list(found) or _unknown_zones(constraints) or _unknown_tenants(constraints)
+    if faults:
+        raise InvalidConstraintsError("; ".join(f"{path}: {what}" for path, what in faults))
+    return constraints
+
+
+def _unknown_zones(constraints: Constraints) -> list[tuple[str, str]]:
+    return [
+        (f"tenants.{tenant}.{field}", f"unknown zone {zone}")
+        for tenant, wanted in constraints["tenants"].items()
+        for field in ("keep", "avoid")
+        for zone in wanted[field]
+        if zone not in constraints["zones"]
+    ]
+
+
+def _unknown_tenants(constraints: Constraints) -> list[tuple[str, str]]:
+    return [
+        (f"apart[{position}]", f"unknown tenant {tenant}")
+        for position, group in enumerate(constraints["apart"])
+        for tenant in group
+        if tenant not in constraints["tenants"]
+    ]
+
+
+class PlacementModel:
+    """The constraints as a model of the solver.
+
+    :param explains: each constraint hangs on an assumption, to find which of them conflict.
+    :ivar is_home: (tenant, zone) -> whether the zone is a home of the tenant, a variable.
+    :ivar reasons: index of an assumption -> the constraint that hangs on it.
+    """
+
+    def __init__(self, constraints: Constraints, *, explains: bool) -> None:
+        from ortools.sat.python import cp_model
+
+        self.model = cp_model.CpModel()
+        self.reasons: dict[int, str] = {}
+        self._explains = explains
+        self._zones: dict[str, dict[str, Any]] = constraints["zones"]
+        self._tenants: dict[str, dict[str, Any]] = constraints["tenants"]
+        self.is_home = {(tenant, zone): self.model.new_bool_var(f"{tenant}@{zone}") for tenant in self._tenants for zone in self._zones}
+        for tenant in self._tenants:
+            self._add_homes(tenant)
+        for group in constraints["apart"]:
+            self._add_group_apart(group)
+        self._add_loads(survives_loss=constraints["survive"] != "none")
+
+    def _add(self, reason: str, constraint: Any) -> None:
+        """Let a constraint hang on an assumption, if conflicts are looked for."""
+        if self._explains:
+            assumption = self.model.new_bool_var(reason)
+            self.reasons[assumption.index] = reason
+            constraint.only_enforce_if(assumption)
+            self.model.add_assumption(assumption)
+
+    def _add_homes(self, tenant: str) -> None:
+        """One tenant: the number of its homes, zones to keep or avoid, the number of its regions."""
+        wanted, model, is_home = self._tenants[tenant], self.model, self.is_home
+        homes = [is_home[tenant, zone] for zone in self._zones]
+        self._add(f"{tenant} wants {wanted['homes']} homes", model.add(sum(homes) == wanted["homes"]))
+        for zone in wanted["keep"]:
+            self._add(f"{tenant} keeps {zone}", model.add(is_home[tenant, zone] == 1))
+        for zone in wanted["avoid"]:
+            self._add(f"{tenant} avoids {zone}", model.add(is_home[tenant, zone] == 0))
+        zones_by_region: dict[str, list[str]] = {}
+        for zone, row in self._zones.items():
+            zones_by_region.setdefault(row["region"], []).append(zone)
+        in_region = {region: model.new_bool_var(f"{tenant}#{region}") for region in zones_by_region}
+        for region, zones in zones_by_region.items():
+            model.add_max_equality(in_region[region], [is_home[tenant, zone] for zone in zones])
+        self._add(f"{tenant} wants {wanted['regions']} regions", model.add(sum(in_region.values()) >= wanted["regions"]))
+
+    def _add_group_apart(self, group: list[str]) -> None:
+        """No two tenants of a group share a zone."""
+        for zone in self._zones:
+            constraint = self.model.add(sum(self.is_home[tenant, zone] for tenant in group) <= 1)
+            self._add(f"{' and '.join(group)} apart in {zone}", constraint)
+
+    def _add_loads(self, *, survives_loss: bool) -> None:
+        """Each zone's capacity, and the fullest zone as empty as can be.
+
+        A tenant's load is shared by its homes, and carried by the rest when one is lost.
+        """
+        shares = {}
+        for tenant, wanted in self._tenants.items():
+            carriers = max(1, wanted["homes"] - (survives_loss and wanted["homes"] > 1))
+            shares[tenant] = -(-wanted["burden"] * LOAD_SCALE // carriers)
+        loads = {zone: sum(shares[tenant] * self.is_home[tenant, zone] for tenant in self._tenants) for zone in self._zones}
+        for zone, row in self._zones.items():
+            self._add(f"capacity of {zone}", self.model.add(loads[zone] <= row["capacity"] * LOAD_SCALE))
+        highest_use = self.model.new_int_var(0, MAX_USE, "top")
+        for zone, row in self._zones.items():
+            self.model.add(loads[zone] * 1000 <= highest_use * max(1, row["capacity"]))
+        if not self._explains:
+            self.model.minimize(highest_use)
+
+
+def solve(constraints: Constraints, *, seconds: float = SOLVER_TIMEOUT_S) -> dict[str, list[str]]:
+    """Return each tenant's homes, in their order.
+
+    :raises NoPlacementError: the constraints that it names cannot stand together, or no placement was found in time.
+    """
+    from ortools.sat.python import cp_model
+
+    solver = cp_model.CpSolver()
+    solver.parameters.max_time_in_seconds = seconds
+    solver.parameters.num_workers = 1
+    solver.parameters.random_seed = 1
+    placement = PlacementModel(constraints, explains=False)
+    if solver.solve(placement.model) in (cp_model.OPTIMAL, cp_model.FEASIBLE):
+        return {tenant: _homes_in_order(constraints, tenant, solver, placement) for tenant in constraints["tenants"]}
+    placement = PlacementModel(constraints, explains=True)
+    solver.solve(placement.model)
+    conflict = [placement.reasons[index] for index in solver.sufficient_assumptions_for_infeasibility() if index in placement.reasons]
+    raise NoPlacementError("; ".join(sorted(set(conflict))) or "no placement was found in time")
 
 
-def model(spec, *, soft):
-    """The constraints as a model. soft: each group hangs on a literal, to find who conflicts."""
-    from ortools.sat.python import cp_model
+def _homes_in_order(constraints: Constraints, tenant: str, solver: Any, placement: PlacementModel) -> list[str]:
+    """Return a tenant's homes: those to keep first, then by capacity, then by name."""
+    capacities = {zone: row["capacity"] for zone, row in constraints["zones"].items()}
+    homes = [zone for zone in capacities if solver.value(placement.is_home[tenant, zone])]
+    kept = constraints["tenants"][tenant]["keep"]
+    return sorted(homes, key=lambda zone: (zone not in kept, -capacities[zone], zone))
+
+
+def add_parsers(subparsers: Any) -> None:
+    """Add the command to the command line."""
+    parser = subparsers.add_parser("place", help="solve placements from a constraints file")
+    parser.add_argument("file")
+    parser.add_argument("--config", default="", help="a configuration whose tenants get the homes found")
 
-    m, names = cp_model.CpModel(), {}
-    zs, ts = spec["zones"], spec["tenants"]
-    x = {(t, z): m.new_bool_var(f"{t}@{z}") for t in ts for z in zs}
-
-    def hold(why, con):
-        if soft:
-            lit = m.new_bool_var(why)
-            names[lit.index] = why
-            con.only_enforce_if(lit)
-            m.add_assumption(lit)
-
-    for t, d in ts.items():
-        hold(f"{t} wants {d['homes']} homes", m.add(sum(x[t, z] for z in zs) == d["homes"]))
-        for z in d["keep"]:
-            hold(f"{t} keeps {z}", m.add(x[t, z] == 1))
-        for z in d["avoid"]:
-            hold(f"{t} avoids {z}", m.add(x[t, z] == 0))
-        gs = {}
-        for z, zd in zs.items():
-            g = zd["region"]
-            gs.setdefault(g, m.new_bool_var(f"{t}#{g}"))
-        for g, b in gs.items():
-            m.add_max_equality(b, [x[t, z] for z in zs if zs[z]["region"] == g])
-        hold(f"{t} wants {d['regions']} regions", m.add(sum(gs.values()) >= d["regions"]))
-    for group in spec["apart"]:
-        for z in zs:
-            hold(f"{' and '.join(group)} apart in {z}", m.add(sum(x[t, z] for t in group) <= 1))
-    # each tenant's burden shared by its homes, and carried by the rest when one is lost
-    share = {t: -(-d["burden"] * 1000 // max(1, d["homes"] - (spec["survive"] != "none" and d["homes"] > 1))) for t, d in ts.items()}
-    for z, d in zs.items():
-        hold(f"capacity of {z}", m.add(sum(share[t] * x[t, z] for t in ts) <= d["capacity"] * 1000))
-    top = m.new_int_var(0, 10**12, "top")
-    for z, d in zs.items():  # the fullest zone as empty as can be
-        m.add(sum(share[t] * x[t, z] for t in ts) * 1000 <= top * max(1, d["capacity"]))
-    if not soft:
-        m.minimize(top)
-    return m, x, names
-
-
-def solve(spec, *, seconds=20.0):
-    """-> {tenant: homes}; Fault 704 names the constraints that cannot stand together."""
-    from ortools.sat.python import cp_model
 
-    s = cp_model.CpSolver()
-    s.parameters.max_time_in_seconds = seconds
-    s.parameters.num_workers = 1
-    s.parameters.random_seed = 1
-    m, x, _ = model(spec, soft=False)
-    st = s.solve(m)
-    if st in (cp_model.OPTIMAL, cp_model.FEASIBLE):
-        cap = {z: d["capacity"] for z, d in spec["zones"].items()}
-        return {
-            t: sorted((z for z in cap if s.value(x[t, z])), key=lambda z: (z not in spec["tenants"][t]["keep"], -cap[z], z))
-            for t in spec["tenants"]
-        }
-    m, _, names = model(spec, soft=True)
-    st = s.solve(m)
-    core = [names[i] for i in s.sufficient_assumptions_for_infeasibility() if i in names]
-    raise NoPlacementError("; ".join(sorted(set(core))) or "no placement was found in time")
-
-
-def parsers(sub):
-    p = sub.add_parser("place", help="solve placements from a constraints file")
-    p.add_argument("file")
-    p.add_argument("--config", default="", help="a configuration whose tenants get the homes found")
-
-
-def run(a):
+def _load(path: str) -> Any:
     try:
-        with open(a.file, encoding="utf-8") as f:
-            raw = json.load(f)
-        base = json.load(open(a.config, encoding="utf-8")) if a.config else None
-    except (OSError, ValueError) as e:
-        raise InvalidConstraintsError(str(e)) from e
-    spec = checked(raw)
-    homes = solve(spec)
-    if base is None:
+        with open(path, encoding="utf-8") as file:
+            return json.load(file)
+    except (OSError, ValueError) as error:
+        raise InvalidConstraintsError(str(error)) from error
+
+
+def run(arguments: argparse.Namespace) -> int:
+    """Solve a constraints file and print the homes, or a configuration with them."""
+    raw = _load(arguments.file)
+    configuration = _load(arguments.config) if arguments.config else None
+    homes = solve(checked(raw))
+    if configuration is None:
         print(json.dumps({"homes": homes}, indent=1, sort_keys=True))
         return 0
-    for t, h in homes.items():
-        if t not in base.get("tenants", {}):
-            raise InvalidConstraintsError(f"the configuration has no tenant {t}")
-        base["tenants"][t]["homes"] = h
-    _, bad = cf.parse_configuration(base)
-    if bad:
-        raise InvalidConfigurationError("; ".join(f"{p}: {s}" for p, s in bad))
-    print(json.dumps(base, indent=1, sort_keys=True))
+    for tenant, zones in homes.items():
+        if tenant not in configuration.get("tenants", {}):
+            raise InvalidConstraintsError(f"the configuration has no tenant {tenant}")
+        configuration["tenants"][tenant]["homes"] = zones
+    _, faults = parse_configuration(configuration)
+    if faults:
+        raise InvalidConfigurationError("; ".join(f"{path}: {what}" for path, what in faults))
+    print(json.dumps(configuration, indent=1, sort_keys=True))
     return 0
--- a/silverglade/cli/restore.py
+++ b/silverglade/cli/restore.py
@@ -1,49 +1,70 @@
 """`silverglade restore` (design 5.8): the operator's deliberate way when two cores are lost.
 
-Works on the stopped core's folder. It makes that core the sole source: its store is kept, the
-register is set to a view of a far higher epoch with fresh partners, which must come up empty.
+Works on the stopped core's folder. It makes that core the sole source: its store is kept, the register is set to a view of a far
+higher epoch with fresh partners, which must come up empty.
 """
 
-from ..control import register as rg
+from __future__ import annotations
+
+import argparse
+from collections.abc import Mapping
+from contextlib import closing
+from typing import Any
+
+from ..control import register
 from ..control.view import Ballot, View
+from ..runtime.effects import DiskOperation
 from ..runtime.errors import InvalidCallError
 from ..server.disk import DataFolder
 
-LEAP = 1000
+EPOCH_LEAP = 1000
+"""The new view's epoch, and the promised ballot's number, lie so far above all that were known."""
+
+CoreOnDisk = tuple[str, str]
+"""A core's name and its disk's id."""
+
+
+def add_parsers(subparsers: Any) -> None:
+    """Add the command to the command line."""
+    parser = subparsers.add_parser("restore", help="rebuild control from the one core that is left (stopped)")
+    parser.add_argument("--data", required=True, help="the data folder of the core that is left")
+    parser.add_argument("--name", required=True, help="its name")
+    parser.add_argument("--partner", required=True, help="CORE=DISK of an emptied core, as its log's start line says")
+    parser.add_argument("--third", required=True, help="CORE=DISK of the other emptied core")
+    parser.add_argument("--yes", action="store_true", help="changes acknowledged by the lost cores alone may be gone")
+
 
+def plan(
+    saved: Mapping[str, Mapping[str, Any]], *, name: str, disk: str, partner: CoreOnDisk, third: CoreOnDisk
+) -> tuple[list[DiskOperation], int]:
+    """Return the writes that make this core primary of a new view, and that view's epoch."""
+    known = register.read(saved["meta"])
+    epoch = max(register.epoch(known.view), register.epoch(known.base), saved["meta"].get("recruited", 0)) + EPOCH_LEAP
+    view = View(epoch, name, (partner[0],), tuple(sorted([(name, disk), partner, third])))
+    restored = register.Register(promised=Ballot(known.promised.number + EPOCH_LEAP, name), base=view)
+    return [("put", "meta", "reg", restored.stored()), ("put", "meta", "recruited", epoch)], epoch
 
-def parsers(sub):
-    p = sub.add_parser("restore", help="rebuild control from the one core that is left (stopped)")
-    p.add_argument("--data", required=True, help="the data folder of the core that is left")
-    p.add_argument("--name", required=True, help="its name")
-    p.add_argument("--partner", required=True, help="CORE=DISK of an emptied core, as its log's start line says")
-    p.add_argument("--third", required=True, help="CORE=DISK of the other emptied core")
-    p.add_argument("--yes", action="store_true", help="changes acknowledged by the lost cores alone may be gone")
 
+def parse_core(text: str) -> CoreOnDisk:
+    """Return a core and its disk, given as CORE=DISK.
 
-def plan(saved, *, name, disk, partner, third):
-    """-> the writes that make this core primary of a new view."""
-    reg = rg.read(saved["meta"])
-    e = max(rg.epoch(reg.view), rg.epoch(reg.base), saved["meta"].get("recruited", 0)) + LEAP
-    new = View(e, name, (partner[0],), tuple(sorted([(name, disk), partner, third])))
-    reg = rg.Register(promised=Ballot(reg.promised.number + LEAP, name), base=new)
-    return [("put", "meta", "reg", reg.stored()), ("put", "meta", "recruited", e)], e
+    :raises InvalidCallError: it has another form.
+    """
+    core, _, disk = text.partition("=")
+    if not core or not disk:
+        raise InvalidCallError(f"{text}: wants CORE=DISK")
+    return core, disk
 
 
-def run(a):
-    pair = []
-    for s in (a.partner, a.third):
-        c, _, d = s.partition("=")
-        if not c or not d:
-            raise InvalidCallError(f"{s}: wants CORE=DISK")
-        pair.append((c, d))
-    if len({a.name, pair[0][0], pair[1][0]}) != 3:
+def run(arguments: argparse.Namespace) -> int:
+    """Restore control on the folder that is named."""
+    partner, third = parse_core(arguments.partner), parse_core(arguments.third)
+    if len({arguments.name, partner[0], third[0]}) != 3:
         raise InvalidCallError("three different cores are wanted")
-    if not a.yes:
+    if not arguments.yes:
         raise InvalidCallError("say --yes: this overrides the other two cores")
-    s = DataFolder(folder=a.data, name=a.name)
-    ops, e = plan(s.load(), name=a.name, disk=s.id, partner=pair[0], third=pair[1])
-    s.write(ops)
-    s.close()
-    print(f"view {e}: {a.name} primary, {pair[0][0]} backup; start this core, then the two empty ones")
+    with closing(DataFolder(folder=arguments.data, name=arguments.name)) as data_folder:
+        operations, epoch = plan(data_folder.load(), name=arguments.name, disk=data_folder.id, partner=partner, third=third)
+        data_folder.write(operations)
+    print(f"view {epoch}: {arguments.name} primary, {partner[0]} backup; start this core, then the two empty ones")
     return 0
