--- a/tests/configuration/test_bad_input.py
+++ b/tests/configuration/test_bad_input.py
@@ -28,7 +28,7 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent.parent / "platform"))
 
-import faces  # noqa: E402
+import api  # noqa: E402
 import words  # noqa: E402
 
 from ..system.test_platform import CONFIG, ZONES  # noqa: E402
@@ -59,7 +59,7 @@
         sent.append(m)
 
     fields = [(k.lower().encode(), v.encode()) for k, v in head]
-    anyio.run(faces.app(d, Place), {"type": "http", "method": "POST", "path": path, "headers": fields}, receive, send)
+    anyio.run(api.app(d, Place), {"type": "http", "method": "POST", "path": path, "headers": fields}, receive, send)
     return (sent[0]["status"], json.loads(sent[1]["body"])) if sent else None
 
 
@@ -276,7 +276,7 @@
                 got.append(m["type"])
 
             with anyio.move_on_after(0.05) as scope:
-                await faces.app(d, Place)(
+                await api.app(d, Place)(
                     {"type": "http", "method": "POST", "path": words.EVACUATION + "z1/begin", "headers": []}, hear, send
                 )
             return scope.cancelled_caught
--- a/tests/system/test_platform.py
+++ b/tests/system/test_platform.py
@@ -15,8 +15,8 @@
 TOP = pathlib.Path(__file__).parent.parent.parent
 sys.path.insert(0, str(TOP / "platform"))
 
-import faces  # noqa: E402
-import listing  # noqa: E402
+import api  # noqa: E402
+import endpoint_list  # noqa: E402
 import settings  # noqa: E402
 import words  # noqa: E402
 
@@ -139,7 +139,7 @@
 def translated(raw):
     """What an operator's text comes to: the product's configuration, or None for one that is not taken."""
     try:
-        got, bad = config.parse_configuration(faces.configuration(raw, ZONES))
+        got, bad = config.parse_configuration(api.configuration(raw, ZONES))
     except (ValueError, KeyError, TypeError, AttributeError):
         return None
     return None if bad else got
@@ -155,7 +155,7 @@
 
 
 def test_what_was_checked_passes_again():
-    for raw in (faces.configuration(CONFIG, ZONES), dict(zones={"z": {"region": "g"}}, tenants={})):
+    for raw in (api.configuration(CONFIG, ZONES), dict(zones={"z": {"region": "g"}}, tenants={})):
         got, bad = config.parse_configuration(raw)
         assert not bad and config.parse_configuration(got) == (got, ())
 
@@ -225,11 +225,11 @@
 def test_the_list_is_read_whole_or_not_at_all(tmp_path):
     _, place = settings.checked(file(tmp_path))
     rows = [entry(i) for i in range(7)] + [entry(7, phase="draining", remaining_ms=1500, cold_left_ms=20)]
-    got = anyio.run(listing.read, pages(rows, 3), place)
+    got = anyio.run(endpoint_list.read, pages(rows, 3), place)
     assert len(got) == 8 and got[0] == ("i-0", "10.9.0.0:80", "z2", "g2", "s", 64, False, 0, -1)
     assert got[7] == ("i-7", "10.9.0.7:80", "z2", "g2", "s", 64, True, 20, 1500)
     for at in (0, 3, 6):
-        assert anyio.run(listing.read, pages(rows, 3, broken=at), place) is None
+        assert anyio.run(endpoint_list.read, pages(rows, 3, broken=at), place) is None
     rng = random.Random(3)
     for _ in range(200):  # cut short or spoilt: none, never half of it
         text = bytearray(json.dumps({"replicas": rows[:3], "next_token": None}).encode())
@@ -238,7 +238,7 @@
         async def get(addr, path, text=bytes(text)):
             return 200, text
 
-        assert anyio.run(listing.read, get, place) is None
+        assert anyio.run(endpoint_list.read, get, place) is None
 
 
 def own_words():
