--- /dev/null
+++ b/silverglade/runtime/daemon_components.py
@@ -0,0 +1,154 @@
+"""Which components a daemon has, and with what each begins (docs/architecture.md)."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Mapping
+from typing import Any, NamedTuple
+
+from ..autoscaling.service_scaler import ServiceScaler
+from ..autoscaling.tenant_scaler import TenantScaler
+from ..configuration.operator_api import OperatorApi
+from ..configuration.updater import Updater
+from ..control.core import core
+from ..control.role_assigner import RoleAssigner
+from ..membership.core_table import CoreTable
+from ..membership.member import Membership
+from ..membership.zone_relay import ZoneRelay
+from ..replicas.registry import ReplicaRegistry
+from ..replicas.slot_leases import SlotLeases
+from ..routing.endpoint_list import catalog
+from ..routing.router import forward
+from ..tenant_requests.ingress import TenantIngress
+from ..tenant_shards.follower import ClaimFollower
+from ..tenant_shards.owner import ShardOwner
+from .components import Component
+from .effects import start
+from .state_machine import MachineComponent, StateMachine
+
+
+class DaemonIdentity(NamedTuple):
+    """Who a daemon is and where it is found.
+
+    :ivar process_id: the id of this process.
+    :ivar peer_address: where it listens for other daemons, HOST:PORT.
+    :ivar http_address: where it serves the product's own API, HOST:PORT.
+    """
+
+    name: str
+    process_id: str
+    zone: str
+    region: str
+    peer_address: str
+    http_address: str
+
+
+def build_components(
+    *,
+    identity: DaemonIdentity,
+    seeds: tuple[str, ...],
+    first_cores: tuple[str, ...],
+    tuning: Mapping[str, Any],
+    rng: random.Random,
+    disk: str,
+    saved: Mapping[str, Mapping[str, Any]],
+    reads_endpoint_list: bool,
+    tolerance: tuple[int, int, int],
+    may_form_first_view: bool,
+) -> dict[str, Any]:
+    """Make the components of a daemon, ready to be sent events, by their names (`Component`).
+
+    A timer event reaches them in this order. The control core is made first, since it draws from `rng` before the others do.
+    """
+    core_components = (
+        _core_components(identity, seeds, first_cores, tuning, rng, disk, saved, tolerance, may_form_first_view) if disk else {}
+    )
+    components = _common_components(identity, seeds, tuning, rng, bool(disk), reads_endpoint_list)
+    if disk:
+        components.update(core_components)
+    else:
+        components[Component.ZONE_RELAY] = MachineComponent(ZoneRelay(zone=identity.zone, tuning=tuning))
+    for component in components.values():
+        start(component)
+    return components
+
+
+def _common_components(
+    identity: DaemonIdentity,
+    seeds: tuple[str, ...],
+    tuning: Mapping[str, Any],
+    rng: random.Random,
+    is_core: bool,
+    reads_endpoint_list: bool,
+) -> dict[str, Any]:
+    """The components that every daemon has."""
+    name, zone, region = identity.name, identity.zone, identity.region
+    membership = Membership(
+        name=name,
+        process_id=identity.process_id,
+        zone=zone,
+        region=region,
+        peer_address=identity.peer_address,
+        http_address=identity.http_address,
+        is_core=is_core,
+        tuning=tuning,
+    )
+    updater = Updater(
+        own_name=name,
+        zone=zone,
+        region=region,
+        is_core=is_core,
+        own_address=identity.peer_address,
+        seeds=seeds,
+        tuning=tuning,
+        rng=rng,
+    )
+    machines: dict[Component, StateMachine] = {
+        Component.MEMBERSHIP: membership,
+        Component.REPLICA_REGISTRY: ReplicaRegistry(is_core=is_core, tuning=tuning),
+        Component.UPDATER: updater,
+        Component.SLOT_LEASES: SlotLeases(own_name=name, tuning=tuning),
+        Component.SHARD_OWNER: ShardOwner(own_name=name, zone=zone, tuning=tuning),
+        Component.TENANT_INGRESS: TenantIngress(own_name=name, process_id=identity.process_id, zone=zone, tuning=tuning),
+    }
+    components: dict[str, Any] = {component: MachineComponent(machine) for component, machine in machines.items()}
+    components[Component.ROUTER] = forward(me=name, region=region, opt=tuning)
+    components[Component.ENDPOINT_LIST] = catalog(me=name, region=region, lists=reads_endpoint_list, opt=tuning)
+    components[Component.SERVICE_SCALER] = MachineComponent(ServiceScaler(region=region, tuning=tuning))
+    components[Component.TENANT_SCALER] = MachineComponent(TenantScaler(region=region, tuning=tuning))
+    components[Component.OPERATOR_API] = MachineComponent(OperatorApi(own_name=name, tuning=tuning, rng=rng))
+    return components
+
+
+def _core_components(
+    identity: DaemonIdentity,
+    seeds: tuple[str, ...],
+    first_cores: tuple[str, ...],
+    tuning: Mapping[str, Any],
+    rng: random.Random,
+    disk: str,
+    saved: Mapping[str, Mapping[str, Any]],
+    tolerance: tuple[int, int, int],
+    may_form_first_view: bool,
+) -> dict[str, Any]:
+    """The components that only a daemon with a disk has."""
+    control = core(
+        me=identity.name,
+        disk=disk,
+        cores=first_cores,
+        saved=saved,
+        opt=tuning,
+        rng=rng,
+        place=(identity.zone, identity.region),
+        tolerance=tolerance,
+        first=may_form_first_view,
+    )
+    core_table = CoreTable(
+        name=identity.name, process_id=identity.process_id, peer_address=identity.peer_address, seeds=seeds, tuning=tuning
+    )
+    return {
+        Component.CONTROL: control,
+        Component.CORE_TABLE: MachineComponent(core_table),
+        Component.ROLE_ASSIGNER: MachineComponent(RoleAssigner(tuning=tuning)),
+        Component.CLAIM_FOLLOWER: MachineComponent(ClaimFollower(own_name=identity.name, saved=saved, tuning=tuning)),
+    }
--- a/tests/configuration/test_bad_input.py
+++ b/tests/configuration/test_bad_input.py
@@ -28,7 +28,7 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent.parent / "platform"))
 
-import faces  # noqa: E402
+import api  # noqa: E402
 import words  # noqa: E402
 
 from ..system.test_platform import CONFIG, ZONES  # noqa: E402
@@ -42,7 +42,7 @@
 
 
 class Control(Daemon):
-    def change(self):
+    def new_change_id(self):
         return "minted"
 
 
@@ -59,7 +59,7 @@
         sent.append(m)
 
     fields = [(k.lower().encode(), v.encode()) for k, v in head]
-    anyio.run(faces.app(d, Place), {"type": "http", "method": "POST", "path": path, "headers": fields}, receive, send)
+    anyio.run(api.app(d, Place), {"type": "http", "method": "POST", "path": path, "headers": fields}, receive, send)
     return (sent[0]["status"], json.loads(sent[1]["body"])) if sent else None
 
 
@@ -219,7 +219,7 @@
         return
     assert got == Acknowledged((1, 1))
     for body in frames(store, items):
-        assert wire.decode_frame(wire.encode_frame(frm="a", life="l", body=body)[4:])[2] == wire.lists_to_tuples(body)
+        assert wire.decode_frame(wire.encode_frame(sender="a", process_id="l", body=body)[4:])[2] == wire.lists_to_tuples(body)
 
 
 def test_a_configuration_at_the_bodys_limit_is_taken_and_the_next_one_too(monkeypatch):
@@ -231,14 +231,14 @@
     got, _ = change(store, "d", TableChange(1, 2, dict(raw, number=2), "t"), number=2)
     assert got == Acknowledged((1, 2))
     monkeypatch.setattr(wire, "MAX_FRAME_BYTES", 3 << 20)  # smaller frames: refused, with the one in force untouched
-    monkeypatch.setattr(wire, "WIDE", 6 << 20)
+    monkeypatch.setattr(wire, "MAX_DECOMPRESSED_BYTES", 6 << 20)
     got, items = change(store, "e", TableChange(1, 3, dict(raw, number=3), "t"), number=3)
     assert got == Refused(513, "") and not items
 
 
 def test_what_fits_no_frame_is_refused_at_the_door_with_413(monkeypatch):
     monkeypatch.setattr(wire, "MAX_FRAME_BYTES", 3 << 20)
-    monkeypatch.setattr(wire, "WIDE", 6 << 20)
+    monkeypatch.setattr(wire, "MAX_DECOMPRESSED_BYTES", 6 << 20)
     d = Control()
     status, got = replaced(d, changed(routes=[dict(CONFIG["routes"][1], name="x" * 200, path_prefix=f"/{i}/") for i in range(9000)]))
     assert (status, got["code"]) == (413, 513) and d.said == []
@@ -246,8 +246,8 @@
 
 def test_a_message_that_cannot_be_packed_is_logged_and_the_daemon_lives():
     lg = Quiet()
-    links = PeerConnections(me="a", life="l", addr="127.0.0.1:1", heard=None, lg=lg)
-    links.at["b"], links.group = "127.0.0.1:2", type("Group", (), {"start_soon": lambda self, *a: None})()
+    links = PeerConnections(own_name="a", process_id="l", address="127.0.0.1:1", on_message=None, logger=lg)
+    links.addresses["b"], links.task_group = "127.0.0.1:2", type("Group", (), {"start_soon": lambda self, *a: None})()
     deep = []
     for _ in range(3000):
         deep = [deep]
@@ -264,12 +264,12 @@
     lanes = PriorityQueues()
 
     class Waiting(Control):
-        n, calls = 0, {}
+        _id_count, pending_calls = 0, {}
         call = Real.call
 
     for receive in ([], [{"type": "http.disconnect"}]):
         d = Waiting()
-        d.lanes = lanes
+        d.queues = lanes
         got = []
 
         async def play(d=d, receive=receive, got=got):
@@ -282,13 +282,13 @@
                 got.append(m["type"])
 
             with anyio.move_on_after(0.05) as scope:
-                await faces.app(d, Place)(
+                await api.app(d, Place)(
                     {"type": "http", "method": "POST", "path": words.EVACUATION + "z1/begin", "headers": []}, hear, send
                 )
             return scope.cancelled_caught
 
         assert anyio.run(play) is not bool(receive) and got == []
-    events = [lanes.next() for _ in range(3)]
+    events = [lanes.next_event() for _ in range(3)]
     assert [e and e[0] for e in events] == ["call", "call-gone", None]  # of the one that left at once nothing was begun
 
 
--- a/tests/http/test_http_app.py
+++ b/tests/http/test_http_app.py
@@ -16,13 +16,17 @@
     """Stands for the daemon: scripted results and replies."""
 
     def __init__(self, results=(), reply=(100, {}), key=""):
-        self.s = {"operator_key": key, "replica_key": "", "platform_key": "", "name": "d"}
+        self.settings = {"operator_key": key, "replica_key": "", "platform_key": "", "name": "d"}
         self.results, self.said, self.reply, self.left = results, [], reply, []
 
-    def oid(self):
+    @property
+    def tenant_requests(self):
+        return self
+
+    def new_request_id(self):
         return "o1"
 
-    async def order(self, oid, spec):
+    def submit(self, oid, spec):
         self.said.append(spec)
         w, r = anyio.create_memory_object_stream(64)
         for x in self.results:
@@ -31,13 +35,13 @@
         return r
 
     @contextlib.contextmanager
-    def hold(self, size):
+    def reserve_body(self, size):
         yield
 
-    async def drained(self, oid, n):
+    async def acknowledge(self, oid, n):
         self.left.append((oid, n))
 
-    async def gone(self, oid):
+    async def abandon(self, oid):
         self.left.append(oid)
 
     async def call(self, op, args):
@@ -84,10 +88,9 @@
 
 def test_a_stream_ends_in_done_or_in_a_fault_and_an_unclean_close():
     st, _, b, clean = http(Daemon([("key", "k", True), ("piece", 1, b"a\nb"), ("done", 1)]), "POST", "/v1/orders/c")
-    ev = callout.events()
-    next(ev)
+    parser = callout.EventParser()
     assert (st, clean) == (200, True)
-    assert ev.send(b) == (("", 1, b"a\nb"), ("done", 1, b""))
+    assert parser.feed(b) == (("", 1, b"a\nb"), ("done", 1, b""))
     st, _, b, clean = http(Daemon([("piece", 1, b"a"), ("fault", 404, "yes", None)]), "POST", "/v1/orders/c")
     assert st == 200 and not clean and b"event: done" not in b
     assert json.loads(b.split(b"data: ")[-1]) == {"code": 404, "name": "broken-stream", "ran": "yes", "retry_after": None}
@@ -177,30 +180,40 @@
 
 
 def test_a_bad_frame_closes_its_connection_is_logged_and_nothing_else():
-    good = wire.encode_frame(frm="a", life="l", body=("ping", 1, ()))
-    later = wire.HEAD.pack(len(good) + 9) + wire.ormsgpack.packb(
+    good = wire.encode_frame(sender="a", process_id="l", body=("ping", 1, ()))
+    later = wire.FRAME_HEADER.pack(len(good) + 9) + wire.ormsgpack.packb(
         (wire.WIRE_VERSION, "a", "l", ("ping", 2, ()), "more from a later version")
     )
     for bad, code in (
-        (wire.HEAD.pack(1 << 30), 602),
-        (wire.HEAD.pack(1) + b"\xc1", 601),
-        (wire.encode_frame(frm="a", life="l", body=("x",), version=7), 603),
+        (wire.FRAME_HEADER.pack(1 << 30), 602),
+        (wire.FRAME_HEADER.pack(1) + b"\xc1", 601),
+        (wire.encode_frame(sender="a", process_id="l", body=("x",), version=7), 603),
     ):
         put, got = anyio.create_memory_object_stream(8)
         ln, lg = Line([good[:5], good[5:], bad, good]), Log()
-        anyio.run(PeerConnections(me="b", life="l", addr="x", heard=lambda frm, body: put.send(("msg", frm, body)), lg=lg).take, ln)
+        anyio.run(
+            PeerConnections(
+                own_name="b", process_id="l", address="x", on_message=lambda frm, body: put.send(("msg", frm, body)), logger=lg
+            ).receive,
+            ln,
+        )
         assert got.receive_nowait() == ("msg", "a", ("ping", 1, ())) and ln.shut
         assert got.statistics().current_buffer_used == 0 and f"code={code}" in lg.lines[0]
     raw = later[4:]
     put, got = anyio.create_memory_object_stream(8)
-    ln = Line([wire.HEAD.pack(len(raw)) + raw])
-    anyio.run(PeerConnections(me="b", life="l", addr="x", heard=lambda frm, body: put.send(("msg", frm, body)), lg=Log()).take, ln)
+    ln = Line([wire.FRAME_HEADER.pack(len(raw)) + raw])
+    anyio.run(
+        PeerConnections(
+            own_name="b", process_id="l", address="x", on_message=lambda frm, body: put.send(("msg", frm, body)), logger=Log()
+        ).receive,
+        ln,
+    )
     assert got.receive_nowait() == ("msg", "a", ("ping", 2, ()))
 
 
 def test_each_role_has_its_own_calls():
     d = Daemon()
-    d.s.update(operator_key="op", replica_key="rep", platform_key="plat")
+    d.settings.update(operator_key="op", replica_key="rep", platform_key="plat")
     calls = [
         ("GET", "/v1/config"),
         ("PUT", "/v1/zones/z/evacuation"),
@@ -263,16 +276,16 @@
         monkeypatch.setattr("silverglade.transport.connections.anyio.connect_tcp", connect)
         lg = Log()
         lg.info = lg.warning
-        links = PeerConnections(me="a", life="l", addr="127.0.0.1:1", heard=None, lg=lg)
-        links.peer("b", "127.0.0.1:2")
-        async with anyio.create_task_group() as links.group:
+        links = PeerConnections(own_name="a", process_id="l", address="127.0.0.1:1", on_message=None, logger=lg)
+        links.set_address("b", "127.0.0.1:2")
+        async with anyio.create_task_group() as links.task_group:
             links.send("b", ("get", 1, (0, 0)))
             await anyio.wait_all_tasks_blocked()
             made[0].over.set()  # the peer is killed, and started again
             await anyio.wait_all_tasks_blocked()
             links.send("b", ("get", 2, (0, 0)))
             await anyio.wait_all_tasks_blocked()
-            links.group.cancel_scope.cancel()
+            links.task_group.cancel_scope.cancel()
         return [len(p.sent) for p in made]
 
     assert anyio.run(go) == [1, 1]
