--- a/tests/testbed/test_fleet_rules.py
+++ b/tests/testbed/test_fleet_rules.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from silverglade.testbed.fake_servers.request_format import answer
+from silverglade.testbed.fake_servers.request_format import plain_answer
 from tests.support.planted_breaches import SEC, cfg, judged, kept
 
 BREACHES = []
@@ -46,7 +46,7 @@
     p.ask()
     run = p.run()
     if good:
-        p.r.broke.add("a")
+        p.r.cut_attempts.add("a")
     p.head(run)
     p.end(whole=False, calm=True)
 
@@ -216,7 +216,7 @@
 
 @breach("EVAC")
 def work_in_an_emptied_zone(p, good):
-    p.r.empty(p.now, "a1", True)
+    p.r.drained(p.now, "a1", True)
     p.later(4.9 if good else 5.1)
     p.ask()
     p.arrive()
@@ -224,10 +224,10 @@
 
 @breach("EVAC")
 def work_in_a_zone_before_it_is_taken_back(p, good):
-    p.r.empty(p.now, "a1", True)
+    p.r.drained(p.now, "a1", True)
     p.later(6)
     if good:
-        p.r.empty(p.now, "a1", False)
+        p.r.drained(p.now, "a1", False)
     p.later(1)
     p.ask()
     p.arrive()
@@ -240,7 +240,7 @@
         if i < 20 or good and i % 3 == 0:
             run = p.run(f"a{i}")
             p.head(run, f"a{i}")
-            p.r.data(f"a{i}", answer(run, p.r.sent[f"a{i}"]))
+            p.r.data(f"a{i}", plain_answer(run, p.r.sent[f"a{i}"]))
             p.end(f"a{i}")
         p.later(1)
     p.r.recover(p.now, before=(60 * SEC, 80 * SEC), back=81 * SEC)
--- a/tests/testbed/test_forwarding_rules.py
+++ b/tests/testbed/test_forwarding_rules.py
@@ -1,12 +1,13 @@
 """Rules about answers: each reports a planted breach, and is silent of the like done right."""
 
+import dataclasses
 import inspect
 import re
 
 import pytest
 
 from silverglade.testbed.checkers import forwarding_rules as rules
-from silverglade.testbed.fake_servers.request_format import Ask, answer
+from silverglade.testbed.fake_servers.request_format import ReplicaRequest, plain_answer, seal
 from tests.support.planted_breaches import judged, kept
 
 BREACHES = []
@@ -40,7 +41,7 @@
     p.ask()
     p.ask("b")
     run, other = p.run(), p.run("b")
-    p.r.head(p.now, "a", 200, rules.seal(run, "a") if good else rules.seal(other, "b"))
+    p.r.head(p.now, "a", 200, seal(run, "a") if good else seal(other, "b"))
 
 
 @breach("MIXED")
@@ -56,7 +57,7 @@
 def success_where_the_replica_failed(p, good):
     p.ask(stream=False)
     run = p.run()
-    p.r.failed("a", run, 200 if good else 500, answer(run, p.r.sent["a"]))
+    p.r.failed("a", run, 200 if good else 500, plain_answer(run, p.r.sent["a"]))
     p.head(run)
 
 
@@ -65,7 +66,7 @@
     p.ask(stream=False)
     run = p.run()
     p.head(run)
-    body = answer(run, Ask(attempt="a", body=b"b", path="/r/x", tokens=(10, 80)))
+    body = plain_answer(run, ReplicaRequest(attempt="a", body=b"b", path="/r/x", tokens=(10, 80)))
     p.r.data("a", body if good else body[:-1])
     p.end()
 
@@ -141,7 +142,7 @@
     a = p.run()
     p.head(a)
     p.stream(a, [1, 2])
-    p.r.runs["x"] = dict(p.r.runs[a], last=2)
+    p.r.runs["x"] = dataclasses.replace(p.r.runs[a], last=2)
     p.stream("x", [3])
 
 
