--- /dev/null
+++ b/silverglade/routing/attempt_progress.py
@@ -0,0 +1,195 @@
+"""What follows from the outcome of an attempt (design 15.3)."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from datetime import timedelta
+from http import HTTPStatus
+from typing import Any
+
+from ..runtime.components import Component
+from ..runtime.effects import ForgetReplica, PassResponse, Post, milliseconds
+from ..runtime.events import AttemptProgressed, ServiceRequestServed
+from .attempt_outcomes import READ_ERROR, AttemptOutcome, UnsentReason
+from .attempts import RESPONSE_LOST, RETRY_AFTER_ATTEMPTS_S, Attempts, attempts_exhausted
+from .context import RouterContext
+from .replica_feedback import ReplicaFeedback
+from .replicas import ReplicaState
+from .request import Request
+
+Details = tuple[Any, ...]
+Handler = Callable[[Request, ReplicaState | None, AttemptProgressed, timedelta], None]
+
+REFUSAL_HOLD_OFF = milliseconds(200)
+"""So long others go first after a replica has refused a request."""
+
+OUTCOMES_OF_OLD_ATTEMPTS = frozenset({AttemptOutcome.DONE, AttemptOutcome.GONE})
+"""They count also where the attempt was given up for another."""
+UNFINISHED_OUTCOMES = frozenset({AttemptOutcome.BEGAN, AttemptOutcome.FIRST, AttemptOutcome.SILENT})
+"""The attempt goes on after them."""
+ANSWERED_OUTCOMES = frozenset(
+    {AttemptOutcome.BEGAN, AttemptOutcome.FIRST, AttemptOutcome.DONE, AttemptOutcome.NOT_RUN, AttemptOutcome.FAILED}
+)
+"""The replica was reached."""
+
+
+class AttemptProgress:
+    """Handles reports of the request forwarder."""
+
+    __slots__ = ("attempts", "context", "feedback", "handlers")
+
+    def __init__(self, context: RouterContext, attempts: Attempts) -> None:
+        self.context = context
+        self.attempts = attempts
+        self.feedback = ReplicaFeedback(context)
+        self.handlers: dict[str, Handler] = {
+            AttemptOutcome.BEGAN: self.on_response_began,
+            AttemptOutcome.FIRST: self.on_response_began,
+            AttemptOutcome.DONE: self.on_done,
+            AttemptOutcome.UNSENT: self.on_unsent,
+            AttemptOutcome.NOT_RUN: self.on_not_run,
+            AttemptOutcome.FAILED: self.on_failed,
+            AttemptOutcome.LOST: self.on_lost,
+            AttemptOutcome.CUT: self.on_cut,
+            AttemptOutcome.SILENT: self.on_silent,
+            AttemptOutcome.GONE: self.on_client_gone,
+        }
+
+    def on_progress(self, request: Request, progress: AttemptProgressed, now: timedelta) -> None:
+        """Handle one report."""
+        outcome = progress.outcome
+        if progress.attempt != request.attempt_number and outcome not in OUTCOMES_OF_OLD_ATTEMPTS:
+            return  # an attempt that was given up for another
+        replica = self.context.replica_of(request, progress.attempt)
+        if outcome not in UNFINISHED_OUTCOMES:
+            self.context.close_attempt(request, progress.attempt)
+        if replica and outcome in ANSWERED_OUTCOMES:
+            self.context.reachability.on_answer(now, replica.region)
+        handler = self.handlers.get(outcome)
+        if handler is not None:
+            handler(request, replica, progress, now)
+
+    def on_response_began(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
+        """The head of a response, or its first token."""
+        message = self.context.placement.on_read(request)
+        if message is not None:
+            self.context.effects.append(message)
+        request.response_begun = request.response_begun or request.is_streaming
+        if replica:
+            self.feedback.on_served(replica, now)
+
+    def on_done(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
+        """The response has ended."""
+        if replica:
+            self.feedback.on_served(replica, now)
+        seconds = (now - request.sent_at).total_seconds()
+        self.context.effects.append(Post(Component.SERVICE_SCALER, ServiceRequestServed(request.service, seconds)))
+        took = now - request.received_at
+        self.context.shutdown.response_times.add(now, request.route["name"], took, request.work)
+        self.context.finish(request)
+
+    def on_unsent(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
+        """Nothing of the request arrived: the next replica gets it."""
+        request.counted_attempts -= 1
+        request.arrivals -= 1
+        reason = progress.details[0] if progress.details else ""
+        if replica and reason != UnsentReason.POOL_FULL:
+            replica.on_failure(now)
+            self.feedback.accuse(replica, now)
+        if replica and reason == UnsentReason.CONNECT_TIMEOUT:
+            self.context.reachability.on_connect_failure(now, replica.region, replica.id, since=request.sent_at)
+            request.unreachable_by_region[replica.region] += 1
+            self.context.test_unreachable_regions(now)
+        self.attempts.send_next(request, now)
+
+    def on_not_run(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
+        """The replica did not run the request, by its own word: the next one gets it while attempts are left."""
+        if replica:
+            self.note_refusal(request, replica, progress.details[0], now)
+        details = progress.details
+        retry_after = details[1] if len(details) > 1 and details[1] else RETRY_AFTER_ATTEMPTS_S
+        if not request.may_have_run:
+            request.last_failure = AttemptOutcome.NOT_RUN
+        if request.counted_attempts >= request.route["tries"]:
+            self.attempts.give_up(request, attempts_exhausted(retry_after))
+            return
+        self.attempts.send_next(request, now)
+
+    def note_refusal(self, request: Request, replica: ReplicaState, status: int, now: timedelta) -> None:
+        """Note what a refusal says of the replica."""
+        if status != HTTPStatus.MISDIRECTED_REQUEST:  # full: until the next health check or response
+            replica.active = max(replica.active, replica.slots)
+            replica.hold_off(now + REFUSAL_HOLD_OFF)
+            return
+        request.counted_attempts -= 1
+        if request.facts.get("version"):  # another incarnation, or other weights: both say so alike
+            replica.hold_off(now + REFUSAL_HOLD_OFF)
+            return
+        # another incarnation has the address: the request never came to a replica of ours; the retry budget pays all the same
+        replica.gone_since = now
+        self.feedback.accuse(replica, now)
+        self.context.effects.append(ForgetReplica(replica.id))
+
+    def on_failed(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
+        """The replica answered with an error."""
+        is_server_error = progress.details[0] >= HTTPStatus.INTERNAL_SERVER_ERROR
+        if replica and is_server_error:
+            self.feedback.accuse(replica, now)
+        attempts_left = request.counted_attempts < request.route["tries"]
+        if request.is_repeatable and is_server_error and attempts_left and not request.response_begun:
+            request.last_failure = AttemptOutcome.LOST
+            self.attempts.send_next(request, now)
+            return
+        if request.response_begun:  # the rest of a stream was refused: it ends as broken
+            self.attempts.give_up(request, RESPONSE_LOST)
+            return
+        self.context.effects.append(PassResponse(request.id, progress.attempt))
+        self.context.finish(request)
+
+    def on_lost(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
+        """The connection broke before a response."""
+        if replica:
+            self.feedback.on_doubt(replica, now, may_be_down=progress.details[:1] == (READ_ERROR,))
+            self.feedback.accuse(replica, now)
+        self.after_loss(request, replica, progress, now)
+
+    def on_cut(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
+        """The response broke off."""
+        if replica:
+            self.feedback.on_doubt(replica, now, may_be_down=False)
+            self.feedback.accuse(replica, now)
+        self.note_last_event(request, progress.details)
+        self.after_loss(request, replica, progress, now)
+
+    def after_loss(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
+        """Send a request on that may have run, if it is repeatable."""
+        request.last_failure = AttemptOutcome(progress.outcome)
+        if request.is_repeatable:
+            self.attempts.send_next(request, now)
+            return
+        self.context.log(
+            "request-lost",
+            rid=request.id,
+            replica=replica.id if replica else "",
+            tries=request.arrivals,
+            why=progress.details[0] if progress.details else "",
+        )
+        self.attempts.give_up(request, RESPONSE_LOST)
+
+    def on_silent(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
+        """The replica says nothing: what is repeatable goes to another one, if there is one; all else is waited for."""
+        self.note_last_event(request, progress.details)
+        if replica:
+            self.feedback.on_doubt(replica, now, may_be_down=True)
+        if request.is_repeatable:
+            self.attempts.try_next(request, now)
+
+    def on_client_gone(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
+        """Nobody waits for the response any more."""
+        self.context.finish(request)
+
+    @staticmethod
+    def note_last_event(request: Request, details: Details) -> None:
+        """Note the last event that was passed on, if there was any."""
+        if details and details[0] is not None:
+            request.last_event_id = details[0]
--- a/silverglade/routing/records.py
+++ b/silverglade/routing/records.py
@@ -33,3 +33,14 @@
     def of(cls, row: tuple[Any, ...]) -> EndpointRecord:
         """A record from its array; fields of a later program are dropped."""
         return row if isinstance(row, cls) else cls(*row[: len(cls._fields)])
+
+
+FIELD_TYPES = (str, str, str, str, str, int, bool, int, int)
+"""Types of the fields of an `EndpointRecord`, in their order."""
+
+
+def is_endpoint_row(row: object) -> bool:
+    """Whether an array from outside holds an endpoint record: enough fields, each of its very type."""
+    if not isinstance(row, tuple) or len(row) < len(FIELD_TYPES):
+        return False
+    return all(type(value) is field_type for value, field_type in zip(row, FIELD_TYPES))
--- a/silverglade/routing/replica_selection.py
+++ b/silverglade/routing/replica_selection.py
@@ -1,73 +1,125 @@
-"""Choice of a replica (design 15.5): a pure function over one snapshot.
+"""Choice of a replica (design 15.5): pure functions over one snapshot.
 
 Home region first; within it the replica on which the longest run of the prompt's parts is kept. All daemons
-agree on that one without talking, by rendezvous on the parts that are shared; what is hot overflows to the
+agree on that one without talking, by rendezvous on the parts that are shared; what is overloaded passes work to the
 next, by the work that stands at each. Another region only where the own one cannot take the request.
 """
 
-from ..membership.rendezvous import rank_nodes
-
-HOT = 1.35  # of the mean work, before a prompt goes to the next in order (bounded load)
-SPARE = 4  # requests of this size above that, before a prompt goes on
-FULL = 0.85  # of the slots, before another region is asked
+from __future__ import annotations
 
+from collections.abc import Collection, Iterable, Sequence, Set
+from datetime import timedelta
+from typing import NamedTuple
 
-def shared(prefix, /):
-    """The key of the longest run of parts that other requests share: all but the last."""
-    return ",".join(p for p, _ in prefix[:-1])
-
+from ..membership.rendezvous import rank_nodes
+from .replicas import ReplicaState
+
+OVERLOADED = 1.35
+"""Of the mean work, before a prompt goes to the next replica in order (bounded load)."""
+SPARE_REQUESTS = 4
+"""Requests of this size above that, before a prompt goes on."""
+FULL = 0.85
+"""Of the slots, before another region is asked."""
+MOST_PEERS = 4
+"""A daemon counts its own attempts as often as it has peers, up to so many."""
+
+
+class SelectionContext(NamedTuple):
+    """What the order of replicas for one request rests on besides the replicas.
+
+    :ivar region: this daemon's own.
+    :ivar prefix: the prompt's parts, (id, tokens) each.
+    :ivar by_prefix: whether the route's prompts go where their shared parts are kept.
+    :ivar short_regions: regions that have fewer ready replicas of the service than they need.
+    :ivar peers: daemons of the own region.
+    :ivar work: of the request, in tokens.
+    :ivar avoided: ids of replicas that are ejected.
+    :ivar switched_off: mechanisms that are switched off (runtime/settings.py).
+    """
 
-def usable(reps, *, service, homes, evac, tried=()):
-    """Who may get it at all: rules before preference."""
+    region: str
+    prefix: Sequence[tuple[str, int]] = ()
+    by_prefix: bool = False
+    short_regions: Set[str] = frozenset()
+    peers: int = 1
+    work: float = 1.0
+    avoided: Set[str] = frozenset()
+    switched_off: Collection[str] = ()
+
+
+def shared_prefix_key(prefix: Sequence[tuple[str, int]], /) -> str:
+    """Name the longest run of parts that other requests share: all but the last."""
+    return ",".join(part for part, _ in prefix[:-1])
+
+
+def usable(
+    replicas: Iterable[ReplicaState],
+    *,
+    service: str,
+    homes: Collection[str],
+    drained_zones: Set[str],
+    tried: Set[str] = frozenset(),
+) -> list[ReplicaState]:
+    """Who may get the request at all: rules before preference."""
     return [
-        r
-        for r in reps
-        if r.service == service
-        and not r.leaving
-        and r.zone not in evac
-        and (not homes or r.region in homes)
-        and r.id not in tried
-        and r.gone is None
+        replica
+        for replica in replicas
+        if replica.service == service
+        and not replica.is_leaving
+        and replica.zone not in drained_zones
+        and (not homes or replica.region in homes)
+        and replica.id not in tried
+        and replica.gone_since is None
     ]
 
 
-def busy(r, peers, /):
+def load(replica: ReplicaState, peers: int, /) -> float:
     """Part of the slots that is taken, as far as this daemon can tell: what was probed, else its own times its peers."""
-    mine = len(r.tries)
-    return max(r.active + r.queued if r.active else 0, mine * min(peers, 4) if mine > 1 else mine) / max(1, r.slots)
-
-
-def regions(reps, *, region, short, peers, spill=True):
-    """The regions in the order in which they are asked: the own one first unless it is short of ready replicas."""
-    by = {}
-    for r in reps:
-        by.setdefault(r.region, []).append(r)
-    load = {g: sum(busy(r, peers) for r in rs) / len(rs) for g, rs in by.items()}
-    full = {g: spill and (load[g] > FULL or (g in short and load[g] > FULL / 2)) for g in by}
-    return [by[g] for g in sorted(by, key=lambda g: (full[g], g != region, load[g], g))]
-
-
-def order(reps, *, now, region, prefix=(), by_prefix=False, short=frozenset(), peers=1, weight=1.0, avoid=frozenset(), without=()):
-    """The replicas in the order in which they are to get it.
-
-    avoid: ids that others accuse; without: mechanisms that are switched off (options.py).
-    """
-    out = []
-    fit = [r for r in reps if (r.fit(now) or "holds" in without) and r.id not in avoid]
-    for rs in regions(fit or reps, region=region, short=short, peers=peers, spill="spill" not in without):
-        key = shared(prefix) if by_prefix and "prefix" not in without else ""
+    own = len(replica.attempts)
+    estimated = own * min(peers, MOST_PEERS) if own > 1 else own
+    probed = replica.active + replica.queued if replica.active else 0
+    return max(probed, estimated) / max(1, replica.slots)
+
+
+def by_region(replicas: Iterable[ReplicaState], context: SelectionContext) -> list[list[ReplicaState]]:
+    """The replicas of each region, in the order in which regions are asked: the own one first unless it is full or short."""
+    regions: dict[str, list[ReplicaState]] = {}
+    for replica in replicas:
+        regions.setdefault(replica.region, []).append(replica)
+    loads = {region: sum(load(replica, context.peers) for replica in members) / len(members) for region, members in regions.items()}
+    overflows = "spill" not in context.switched_off
+    full = {
+        region: overflows and (loads[region] > FULL or (region in context.short_regions and loads[region] > FULL / 2)) for region in regions
+    }
+    order = sorted(regions, key=lambda region: (full[region], region != context.region, loads[region], region))
+    return [regions[region] for region in order]
+
+
+def order_by_prefix(key: str, replicas: list[ReplicaState], context: SelectionContext) -> list[ReplicaState]:
+    """Replicas of one region by rendezvous on the shared parts; those with much more than the mean work go last."""
+    by_id = {replica.id: replica for replica in replicas}
+    ranked = [by_id[replica_id] for replica_id in rank_nodes(key, by_id)]
+    if "hot-bound" in context.switched_off:
+        return ranked
+    mean = sum(replica.work for replica in ranked) / len(ranked)
+    most_work = OVERLOADED * mean + SPARE_REQUESTS * context.work
+    overloaded = [replica for replica in ranked if replica.work > most_work or load(replica, context.peers) > FULL]
+    return [replica for replica in ranked if replica not in overloaded] + sorted(overloaded, key=lambda replica: replica.work)
+
+
+def order(replicas: Sequence[ReplicaState], context: SelectionContext, now: timedelta) -> list[ReplicaState]:
+    """The replicas in the order in which they are to get the request."""
+    ordered: list[ReplicaState] = []
+    any_health = "holds" in context.switched_off
+    preferred = [replica for replica in replicas if (replica.is_healthy(now) or any_health) and replica.id not in context.avoided]
+    uses_prefix = context.by_prefix and "prefix" not in context.switched_off
+    key = shared_prefix_key(context.prefix) if uses_prefix else ""
+    peers = context.peers
+    for members in by_region(preferred or replicas, context):
         if key:
-            by = {r.id: r for r in rs}
-            rs = [by[i] for i in rank_nodes(key, by)]
-            mean = sum(r.work for r in rs) / len(rs)
-            hot = [] if "hot-bound" in without else [r for r in rs if r.work > HOT * mean + SPARE * weight or busy(r, peers) > FULL]
-            rs = [r for r in rs if r not in hot] + sorted(hot, key=lambda r: r.work)
+            members = order_by_prefix(key, members, context)
         else:
-            rs = sorted(rs, key=lambda r: (busy(r, peers), r.work, r.asked))
-        out += [r for r in rs if now >= r.cold] + [r for r in rs if now < r.cold]
-    return out
-
-
-def pick(reps, *, may=lambda r: True, **how):
-    """The replica that gets it, or None; `may` bounds what cold ones get, and counts it."""
-    return next((r for r in order(reps, **how) if may(r)), None)
+            members = sorted(members, key=lambda replica: (load(replica, peers), replica.work, replica.last_sent_at))
+        ordered += [replica for replica in members if now >= replica.slow_start_until]
+        ordered += [replica for replica in members if now < replica.slow_start_until]
+    return ordered
--- a/silverglade/routing/replicas.py
+++ b/silverglade/routing/replicas.py
@@ -1,70 +1,121 @@
-"""The replicas that a daemon may choose from, as this daemon sees them (design 15.4).
+"""The replicas that a daemon may choose from, as this daemon sees them (design 15.4)."""
 
-A listed record is (id, address, zone, region, service, slots, leaving, cold ms, ms until it is gone or -1).
-"""
+from __future__ import annotations
 
 from datetime import timedelta
+from typing import Protocol
 
 from ..runtime.effects import ZERO, milliseconds
+from .records import EndpointRecord
 
-RID, ADDR, ZONE, REGION, SERVICE, SLOTS, LEAVING, COLD_MS, GONE_MS = range(9)
-TYPES = (str, str, str, str, str, int, bool, int, int)
-HOLD_OFF = timedelta(seconds=1)  # after a failure; doubled while failures go on
-HOLD_MOST = timedelta(seconds=8)
+FIRST_HOLD_OFF = timedelta(seconds=1)
+"""For so long others go first after a failure; doubled while failures go on."""
+LONGEST_HOLD_OFF = timedelta(seconds=8)
+MOST_DOUBLINGS = 4
 
 
-def sound(r):
-    return isinstance(r, tuple) and len(r) >= len(TYPES) and all(type(v) is t for v, t in zip(r, TYPES))
+class ReplicaIdentity(Protocol):
+    """What names a replica and where it stands: all that modules need that keep state of their own about replicas."""
 
+    @property
+    def id(self) -> str:
+        """The replica's id; another one after each start."""
 
-class Replica:
-    """One life of a replica: what the list says, and what its answers to this daemon have shown."""
+    @property
+    def service(self) -> str:
+        """The service that it belongs to."""
+
+    @property
+    def zone(self) -> str:
+        """The zone in which it stands."""
+
+    @property
+    def region(self) -> str:
+        """The region in which it stands."""
+
+
+class ReplicaState:
+    """One incarnation of a replica: what the endpoint list says, and what its answers to this daemon have shown.
+
+    :ivar id: the replica's id; another one after each start.
+    :ivar address: HOST:PORT.
+    :ivar zone: the zone in which it stands.
+    :ivar region: the region in which it stands.
+    :ivar service: the service that it belongs to.
+    :ivar slots: requests that it runs at once.
+    :ivar is_leaving: it takes nothing new; never taken back.
+    :ivar slow_start_until: until then it bears little.
+    :ivar attempts: attempts of this daemon that are under way: (request id, number of the attempt) to when it was sent.
+    :ivar work: that of these attempts, in tokens.
+    :ivar held_off_until: others go first until then, after failures.
+    :ivar is_unresponsive: its health checker hears nothing from it.
+    :ivar failures: how many in a row.
+    :ivar active: requests that run there, by its last health check.
+    :ivar queued: requests that wait there, by its last health check.
+    :ivar last_sent_at: when this daemon last sent it a request.
+    :ivar gone_since: when it was known to be gone, or None.
+    """
 
     __slots__ = (
         "id",
-        "addr",
+        "address",
         "zone",
         "region",
         "service",
         "slots",
-        "leaving",
-        "cold",
-        "tries",
+        "is_leaving",
+        "slow_start_until",
+        "attempts",
         "work",
-        "shy",
-        "dark",
-        "fails",
-        "heard",
+        "held_off_until",
+        "is_unresponsive",
+        "failures",
         "active",
         "queued",
-        "asked",
-        "seen",
-        "gone",
-        "probed",
+        "last_sent_at",
+        "gone_since",
     )
 
-    def __init__(self, rec, now):
-        (self.id, self.addr, self.zone, self.region, self.service, self.slots, self.leaving) = rec[:COLD_MS]
-        self.cold = now + milliseconds(rec[COLD_MS])  # until then it bears little
-        self.tries, self.work = {}, 0.0  # (rid, n) -> when sent; work of those in tokens
-        self.shy, self.dark, self.fails = ZERO, False, 0  # passed over until then, while its prober hears nothing; failures on end
-        self.heard = self.asked = self.probed = now
-        self.active, self.queued, self.seen, self.gone = 0, 0, now, None
-
-    def told(self, rec, now):
-        """A newer word of the list about the same life. Leaving is never taken back."""
-        self.leaving = self.leaving or rec[LEAVING]
-        self.cold = max(self.cold, now + milliseconds(rec[COLD_MS])) if rec[COLD_MS] else self.cold
-        self.seen, self.gone = now, None
-
-    def failed(self, now):
-        """No answer, or a broken one: others go first for a while, longer each time."""
-        self.fails += 1
-        self.shy = now + min(HOLD_MOST, HOLD_OFF * 2 ** min(self.fails - 1, 4))
-
-    def fit(self, now):
-        """Does nothing speak against it? After failures one request at a time tries it again."""
-        return now >= self.shy and not self.dark and not (self.fails and self.tries)
-
-    def worked(self, now):
-        self.fails, self.shy, self.heard = 0, ZERO, now
+    def __init__(self, record: EndpointRecord, now: timedelta) -> None:
+        self.id = record.name
+        self.address = record.address
+        self.zone = record.zone
+        self.region = record.region
+        self.service = record.service
+        self.slots = record.slots
+        self.is_leaving = record.is_leaving
+        self.slow_start_until = now + milliseconds(record.slow_start_ms)
+        self.attempts: dict[tuple[str, int], timedelta] = {}
+        self.work = 0.0
+        self.held_off_until = ZERO
+        self.is_unresponsive = False
+        self.failures = 0
+        self.active = 0
+        self.queued = 0
+        self.last_sent_at = now
+        self.gone_since: timedelta | None = None
+
+    def update(self, record: EndpointRecord, now: timedelta) -> None:
+        """Take a newer record of the same incarnation. Leaving is never taken back."""
+        self.is_leaving = self.is_leaving or record.is_leaving
+        if record.slow_start_ms:
+            self.slow_start_until = max(self.slow_start_until, now + milliseconds(record.slow_start_ms))
+        self.gone_since = None
+
+    def on_failure(self, now: timedelta) -> None:
+        """Note that it gave no answer, or a broken one: others go first for a while, longer each time."""
+        self.failures += 1
+        self.held_off_until = now + min(LONGEST_HOLD_OFF, FIRST_HOLD_OFF * 2 ** min(self.failures - 1, MOST_DOUBLINGS))
+
+    def on_success(self) -> None:
+        """Note that it served a request."""
+        self.failures = 0
+        self.held_off_until = ZERO
+
+    def hold_off(self, until: timedelta) -> None:
+        """Let others go first until then, at least."""
+        self.held_off_until = max(self.held_off_until, until)
+
+    def is_healthy(self, now: timedelta) -> bool:
+        """Whether nothing speaks against it. After failures one request at a time tries it again."""
+        return now >= self.held_off_until and not self.is_unresponsive and not (self.failures and self.attempts)
--- a/silverglade/routing/route_table.py
+++ b/silverglade/routing/route_table.py
@@ -1,36 +1,100 @@
 """Which route a request takes (design 15.2): a table made once per configuration."""
 
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import Any, NamedTuple, TypedDict
+
 from ..membership.rendezvous import hash_score
 
+SCORE_BITS = 64
+"""Of a rendezvous score."""
+
+
+class ServiceShare(TypedDict):
+    """A service that a route leads to, and its weight among the others."""
+
+    service: str
+    weight: int
+
+
+class Route(TypedDict):
+    """A route as the configuration has it (configuration/schema.py)."""
+
+    name: str
+    host: str
+    prefix: str
+    kind: str
+    shares: list[ServiceShare]
+    due_ms: int
+    aim_ms: int
+    gap_ms: int
+    rank: int
+    tries: int
+    homes: list[str]
+    by_prefix: bool
+    resumable: bool
+
+
+class ServiceConfiguration(TypedDict):
+    """A service as the configuration has it (configuration/schema.py)."""
+
+    conns: int
+    slots: int
+    cold_ms: int
+    cold_per_s: float
+    keeps: int
+
+
+class HostRoutes(NamedTuple):
+    """The routes of one host.
+
+    :ivar lengths: those of its prefixes, longest first.
+    :ivar by_prefix: prefix to route.
+    """
+
+    lengths: tuple[int, ...]
+    by_prefix: dict[str, Route]
+
+
+RouteTable = dict[str, HostRoutes]
+"""Host to its routes."""
+
+NO_ROUTES = HostRoutes((), {})
+
 
-def table(cfg, /):
-    """host -> (its prefixes' lengths, longest first; prefix -> route)."""
-    t = {}
-    for r in (cfg or {}).get("routes", ()):
-        t.setdefault(r["host"].lower(), {})[r["prefix"]] = r
-    return {h: (tuple(sorted({len(p) for p in d}, reverse=True)), d) for h, d in t.items()}
+def build_route_table(configuration: Mapping[str, Any] | None, /) -> RouteTable:
+    """Build the table of a configuration; an empty one without a configuration."""
+    by_host: dict[str, dict[str, Route]] = {}
+    for route in (configuration or {}).get("routes", ()):
+        by_host.setdefault(route["host"].lower(), {})[route["prefix"]] = route
+    return {
+        host: HostRoutes(tuple(sorted({len(prefix) for prefix in by_prefix}, reverse=True)), by_prefix)
+        for host, by_prefix in by_host.items()
+    }
 
 
-def find_route(tab, host, path, /):
-    """The route of that host whose prefix begins the path and is longest, or None.
+def find_route(table: RouteTable, host: str, path: str, /) -> Route | None:
+    """Find the route of that host whose prefix begins the path and is longest.
 
     Costs one look-up for each length of prefix that the host has, however many routes there are.
     """
-    lens, d = tab.get(host, ((), {}))
-    for n in lens:
-        if n <= len(path) and (r := d.get(path[:n])):
-            return r
+    lengths, by_prefix = table.get(host, NO_ROUTES)
+    for length in lengths:
+        if length <= len(path) and (route := by_prefix.get(path[:length])):
+            return route
     return None
 
 
-def service(route, key, /):
-    """One service by the weights: every daemon that is asked with the same key says the same."""
-    ss = route["shares"]
-    if len(ss) == 1:
-        return ss[0]["service"]
-    at = int.from_bytes(hash_score("share", key), "big") / 2**64 * sum(s["weight"] for s in ss)
-    for s in ss:
-        at -= s["weight"]
-        if at < 0:
-            return s["service"]
-    return next(s["service"] for s in reversed(ss) if s["weight"] > 0)
+def choose_service(route: Route, key: str, /) -> str:
+    """Choose one service by the weights: every daemon that is asked with the same key says the same."""
+    shares = route["shares"]
+    if len(shares) == 1:
+        return shares[0]["service"]
+    score = int.from_bytes(hash_score("share", key), "big") / 2**SCORE_BITS
+    remaining = score * sum(share["weight"] for share in shares)
+    for share in shares:
+        remaining -= share["weight"]
+        if remaining < 0:
+            return share["service"]
+    return next(share["service"] for share in reversed(shares) if share["weight"] > 0)
--- a/silverglade/runtime/daemon_machine.py
+++ b/silverglade/runtime/daemon_machine.py
@@ -17,13 +17,14 @@
 from ..membership.zone_relay import proxy
 from ..replicas.registry import registry
 from ..replicas.slot_leases import ledger
-from ..routing.endpoint_list import catalog
-from ..routing.router import forward
+from ..routing.endpoint_list import EndpointList
+from ..routing.router import Router
 from ..tenant_requests.ingress import ingress
 from ..tenant_shards.follower import follower
 from ..tenant_shards.owner import owner
 from ..transport.message_schemas import is_valid_message, known_fields
 from .effects import ZERO, log, start
+from .state_machine import MachineComponent
 
 # which part hears which message between daemons
 MESSAGE_RECEIVERS = {
@@ -95,8 +96,8 @@
             "slot_leases": ledger(me=me, opt=opt),
             "shard_owner": owner(me=me, zone=zone, cores=cores, opt=opt, rng=rng),
             "tenant_ingress": ingress(me=me, life=life, zone=zone, opt=opt),
-            "router": forward(me=me, region=region, opt=opt),
-            "endpoint_list": catalog(me=me, region=region, lists=lists, opt=opt),
+            "router": MachineComponent(Router(own_name=me, region=region, tuning=opt)),
+            "endpoint_list": MachineComponent(EndpointList(own_name=me, region=region, has_source=lists, tuning=opt)),
             "service_scaler": need(me=me, region=region, opt=opt),
             "tenant_scaler": scaler(me=me, region=region, opt=opt),
             "operator_api": desk(me=me, cores=cores, opt=opt, rng=rng),
--- a/silverglade/server/request_forwarding.py
+++ b/silverglade/server/request_forwarding.py
@@ -14,7 +14,7 @@
 
 from ..http.connection_pool import SECOND, ConnectionPool, RequestNotSentError, StaleConnectionError
 from ..http.event_stream import EventSplitter, beyond, last_id
-from ..routing.graceful_shutdown import ELSEWHERE
+from ..routing.graceful_shutdown import RETRY_ELSEWHERE_S
 from ..runtime.errors import SilvergladeError
 from ..runtime.structured_logging import format_line
 from .client_request import Limits, end_to_end_headers, seconds, small
@@ -160,7 +160,7 @@
                     elif a.tried:
                         await small(a.send, 502, 403, close=self.closing())
                     elif why == "concluded":
-                        await small(a.send, 503, 811, wait=ELSEWHERE, close=True)
+                        await small(a.send, 503, 811, wait=RETRY_ELSEWHERE_S, close=True)
                     else:
                         await small(a.send, 503, 310, wait=1.0, close=self.closing())
                     return False
--- a/silverglade/testbed/checkers/configuration_history.py
+++ b/silverglade/testbed/checkers/configuration_history.py
@@ -19,7 +19,7 @@
             asked=now,
             acked=None,
             refused=False,
-            table=routes.table(cfg) if valid else {},
+            table=routes.build_route_table(cfg) if valid else {},
         )
         self.puts.append(p)
         return p
--- a/silverglade/testbed/experiments/policy_actors.py
+++ b/silverglade/testbed/experiments/policy_actors.py
@@ -5,8 +5,9 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from ...routing.router import forward
-from ...runtime.effects import start, to_milliseconds
+from ...routing.router import Router
+from ...runtime.effects import to_milliseconds
+from ...runtime.state_machine import MachineComponent
 from ..fake_servers.replica_engine import Engine
 from ..fake_servers.request_format import SEC
 from .policy_sites import Kind
@@ -17,7 +18,7 @@
 
     def __init__(self, *, name, zone, region, opt):
         self.name, self.zone, self.region = name, zone, region
-        self.part = start(forward(me=name, region=region, opt=opt))
+        self.part = MachineComponent(Router(own_name=name, region=region, tuning=opt))
         self.idle = defaultdict(list)  # replica -> until when each idle connection is good
         self.heard = defaultdict(lambda: -SEC)  # replica -> when bytes of it came last
 
--- a/silverglade/testbed/experiments/policy_day.py
+++ b/silverglade/testbed/experiments/policy_day.py
@@ -197,7 +197,7 @@
 
     def act(self, front, e):
         match e:
-            case ("post", "membership", ("publish", kind, key, rank, value)) if kind == SUSPECT:
+            case ("post", "membership", ("publish", kind, key, rank, value, _)) if kind == SUSPECT:
                 for f in self.fronts:
                     self.after(TOLD_AFTER if f is not front else 0 * SEC, self.feed, f, "told", SUSPECT, {key: (rank, value)})
             case ("send", to, body):
--- a/silverglade/testbed/simulator/forwarding_scenario.py
+++ b/silverglade/testbed/simulator/forwarding_scenario.py
@@ -279,7 +279,7 @@
         n = self.r.configs.newest(self.w.now)
         p = next((p for p in self.r.configs.puts if p["number"] == n), None)
         top = routes.find_route(p["table"], s.host, s.path) if p else None
-        return routes.service(top, s.attempt) if top else r["shares"][0]["service"]
+        return routes.choose_service(top, s.attempt) if top else r["shares"][0]["service"]
 
     def told(self):
         return {str(k): n for k, n in sorted(self.why.items(), key=lambda x: str(x[0]))}
@@ -348,7 +348,7 @@
             reqs = n.router_requests
             if reqs:
                 self.r.bad(self.w.now, "LEAK", n.name, len(reqs))
-            tries = sum(len(r.tries) for r in n.router_replicas.values())
+            tries = sum(len(r.attempts) for r in n.router_replicas.values())
             if tries:
                 self.r.bad(self.w.now, "LEAK", n.name, "tries", tries)
             if self.f.shells[n.name].ways:
--- a/silverglade/testbed/simulator/inspection.py
+++ b/silverglade/testbed/simulator/inspection.py
@@ -96,12 +96,12 @@
     @property
     def router_requests(self) -> Any:
         """Forwarded requests under way by id."""
-        return self._held("router", "reqs")
+        return self._held("router", "requests")
 
     @property
     def router_replicas(self) -> Any:
         """Replicas that the router may choose from, by id."""
-        return self._held("router", "reps")
+        return self._held("router", "replicas")
 
     @property
     def scaler_gauges(self) -> Any:
--- a/tests/http/test_every_byte_breaches.py
+++ b/tests/http/test_every_byte_breaches.py
@@ -4,7 +4,7 @@
 
 from silverglade.http import connection_pool as upstream
 from silverglade.http import forwarding_protocol as front
-from silverglade.routing import router as part
+from silverglade.routing.request import Request
 from silverglade.server import request_forwarding as forwarding
 
 from ..routing import test_doubtful_replicas as doubt
@@ -53,9 +53,9 @@
     ),
     (
         "a promise after silence",
-        part.Request,
-        "why",
-        property(lambda q: "", lambda q, v: None),
+        Request,
+        "last_failure",
+        property(lambda request: None, lambda request, outcome: None),
         doubt.test_a_request_that_left_a_silent_replica_is_never_promised_not_to_have_run,
     ),
 ]
--- a/tests/membership/test_directory.py
+++ b/tests/membership/test_directory.py
@@ -5,7 +5,7 @@
 from silverglade.configuration import schema as config
 from silverglade.membership.directory import addresses_for_client, home_regions
 
-from ..routing.test_router import ZONES, route
+from ..support.router_bench import ZONES, route
 
 
 def record(name, zone, state="ready", serves=True):
--- a/tests/routing/test_at_most_once.py
+++ b/tests/routing/test_at_most_once.py
@@ -23,7 +23,7 @@
 
 
 def test_a_part_that_sends_again_after_a_loss_is_caught(monkeypatch):
-    from silverglade.routing.router import Request
+    from silverglade.routing.request import Request
 
-    monkeypatch.setattr(Request, "again", property(lambda q: True))
+    monkeypatch.setattr(Request, "is_repeatable", property(lambda q: True))
     assert "TWICE" in {b[1] for b in forward_faults.run(town="hamlet", seed=31, kinds=DAYS["reset"], secs_=14, gap=0.8, stop=True)[1]}
--- a/tests/routing/test_departure.py
+++ b/tests/routing/test_departure.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from silverglade.routing.graceful_shutdown import Departure, Durations
+from silverglade.routing.graceful_shutdown import GracefulShutdown, ResponseTimes
 from silverglade.testbed.faults.forwarding_faults import ForwardFaults
 from silverglade.testbed.simulator import forwarding_scenario as callers
 from silverglade.testbed.simulator.forwarding_scenario import Scene
 
-from .test_router import Bench, one, rep, route
+from ..support.router_bench import RouterBench, endpoint, only_effect, route
 
 SECOND = timedelta(seconds=1)
 
@@ -41,18 +41,18 @@
     assert [b for b in broken if b[1] == "LOST"] == []
 
 
-class Leaver(Bench):
+class Leaver(RouterBench):
     """A part that served a stream of 2 s and a plain request of 0.5 s lately, and is told to stop 10 s later."""
 
     def __init__(self):
         super().__init__(
-            route(due_ms=15000), route("p", prefix="/p/", kind="pure", due_ms=15000, tries=3), reps=[rep(str(i)) for i in range(6)]
+            route(due_ms=15000), route("p", prefix="/p/", kind="pure", due_ms=15000, tries=3), replicas=[endpoint(str(i)) for i in range(6)]
         )
         for path, seconds in (("/r/x", 2), ("/p/x", 0.5)):
-            rid, _ = self.ask(path)
-            self.go(seconds)
-            self.tried(rid, 1, "done")
-        self.go(10)
+            rid, _ = self.request(path)
+            self.advance(seconds)
+            self.report(rid, 1, "done")
+        self.advance(10)
 
     def leave(self):
         self.feed("leaving", *(self.now + t * SECOND for t in (2.75, 6.5, 7)))
@@ -60,7 +60,7 @@
 
 def answered(effects):
     """-> (status, code) of an answer of the daemon's own."""
-    _, _, status, wait, code = one(effects, "answer")
+    _, _, status, wait, code = only_effect(effects, "answer")
     assert (wait is not None) == (status == 503)
     return status, code
 
@@ -69,65 +69,65 @@
     b = Leaver()
     b.leave()
     for step in (0, 1, 0.5):
-        b.go(step)
-        one(b.ask(deadline_ms=15000)[1], "try")
-    b.go(1.5)  # 3 s after the signal: there would be time, but nothing may be promised
-    assert answered(b.ask(deadline_ms=15000)[1]) == (503, 811)
-    one(b.ask(deadline_ms=3000)[1], "try")  # its own deadline comes first
-    one(b.ask("/p/x", deadline_ms=15000)[1], "try")  # answered whole or not at all
-    b.go(3)
-    assert answered(b.ask("/p/x", deadline_ms=15000)[1]) == (503, 811)
+        b.advance(step)
+        only_effect(b.request(deadline_ms=15000)[1], "try")
+    b.advance(1.5)  # 3 s after the signal: there would be time, but nothing may be promised
+    assert answered(b.request(deadline_ms=15000)[1]) == (503, 811)
+    only_effect(b.request(deadline_ms=3000)[1], "try")  # its own deadline comes first
+    only_effect(b.request("/p/x", deadline_ms=15000)[1], "try")  # answered whole or not at all
+    b.advance(3)
+    assert answered(b.request("/p/x", deadline_ms=15000)[1]) == (503, 811)
 
 
 def test_what_nothing_is_known_of_is_not_taken():
-    b = Bench(route(due_ms=15000))
+    b = RouterBench(route(due_ms=15000))
     Leaver.leave(b)
-    assert answered(b.ask(deadline_ms=15000)[1]) == (503, 811)
-    one(b.ask(deadline_ms=4000)[1], "try")
+    assert answered(b.request(deadline_ms=15000)[1]) == (503, 811)
+    only_effect(b.request(deadline_ms=4000)[1], "try")
 
 
 def test_requests_under_way_tell_how_long_answers_take_now():
     b = Leaver()
-    b.ask(deadline_ms=15000)
-    b.go(7)  # longer than any that ended, and than there is time
+    b.request(deadline_ms=15000)
+    b.advance(7)  # longer than any that ended, and than there is time
     b.leave()
-    assert answered(b.ask(deadline_ms=15000)[1]) == (503, 811)
+    assert answered(b.request(deadline_ms=15000)[1]) == (503, 811)
 
 
 def test_no_replica_is_given_more_time_than_the_daemon_has():
     b = Leaver()
-    before, _ = b.ask("/p/x", deadline_ms=15000)
+    before, _ = b.request("/p/x", deadline_ms=15000)
     b.leave()
-    assert one(b.ask(deadline_ms=15000)[1], "try")[3]["deadline_ms"] <= 7000
-    b.go(4)
-    assert one(b.tried(before, 1, "lost", "ReadError"), "try")[3]["deadline_ms"] <= 2500
-    b.go(2)
-    assert answered(b.tried(before, 2, "lost", "ReadError")) == (502, 808)  # no time for another: it may have run
+    assert only_effect(b.request(deadline_ms=15000)[1], "try")[3]["deadline_ms"] <= 7000
+    b.advance(4)
+    assert only_effect(b.report(before, 1, "lost", "ReadError"), "try")[3]["deadline_ms"] <= 2500
+    b.advance(2)
+    assert answered(b.report(before, 2, "lost", "ReadError")) == (502, 808)  # no time for another: it may have run
 
 
 def test_the_slowest_of_a_route_are_remembered_for_a_while():
-    durations, at = Durations(), 100 * SECOND
-    durations.ended(at, "r", 3 * SECOND, 100)
-    durations.ended(at + SECOND, "r", SECOND, 100)
-    assert durations.expected(at + 9 * SECOND, "r", 100) == 3 * SECOND
-    assert durations.expected(at + 9 * SECOND, "other", 100) is None
-    durations.ended(at + 11 * SECOND, "r", SECOND, 100)
-    assert durations.expected(at + 12 * SECOND, "r", 100) == 3 * SECOND
-    durations.ended(at + 22 * SECOND, "r", SECOND, 100)
-    assert durations.expected(at + 23 * SECOND, "r", 100) == SECOND
-    assert durations.expected(at + 50 * SECOND, "r", 100) is None
+    response_times, at = ResponseTimes(), 100 * SECOND
+    response_times.add(at, "r", 3 * SECOND, 100)
+    response_times.add(at + SECOND, "r", SECOND, 100)
+    assert response_times.expected(at + 9 * SECOND, "r", 100) == 3 * SECOND
+    assert response_times.expected(at + 9 * SECOND, "other", 100) is None
+    response_times.add(at + 11 * SECOND, "r", SECOND, 100)
+    assert response_times.expected(at + 12 * SECOND, "r", 100) == 3 * SECOND
+    response_times.add(at + 22 * SECOND, "r", SECOND, 100)
+    assert response_times.expected(at + 23 * SECOND, "r", 100) == SECOND
+    assert response_times.expected(at + 50 * SECOND, "r", 100) is None
 
 
 def test_a_small_request_is_expected_to_take_less_than_a_large_one_did():
-    durations, at = Durations(), 100 * SECOND
-    durations.ended(at, "r", 4 * SECOND, 400)
-    durations.ended(at, "r", SECOND, 50)
-    assert durations.expected(at, "r", 50) == SECOND
-    assert durations.expected(at, "r", 300) == durations.expected(at, "r", 4000) == 4 * SECOND
+    response_times, at = ResponseTimes(), 100 * SECOND
+    response_times.add(at, "r", 4 * SECOND, 400)
+    response_times.add(at, "r", SECOND, 50)
+    assert response_times.expected(at, "r", 50) == SECOND
+    assert response_times.expected(at, "r", 300) == response_times.expected(at, "r", 4000) == 4 * SECOND
 
 
 def test_without_the_guard_late_streams_are_given_up(monkeypatch):
-    monkeypatch.setattr(Departure, "may_start", lambda self, now, **_: True)
+    monkeypatch.setattr(GracefulShutdown, "may_start", lambda self, now, **_: True)
     assert any(b[1] == "LOST" for seed in range(6) for b in crowded_roll(seed)[1])
 
 
--- a/tests/routing/test_doubtful_replicas.py
+++ b/tests/routing/test_doubtful_replicas.py
@@ -1,16 +1,16 @@
 """Replicas in doubt (design 15.3, 15.4): their idle connections, and what is promised of a request that left one."""
 
-from .test_router import Bench, one, rep, route
+from ..support.router_bench import RouterBench, endpoint, only_effect, route
 
 
 def effects(b, *ev):
-    return [e for e in b.p.send((b.now, ev)) if e[0] == "renew"]
+    return [e for e in b.all_effects(*ev) if e[0] == "renew"]
 
 
 def begun(**kw):
-    b = Bench(route(**kw), reps=(rep("1"), rep("2")))
-    rid, es = b.ask()
-    return b, rid, one(es, "try")[3]["replica"]
+    b = RouterBench(route(**kw), replicas=(endpoint("1"), endpoint("2")))
+    rid, es = b.request()
+    return b, rid, only_effect(es, "try")[3]["replica"]
 
 
 def test_idle_connections_of_a_replica_that_may_be_dark_are_not_used_again():
@@ -27,25 +27,25 @@
 
 def test_what_was_lost_says_in_the_log_at_which_replica_and_why():
     b, rid, r = begun(kind="effectful")
-    logs = [e for e in b.p.send((b.now, ("tried", rid, 1, "lost", "ReadError"))) if e[0] == "log"]
+    logs = [e for e in b.all_effects("tried", rid, 1, "lost", "ReadError") if e[0] == "log"]
     assert [dict(e[2])["replica"] for e in logs if e[1] == "request-lost"] == [r], logs
 
 
 def test_a_request_that_left_a_silent_replica_is_never_promised_not_to_have_run():
-    b = Bench(route(kind="pure", tries=3), reps=(rep("1"), rep("2")))
-    rid, es = b.ask()
-    first = one(es, "try")[3]["replica"]
-    assert one(b.tried(rid, 1, "silent", None), "try")[3]["replica"] != first
-    assert one(b.tried(rid, 2, "not-run", 503, None), "answer")[2] == 502
+    b = RouterBench(route(kind="pure", tries=3), replicas=(endpoint("1"), endpoint("2")))
+    rid, es = b.request()
+    first = only_effect(es, "try")[3]["replica"]
+    assert only_effect(b.report(rid, 1, "silent", None), "try")[3]["replica"] != first
+    assert only_effect(b.report(rid, 2, "not-run", 503, None), "answer")[2] == 502
 
 
 def test_one_that_was_only_turned_away_is_told_when_to_come_back():
     for kind in ("pure", "effectful"):
-        b = Bench(route(kind=kind, tries=3), reps=(rep("1"), rep("2")))
-        rid, es = b.ask()
-        one(es, "try")
-        one([e for e in b.tried(rid, 1, "not-run", 421, None)], "try")
-        end = one(b.tried(rid, 2, "not-run", 421, None), "answer")
+        b = RouterBench(route(kind=kind, tries=3), replicas=(endpoint("1"), endpoint("2")))
+        rid, es = b.request()
+        only_effect(es, "try")
+        only_effect([e for e in b.report(rid, 1, "not-run", 421, None)], "try")
+        end = only_effect(b.report(rid, 2, "not-run", 421, None), "answer")
         assert end[2] == 503 and end[3] > 0
 
 
--- a/tests/routing/test_endpoint_list.py
+++ b/tests/routing/test_endpoint_list.py
@@ -3,16 +3,17 @@
 import random
 from datetime import timedelta
 
-from silverglade.routing import replicas as rp
-from silverglade.routing.endpoint_list import MISSED, catalog, readers
-from silverglade.runtime.effects import start
+from silverglade.membership.records import MemberRecord
+from silverglade.routing.endpoint_list import MISSED_LISTS, EndpointList, list_readers
+from silverglade.routing.records import EndpointRecord
 from silverglade.runtime.settings import tuning
+from silverglade.runtime.state_machine import MachineComponent
 
 SEC = timedelta(seconds=1)
 
 
 def roll(*rows):
-    return tuple((i, "l", 1, 1, "z" + g, g, "", "", core, state, (), extra) for i, g, core, state, extra in rows)
+    return tuple(MemberRecord(i, "l", 1, 1, "z" + g, g, "", "", core, state, (), extra) for i, g, core, state, extra in rows)
 
 
 def edges(*ids, blind=()):
@@ -20,12 +21,12 @@
 
 
 def rep(i, leaving=False, region="a", cold=0):
-    return (i, f"10.0.0.{i}:80", "z" + region, region, "s", 8, leaving, cold, -1)
+    return EndpointRecord(i, f"10.0.0.{i}:80", "z" + region, region, "s", 8, leaving, cold, -1)
 
 
-class Bench:
+class EndpointListBench:
     def __init__(self, me="a1", lists=True):
-        self.p = start(catalog(me=me, region=me[0], lists=lists, opt=tuning()))
+        self.p = MachineComponent(EndpointList(own_name=me, region=me[0], has_source=lists, tuning=tuning()))
         self.now, self.sent = 100 * SEC, []
 
     def feed(self, *ev):
@@ -45,7 +46,7 @@
         got = {}
         for e in self.sent:
             if e[0] == "post" and e[1] == "router" and e[2][0] == "listed":
-                new = {r[rp.RID]: r for r in e[2][1]}
+                new = {r.name: r for r in e[2][1]}
                 got = new if e[2][2] else {**got, **new}
             if e[0] == "post" and e[1] == "router" and e[2][0] == "unlisted":
                 got = {i: r for i, r in got.items() if i not in e[2][1]}
@@ -54,28 +55,28 @@
 
 def test_two_daemons_read_of_two_regions_and_none_that_cannot():
     ids = ("a1", "a2", "a3", "b1", "b2", "c1")
-    two = readers(edges(*ids))
+    two = list_readers(edges(*ids))
     assert len(two) == 2 and two[0][0] != two[1][0]
     for i in ids:
-        got = readers(edges(*ids, blind=(i,)))
+        got = list_readers(edges(*ids, blind=(i,)))
         assert i not in got and len(got) == 2
-    assert set(readers(edges("a1", blind=("a1",)))) == {"a1"}  # all blind: somebody still tries
-    assert readers(roll(("k1", "a", True, "ready", ()), ("a1", "a", False, "leaving", ()))) == ()
+    assert set(list_readers(edges("a1", blind=("a1",)))) == {"a1"}  # all blind: somebody still tries
+    assert list_readers(roll(("k1", "a", True, "ready", ()), ("a1", "a", False, "leaving", ()))) == ()
 
 
-def test_every_daemon_agrees_on_the_readers():
+def test_every_daemon_agrees_on_the_list_readers():
     rng = random.Random(1)
     ids = [f"{g}{i}" for g in "abc" for i in range(20)]
-    want = readers(edges(*ids))
+    want = list_readers(edges(*ids))
     for _ in range(20):
         rng.shuffle(ids)
-        assert readers(edges(*ids)) == want
+        assert list_readers(edges(*ids)) == want
 
 
 def test_who_is_no_reader_reads_once_and_then_hears():
     ids = ("a1", "a2", "b1")
-    out = next(i for i in ids if i not in readers(edges(*ids)))
-    b = Bench(out)
+    out = next(i for i in ids if i not in list_readers(edges(*ids)))
+    b = EndpointListBench(out)
     b.feed("roll", edges(*ids))
     assert ("list",) in b.go()
     assert ("list",) not in b.go()  # one at a time
@@ -84,13 +85,13 @@
     b.feed("read", (rep("1"),))
     assert not any(("list",) in b.go() for _ in range(5))
     b.feed("told", "listed", {"2": ((0, 1), rep("2")), "1": ((1, 2), rep("1", leaving=True))})
-    assert set(b.held()) == {"1", "2"} and b.held()["1"][rp.LEAVING]
+    assert set(b.held()) == {"1", "2"} and b.held()["1"].is_leaving
     b.feed("told", "listed", {"1": ((2, 3), None)})
     assert set(b.held()) == {"2"}
 
 
 def test_a_reader_goes_on_and_tells_only_what_changed():
-    b = Bench()
+    b = EndpointListBench()
     b.feed("roll", edges("a1"))
     for _ in range(4):
         assert ("list",) in b.go()
@@ -98,16 +99,16 @@
     assert [k for k, *_ in b.published()] == ["1", "2"]
     b.go()
     b.feed("read", (rep("1", leaving=True), rep("2")))
-    assert b.published()[-1][0] == "1" and b.published()[-1][2][rp.LEAVING]
+    assert b.published()[-1][0] == "1" and EndpointRecord.of(b.published()[-1][2]).is_leaving
 
 
 def test_one_list_without_a_replica_is_no_end_and_an_end_is_for_good():
-    b = Bench()
+    b = EndpointListBench()
     b.feed("roll", edges("a1"))
     b.feed("read", (rep("1"), rep("2")))
     b.feed("read", (rep("2"),))
     assert set(b.held()) == {"1", "2"}
-    for _ in range(MISSED - 1):
+    for _ in range(MISSED_LISTS - 1):
         b.feed("read", (rep("2"),))
     assert set(b.held()) == {"2"} and b.published()[-1][2] is None
     b.feed("read", (rep("1"), rep("2")))
@@ -116,17 +117,17 @@
 
 
 def test_leaving_is_never_taken_back_and_outranks():
-    b = Bench()
+    b = EndpointListBench()
     b.feed("roll", edges("a1"))
     b.feed("read", (rep("1", leaving=True),))
     b.feed("read", (rep("1"),))
-    assert b.held()["1"][rp.LEAVING]
+    assert b.held()["1"].is_leaving
     ranks = [r for _, r, *_ in b.published()]
     assert ranks == sorted(ranks) and len(set(ranks)) == len(ranks)
 
 
 def test_another_daemons_words_are_outranked_not_repeated():
-    b = Bench()
+    b = EndpointListBench()
     b.feed("roll", edges("a1"))
     b.feed("told", "listed", {"1": ((0, 40), rep("1"))})
     b.feed("read", (rep("1", leaving=True),))
@@ -134,7 +135,7 @@
 
 
 def test_a_daemon_that_cannot_read_says_so_and_takes_it_back():
-    b = Bench()
+    b = EndpointListBench()
     b.feed("roll", edges("a1"))
     said = lambda: [e[2][2] for e in b.sent if e[0] == "post" and e[2][:2] == ("extra", "blind")]  # noqa: E731
     b.feed("read", None)
@@ -147,7 +148,7 @@
 
 
 def test_unsound_records_of_a_list_or_of_others_are_passed_over():
-    b = Bench()
+    b = EndpointListBench()
     b.feed("roll", edges("a1"))
     b.feed("read", (("1", 2), rep("2")))
     b.feed("told", "listed", {"3": ((0, 1), ("3",)), "4": ((0, 1), "x")})
@@ -155,7 +156,7 @@
 
 
 def test_loads_are_asked_by_one_and_told_when_they_differ():
-    b = Bench()
+    b = EndpointListBench()
     b.feed("roll", edges("a1"))
     b.feed("read", (rep("1"),))
     asked = [e for _ in range(40) for e in b.go(0.25) if e[0] == "ask"]
@@ -171,6 +172,6 @@
 
 
 def test_without_a_list_nothing_is_read():
-    b = Bench(lists=False)
+    b = EndpointListBench(lists=False)
     b.feed("roll", edges("a1"))
     assert [e[0] for e in b.go()] == ["due"]
--- a/tests/routing/test_health_checks.py
+++ b/tests/routing/test_health_checks.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from silverglade.routing.health_checks import Prober, prober
+from silverglade.routing.health_checks import HealthChecks, health_checker
 from silverglade.runtime.settings import tuning
 
 SEC = timedelta(seconds=1)
@@ -17,7 +17,7 @@
 class Fleet:
     """Daemons over three regions, each with a view of who lives that may be late."""
 
-    def __init__(self, *, n, replicas, rng, make=Prober):
+    def __init__(self, *, n, replicas, rng, make=HealthChecks):
         self.rng, self.make = rng, make
         self.region = {f"d{i}": "abc"[i % 3] for i in range(n)}
         self.places = {f"r{i}": "abc"[rng.randrange(3)] for i in range(replicas)}
@@ -28,21 +28,21 @@
 
     def start(self, i):
         self.dead.discard(i)
-        self.d[i] = self.make(me=i, opt=OPT)
+        self.d[i] = self.make(own_name=i, tuning=OPT)
 
     def view(self, of=None):
         live = tuple((i, r) for i, r in self.region.items() if i not in self.dead)
         for i, r in live:
             if of is None or r == of:
-                self.d[i].known(live)
-                self.d[i].listed(self.places)
+                self.d[i].set_live_daemons(live)
+                self.d[i].set_replicas(self.places)
 
     def step(self, now, silent=()):
         """Answers come a tenth of a second later, none from the silent."""
         for at, i, x in [w for w in self.wait if w[0] <= now]:
             self.wait.remove((at, i, x))
             if i not in self.dead:
-                self.d[i].answered(x)
+                self.d[i].on_answer(x)
         for i in self.region:
             if i in self.dead:
                 continue
@@ -72,7 +72,7 @@
     return bad
 
 
-def play(seed, make=Prober):
+def play(seed, make=HealthChecks):
     rng = random.Random(seed)
     f = Fleet(n=rng.choice((3, 6, 9, 30)), replicas=rng.choice((1, 5, 20, 60)), rng=rng, make=make)
     calm, since = [], 0 * SEC
@@ -100,7 +100,7 @@
 
 
 def planted(**kw):
-    class Without(Prober):
+    class Without(HealthChecks):
         pass
 
     for k, v in kw.items():
@@ -109,57 +109,57 @@
 
 
 def everyone(self):
-    self.mine = frozenset(self.places)
+    self.own_replicas = frozenset(self.regions)
 
 
 def local(self):
-    here = dict(self.live).get(self.me)
-    self.mine = frozenset(i for i, r in self.places.items() if r == here)
+    here = dict(self.live).get(self.own_name)
+    self.own_replicas = frozenset(i for i, r in self.regions.items() if r == here)
 
 
 def anywhere(self):
     from silverglade.membership.rendezvous import highest_ranked
 
-    self.mine = frozenset(i for i in self.places if highest_ranked(i, [j for j, _ in self.live]) == self.me)
+    self.own_replicas = frozenset(i for i in self.regions if highest_ranked(i, [j for j, _ in self.live]) == self.own_name)
 
 
 def nobody_new(self):
-    if not self.mine:
-        Prober.share(self)
+    if not self.own_replicas:
+        HealthChecks.assign(self)
 
 
 @pytest.mark.parametrize("rule", [everyone, local, anywhere, nobody_new])
 def test_the_oracle_finds_each_rule_left_out(rule):
-    assert any(faults(*play(s, make=planted(share=rule))) for s in range(6))
+    assert any(faults(*play(s, make=planted(assign=rule))) for s in range(6))
 
 
 def test_the_oracle_finds_a_daemon_that_asks_at_every_pulse():
-    assert faults(*play(1, make=planted(due=lambda self, now: tuple(self.mine))))
+    assert faults(*play(1, make=planted(due=lambda self, now: tuple(self.own_replicas))))
 
 
 def test_nobody_probes_where_nobody_lives():
-    assert prober("r", "a", (("d", "b"),)) is None
-    p = Prober(me="d", opt=OPT)
-    p.known((("d", "b"),))
-    p.listed({"r": "a"})
+    assert health_checker("r", "a", (("d", "b"),)) is None
+    p = HealthChecks(own_name="d", tuning=OPT)
+    p.set_live_daemons((("d", "b"),))
+    p.set_replicas({"r": "a"})
     assert p.due(10 * SEC) == ()
 
 
 def test_the_work_is_spread_over_the_daemons_of_a_region():
     live = tuple((f"d{i}", "a") for i in range(6))
-    n = Counter(prober(f"r{i}", "a", live) for i in range(600))
+    n = Counter(health_checker(f"r{i}", "a", live) for i in range(600))
     assert len(n) == 6 and max(n.values()) < 160
 
 
 def lone(**opts):
-    p = Prober(me="d", opt=tuning(**opts))
-    p.known((("d", "a"),))
-    p.listed({f"r{i}": "a" for i in range(10)})
+    p = HealthChecks(own_name="d", tuning=tuning(**opts))
+    p.set_live_daemons((("d", "a"),))
+    p.set_replicas({f"r{i}": "a" for i in range(10)})
     got = []
     for t in range(40):
         for x in p.due(t * SEC / 20):
             got.append((t, x))
-            p.answered(x)
+            p.on_answer(x)
     return p, got
 
 
@@ -172,47 +172,47 @@
     p, _ = lone()
     now = 2.01 * SEC
     p.due(now)
-    p.answered("r0")
+    p.on_answer("r0")
     p.suspect("r0")
     assert p.due(now + SEC / 20) == ("r0",)
-    p.failed("r0")
+    p.on_failure("r0")
     p.suspect("r0")
     asked = []
     for t in range(2, 38):
         asked += [x for x in p.due(now + t * SEC / 20) if x == "r0"]
-        for x in p.mine - {"r0"}:
-            p.answered(x)
+        for x in p.own_replicas - {"r0"}:
+            p.on_answer(x)
     assert asked == []  # its turn is two seconds after the extra one
     assert "r0" in p.due(now + 2.1 * SEC)
-    p.answered("r0")
+    p.on_answer("r0")
     p.suspect("r0")
     assert "r0" in p.due(now + 2.2 * SEC)  # it answered, so it may be doubted again
 
 
 def test_suspicions_of_many_do_not_make_a_flood():
     p, _ = lone(probe_extra=3, probe_every=60)
-    p.next = {i: 100 * SEC for i in p.next}
+    p.next_turn = {i: 100 * SEC for i in p.next_turn}
     for i in range(10):
         p.suspect(f"r{i}")
     assert [len(p.due((50 + t) * SEC)) for t in range(5)] == [3, 3, 3, 1, 0]
 
 
 def test_a_probe_without_an_answer_holds_back_the_next_only_so_long():
-    p = Prober(me="d", opt=tuning(probe_wait=5))
-    p.known((("d", "a"),))
-    p.listed({"r": "a"})
+    p = HealthChecks(own_name="d", tuning=tuning(probe_wait=5))
+    p.set_live_daemons((("d", "a"),))
+    p.set_replicas({"r": "a"})
     assert [t for t in range(0, 20) if p.due(t * SEC)] == [0, 5, 10, 15]
     p.suspect("other")  # not its replica: nothing
-    assert p.doubted == {}
+    assert p.suspected == {}
 
 
 def test_what_is_handed_on_leaves_nothing_here_and_a_thawed_daemon_begins_anew():
-    p = Prober(me="d", opt=OPT)
-    p.known((("d", "a"),))
-    p.listed({"r": "a"})
+    p = HealthChecks(own_name="d", tuning=OPT)
+    p.set_live_daemons((("d", "a"),))
+    p.set_replicas({"r": "a"})
     assert p.due(0 * SEC) == ("r",)
     p.suspect("r")
-    p.froze()
+    p.on_process_paused()
     assert p.due(0.1 * SEC) == ("r",)
-    p.listed({})
-    assert (p.next, p.asked, p.doubted, p.mine) == ({}, {}, {}, frozenset())
+    p.set_replicas({})
+    assert (p.next_turn, p.under_way, p.suspected, p.own_replicas) == ({}, {}, {}, frozenset())
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -6,15 +6,15 @@
 
 import pytest
 
-from silverglade.routing import outlier_ejection as suspicion
-from silverglade.routing.outlier_ejection import HOLD, HOLD_MOST, SOUND, SUSPECT, TRIAL, Member, Suspicions
+from silverglade.routing import outlier_ejection
+from silverglade.routing.outlier_ejection import ACQUITTAL, EJECTION, LONGEST_EJECTION, SUSPECT, TRIAL, DaemonPlace, OutlierEjection
 
-from .test_router import Bench, one, rep, route
+from ..support.router_bench import RouterBench, endpoint, member, only_effect, route
 
 SEC = timedelta(seconds=1)
 MS = timedelta(milliseconds=1)
-HERE = {"d1": Member("a1", "a"), "d2": Member("a1", "a"), "d3": Member("a2", "a"), "d4": Member("a2", "a")}
-FAR = {"e1": Member("b1", "b"), "e2": Member("b2", "b")}
+HERE = {"d1": DaemonPlace("a1", "a"), "d2": DaemonPlace("a1", "a"), "d3": DaemonPlace("a2", "a"), "d4": DaemonPlace("a2", "a")}
+FAR = {"e1": DaemonPlace("b1", "b"), "e2": DaemonPlace("b2", "b")}
 
 
 class Replica(NamedTuple):
@@ -32,36 +32,36 @@
 
     def __init__(self, members, replicas=REPLICAS):
         self.now, self.replicas, self.rows, self.cut = 100 * SEC, replicas, [], set()
-        self.daemons = {i: Suspicions(me=i) for i in members}
+        self.daemons = {i: OutlierEjection(own_name=i) for i in members}
         for d in self.daemons.values():
-            d.known(members)
+            d.set_daemons(members)
 
     def spread(self):
         """What was published is told to all that are not cut off; what they hold back comes with the next call."""
         for i, d in self.daemons.items():
             if i in self.cut:
                 continue
-            for row in d.taken():
+            for row in d.take_rows():
                 self.rows.append((i, row))
                 for j, other in self.daemons.items():
                     if j not in self.cut:
-                        other.told(self.now, {row.key: (row.rank, row.value)}, self.replicas)
+                        other.on_rows(self.now, {row.key: (row.rank, row.value)}, self.replicas)
 
     def accuse(self, daemon, replica):
         self.daemons[daemon].accuse(self.now, self.replicas[replica], list(self.replicas.values()))
         self.spread()
 
     def answered(self, daemon, replica):
-        self.daemons[daemon].answered(self.now, self.replicas[replica])
+        self.daemons[daemon].on_answer(self.now, self.replicas[replica])
         self.spread()
 
     def out(self, daemon="d4"):
-        return self.daemons[daemon].passed_over(self.now, list(self.replicas.values()))
+        return self.daemons[daemon].avoided(self.now, list(self.replicas.values()))
 
     def go(self, span):
         self.now += span
         for d in self.daemons.values():
-            d.tidy(self.now, self.replicas)
+            d.expire(self.now, self.replicas)
         self.spread()
 
 
@@ -77,12 +77,12 @@
 def test_one_daemon_alone_takes_no_replica_from_others(monkeypatch, guard):
     """Whatever it says, however often; with the quorum cut out it does."""
     if guard:
-        monkeypatch.setattr(suspicion, guard, 0)
-        monkeypatch.setattr(Suspicions, "quorum", lambda self, now, replica, case: bool(case.accusers))
+        monkeypatch.setattr(outlier_ejection, guard, 0)
+        monkeypatch.setattr(OutlierEjection, "has_quorum", lambda self, now, replica, case: bool(case.accusers))
     f, taken = Fleet(HERE), False
     for n in range(1000):
         for r in REPLICAS:
-            f.daemons["d4"].told(f.now, {f"{r} d1": ((n + 1,), (1000,))}, REPLICAS)
+            f.daemons["d4"].on_rows(f.now, {f"{r} d1": ((n + 1,), (1000,))}, REPLICAS)
         taken |= bool(f.out())
         f.now += 10 * MS
     assert taken == bool(guard)
@@ -106,7 +106,7 @@
     f.accuse("e2", "0")
     assert f.rows == [] and f.out() == frozenset()
     for i in FAR:  # not even where they say so
-        f.daemons["d4"].told(f.now, {f"0 {i}": ((9,), (1000,))}, REPLICAS)
+        f.daemons["d4"].on_rows(f.now, {f"0 {i}": ((9,), (1000,))}, REPLICAS)
     assert f.out() == frozenset()
     g = Fleet(FAR)
     g.accuse("e1", "0")
@@ -118,12 +118,12 @@
 @pytest.mark.parametrize("count", [1, 2, 3, 6, 7])
 def test_never_more_than_half_of_a_service_in_a_region_is_taken(monkeypatch, count, guard):
     if not guard:
-        monkeypatch.setattr(suspicion, "PANIC", 1)
+        monkeypatch.setattr(outlier_ejection, "REPLICAS_PER_EJECTION", 1)
     replicas = {str(i): Replica(str(i)) for i in range(count)}
     f = Fleet(HERE, replicas)
     for r in replicas:
         for i in ("d1", "d2", "d3"):
-            f.daemons["d4"].told(f.now, {f"{r} {i}": ((1,), (1000,))}, replicas)
+            f.daemons["d4"].on_rows(f.now, {f"{r} {i}": ((1,), (1000,))}, replicas)
     assert (len(f.out()) <= count // 2) == guard
 
 
@@ -142,7 +142,7 @@
 
 
 def test_however_many_of_one_zone_accuse_few_say_so():
-    members = {f"d{i}": Member("a1", "a") for i in range(40)} | {"z": Member("a2", "a")}
+    members = {f"d{i}": DaemonPlace("a1", "a") for i in range(40)} | {"z": DaemonPlace("a2", "a")}
     f = Fleet(members)
     for i in members:
         f.accuse(i, "0")
@@ -163,10 +163,10 @@
 def test_after_an_ejection_one_daemon_alone_tries_and_its_word_frees_the_replica():
     f = Fleet(HERE)
     eject(f)
-    f.go(HOLD)
+    f.go(EJECTION)
     (tester,) = on_trial(f)
     d = f.daemons[tester]
-    assert d.to_be_tried(f.now, list(REPLICAS.values())).id == "0"
+    assert d.replica_to_try(f.now, list(REPLICAS.values())).id == "0"
     f.answered(tester, "0")
     assert len(on_trial(f)) == len(HERE)
 
@@ -182,14 +182,14 @@
         (tester,) = on_trial(f)
         testers.add(tester)
         f.accuse(tester, "0")
-    assert spans[:4] == [HOLD, 2 * HOLD, 4 * HOLD, 8 * HOLD] and max(spans) == HOLD_MOST
+    assert spans[:4] == [EJECTION, 2 * EJECTION, 4 * EJECTION, 8 * EJECTION] and max(spans) == LONGEST_EJECTION
     assert len(testers) > 1
 
 
 def test_nobody_that_tries_is_not_waited_for_for_ever():
     f = Fleet(HERE)
     eject(f)
-    f.go(HOLD + TRIAL)
+    f.go(EJECTION + TRIAL)
     assert len(on_trial(f)) == len(HERE)
 
 
@@ -200,10 +200,10 @@
         f.go(SEC)
     last = {row.key: row.value for _, row in f.rows}
     assert set(last.values()) == {None}
-    assert all(not d.cases and not d.mine for d in f.daemons.values())
+    assert all(not d.cases and not d.own_rows for d in f.daemons.values())
     f.replicas = {}
     f.go(SEC)
-    assert all(not d.ranks for d in f.daemons.values())
+    assert all(not d.row_numbers for d in f.daemons.values())
 
 
 def test_a_daemon_that_was_cut_off_takes_nothing_when_it_is_back():
@@ -218,7 +218,7 @@
 
 def test_an_accuser_that_starts_again_outranks_its_earlier_life():
     f = Fleet(HERE)
-    f.daemons["d1"].told(f.now, {"0 d1": ((41,), (1000,))}, REPLICAS)  # its own, from the table
+    f.daemons["d1"].on_rows(f.now, {"0 d1": ((41,), (1000,))}, REPLICAS)  # its own, from the table
     f.accuse("d1", "0")
     assert f.rows[-1][1].rank == (42,)
     assert f.daemons["d1"].cases["0"].accusers.keys() == {"d1"}
@@ -242,19 +242,19 @@
     ],
 )
 def test_nonsense_is_passed_over(key, value):
-    d = Suspicions(me="d4")
-    d.known(HERE)
-    d.told(SEC, {key: ((1,), value)}, REPLICAS)
-    d.told(SEC, {"0 d3": ((1,), (1000,))}, REPLICAS)
-    assert d.passed_over(SEC, list(REPLICAS.values())) == frozenset()
+    d = OutlierEjection(own_name="d4")
+    d.set_daemons(HERE)
+    d.on_rows(SEC, {key: ((1,), value)}, REPLICAS)
+    d.on_rows(SEC, {"0 d3": ((1,), (1000,))}, REPLICAS)
+    assert d.avoided(SEC, list(REPLICAS.values())) == frozenset()
 
 
 def test_a_word_counts_no_longer_than_the_longest_hold():
-    d = Suspicions(me="d4")
-    d.known(HERE)
-    d.told(SEC, {"0 d1": ((1,), (10**9,))}, REPLICAS)
-    d.told(SEC + HOLD_MOST + MS, {"0 d3": ((1,), (1000,))}, REPLICAS)
-    assert d.passed_over(SEC + HOLD_MOST + MS, list(REPLICAS.values())) == frozenset()
+    d = OutlierEjection(own_name="d4")
+    d.set_daemons(HERE)
+    d.on_rows(SEC, {"0 d1": ((1,), (10**9,))}, REPLICAS)
+    d.on_rows(SEC + LONGEST_EJECTION + MS, {"0 d3": ((1,), (1000,))}, REPLICAS)
+    assert d.avoided(SEC + LONGEST_EJECTION + MS, list(REPLICAS.values())) == frozenset()
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -271,64 +271,64 @@
             f.go(rng.randrange(900) * MS)
         outs = [f.out(i) for i in HERE]
         assert all(len(o) <= len(REPLICAS) // 2 for o in outs)
-        held = [{x for x, c in d.cases.items() if c.held(f.now)} for d in f.daemons.values()]
+        held = [{x for x, c in d.cases.items() if c.is_open(f.now)} for d in f.daemons.values()]
         assert all(h == held[0] for h in held) and all(o <= h for o, h in zip(outs, held))
         if len(held[0]) <= len(REPLICAS) // 2:
-            trials = {x for x in held[0] if f.daemons["d1"].cases[x].on_trial(f.now)}
+            trials = {x for x in held[0] if f.daemons["d1"].cases[x].is_on_trial(f.now)}
             assert frozenset.union(*outs) - frozenset.intersection(*outs) <= trials
 
 
-class Told(Bench):
+class Told(RouterBench):
     """A daemon's part that hears of others."""
 
     def __init__(self, *rs, **kw):
         super().__init__(*rs, **kw)
-        self.feed("roll", tuple((d, "", 1, 1, m.zone, m.region, "", "", False, "ready", (), ()) for d, m in HERE.items()))
+        self.feed("roll", tuple(member(daemon, place.zone, place.region) for daemon, place in HERE.items()))
 
     def tell(self, replica, *daemons, value=(1000,), rank=(1,)):
         return self.feed("told", SUSPECT, {f"{replica} {d}": (rank, value) for d in daemons})
 
     def published(self, *ev):
-        return [e[2][1:] for e in self.p.send((self.now, ev)) if e[0] == "post" and e[2][:2] == ("publish", SUSPECT)]
+        return [e[2][1:] for e in self.all_effects(*ev) if e[0] == "post" and e[2][:2] == ("publish", SUSPECT)]
 
 
 def test_requests_go_past_what_others_accuse_and_come_back():
-    b = Told(route(), reps=(rep("1"), rep("2")))
+    b = Told(route(), replicas=(endpoint("1"), endpoint("2")))
     b.tell("1", "d2", "d3")
-    assert {one(b.ask()[1], "try")[3]["replica"] for _ in range(8)} == {"2"}
-    b.go(HOLD_MOST / SEC + TRIAL / SEC)
-    assert {one(b.ask()[1], "try")[3]["replica"] for _ in range(24)} == {"1", "2"}
+    assert {only_effect(b.request()[1], "try")[3]["replica"] for _ in range(8)} == {"2"}
+    b.advance(LONGEST_EJECTION / SEC + TRIAL / SEC)
+    assert {only_effect(b.request()[1], "try")[3]["replica"] for _ in range(24)} == {"1", "2"}
 
 
 def test_the_last_replica_is_used_whatever_others_say():
-    b = Told(route(), reps=(rep("1"),))
+    b = Told(route(), replicas=(endpoint("1"),))
     b.tell("1", "d2", "d3", "d4")
-    assert one(b.ask()[1], "try")[3]["replica"] == "1"
+    assert only_effect(b.request()[1], "try")[3]["replica"] == "1"
 
 
 @pytest.mark.parametrize("what", [("lost", "ReadError"), ("cut", None), ("failed", 500), ("not-run", 421), ("unsent", "refused")])
 def test_what_a_request_met_is_told(what):
     b = Told(route(kind="pure", tries=3))
-    rid, es = b.ask()
-    replica = one(es, "try")[3]["replica"]
-    assert b.published("tried", rid, 1, *what) == [(SUSPECT, f"{replica} d1", (1,), (1000,))]
+    rid, es = b.request()
+    replica = only_effect(es, "try")[3]["replica"]
+    assert b.published("tried", rid, 1, *what) == [(SUSPECT, f"{replica} d1", (1,), (1000,), "")]
 
 
 @pytest.mark.parametrize("what", [("failed", 404), ("not-run", 503, 0.1), ("unsent", "pool-full"), ("gone",), ("done",), ("silent",)])
 def test_what_is_no_failure_of_the_replica_is_not_told(what):
     b = Told(route(kind="pure", tries=3))
-    rid, _ = b.ask()
+    rid, _ = b.request()
     assert b.published("tried", rid, 1, *what) == []
 
 
 def test_a_trial_is_made_with_a_request_that_may_be_repeated_and_ends_in_an_acquittal():
-    b = Told(route(kind="pure", tries=2), reps=tuple(rep(str(i)) for i in range(1, 9)))
+    b = Told(route(kind="pure", tries=2), replicas=tuple(endpoint(str(i)) for i in range(1, 9)))
     words = []
     for rank in range(1, 30):  # until the trial falls to this daemon
         b.tell("1", "d2", "d3", rank=(rank,))
         for _ in range(20):
             b.now += SEC / 2
-            rid, es = b.ask()
-            replica = one(es, "try")[3]["replica"]
-            words += [(replica, row[-1]) for row in b.published("tried", rid, 1, "done")]
-    assert set(words) == {("1", SOUND)}
+            rid, es = b.request()
+            replica = only_effect(es, "try")[3]["replica"]
+            words += [(replica, row[3]) for row in b.published("tried", rid, 1, "done")]
+    assert set(words) == {("1", ACQUITTAL)}
--- a/tests/routing/test_prefill_placement.py
+++ b/tests/routing/test_prefill_placement.py
@@ -1,17 +1,26 @@
-"""Placing long prompts by ledgers (design 15.11): what a ledger says, whom a daemon asks, and what it does without an answer."""
+"""Placing long prompts by backlogss (design 15.11): what a backlogs says, whom a daemon asks, and what it does without an answer."""
 
 from datetime import timedelta
 
 import pytest
 
-from silverglade.routing import prefill_backlog as prefill
-from silverglade.routing.health_checks import prober
-from silverglade.routing.prefill_backlog import FORGOTTEN_AFTER, Ledger, Lengths, Prompt, Question, prompt_of
-from silverglade.routing.prefill_placement import ANSWER_WITHIN, SILENT_FOR, Placement
+from silverglade.routing.health_checks import health_checker
+from silverglade.routing.messages import decode
+from silverglade.routing.prefill_backlog import (
+    FORGOTTEN_AFTER,
+    MOST_PARTS,
+    BacklogQuery,
+    PrefillBacklogs,
+    PrefillId,
+    Prompt,
+    PromptLengths,
+    prompt_of,
+)
+from silverglade.routing.prefill_placement import ANSWER_WITHIN, SILENT_FOR, PrefillPlacement
 from silverglade.testbed.experiments.policy_day import play
 from silverglade.transport.message_schemas import is_valid_message
 
-from .test_router import Bench, one, rep, route
+from ..support.router_bench import RouterBench, endpoint, only_effect, route
 
 SEC = timedelta(seconds=1)
 LONG = ((("s", 2500), ("d", 4000), ("o1", 3000)), (9500, 100))
@@ -22,58 +31,58 @@
     assert prompt_of(*LONG) == Prompt((("s", 2500), ("d", 4000)), 3000)
     assert prompt_of((), (50, 1)) == Prompt((), 50)
     assert prompt_of(LONG[0], None).tokens == 9500
-    assert prompt_of((("s", 900), ("o", 9)), (10, 1)).own == 0  # tokens that don't add up
+    assert prompt_of((("s", 900), ("o", 9)), (10, 1)).own_tokens == 0  # tokens that don't add up
 
 
 def test_what_is_longer_than_the_mean_is_long_and_equal_ones_are_not():
-    lengths = Lengths()
-    assert [lengths.long("a", 100) for _ in range(50)] == [False] * 50
-    assert lengths.long("a", 101)
-    assert not lengths.long("b", 9000)  # services apart
-    got = [lengths.long("c", n) for _ in range(40) for n in (800, 9000)]
+    lengths = PromptLengths()
+    assert [lengths.is_long("a", 100) for _ in range(50)] == [False] * 50
+    assert lengths.is_long("a", 101)
+    assert not lengths.is_long("b", 9000)  # services apart
+    got = [lengths.is_long("c", n) for _ in range(40) for n in (800, 9000)]
     assert got[1::2][5:] == [True] * 35 and got[::2] == [False] * 40
 
 
-def test_a_ledger_counts_what_is_sent_and_not_yet_read():
-    ledger, now, p = Ledger(), 10 * SEC, prompt_of(*LONG)
-    assert ledger.cost(now, "1", p) == 9500
-    ledger.put(now, "1", "d2", 7, p, 0)
-    assert ledger.cost(now, "1", p) == 9500 + 3000  # its shared parts will be kept by then
-    ledger.read("1", "d2", 7)
-    assert ledger.cost(now, "1", p) == 3000
-    ledger.put(now, "1", "d2", 8, p, 0)
-    assert ledger.cost(now + FORGOTTEN_AFTER, "1", p) == 3000  # never reported: its daemon may be gone
-    ledger.read("1", "d3", 99)
-    ledger.read("9", "d3", 99)
-    ledger.tidy(now + FORGOTTEN_AFTER, {"1"})
-    assert ledger.books["1"].reading == {}
-    ledger.tidy(now, set())
-    assert ledger.books == {}
+def test_a_backlogs_counts_what_is_sent_and_not_yet_read():
+    backlogs, now, p = PrefillBacklogs(), 10 * SEC, prompt_of(*LONG)
+    assert backlogs.cost(now, "1", p) == 9500
+    backlogs.add(now, "1", PrefillId("d2", 7), p, 0)
+    assert backlogs.cost(now, "1", p) == 9500 + 3000  # its shared parts will be kept by then
+    backlogs.remove("1", PrefillId("d2", 7))
+    assert backlogs.cost(now, "1", p) == 3000
+    backlogs.add(now, "1", PrefillId("d2", 8), p, 0)
+    assert backlogs.cost(now + FORGOTTEN_AFTER, "1", p) == 3000  # never reported: its daemon may be gone
+    backlogs.remove("1", PrefillId("d3", 99))
+    backlogs.remove("9", PrefillId("d3", 99))
+    backlogs.expire(now + FORGOTTEN_AFTER, {"1"})
+    assert backlogs.replicas["1"].reading == {}
+    backlogs.expire(now, set())
+    assert backlogs.replicas == {}
 
 
 def test_parts_behind_one_that_is_not_kept_are_read_again():
-    ledger = Ledger()
-    ledger.put(SEC, "1", "d2", 1, Prompt((("d", 4000),), 0), 0)
-    ledger.read("1", "d2", 1)
-    assert ledger.cost(SEC, "1", prompt_of(*LONG)) == 9500
+    backlogs = PrefillBacklogs()
+    backlogs.add(SEC, "1", PrefillId("d2", 1), Prompt((("d", 4000),), 0), 0)
+    backlogs.remove("1", PrefillId("d2", 1))
+    assert backlogs.cost(SEC, "1", prompt_of(*LONG)) == 9500
 
 
-@pytest.mark.parametrize("room, parts", [(10_000, 10), (0, prefill.MOST_PARTS)])
-def test_what_a_ledger_remembers_is_bounded_by_the_replicas_memory_and_by_count(room, parts):
-    ledger = Ledger()
-    for n in range(prefill.MOST_PARTS + 100):
-        ledger.put(SEC, "1", "d2", n, Prompt(((f"p{n}", 1000),), 0), room)
-    book = ledger.books["1"]
-    assert len(book.kept) == parts and book.size == 1000 * parts
-    assert f"p{prefill.MOST_PARTS + 99}" in book.kept
+@pytest.mark.parametrize("room, parts", [(10_000, 10), (0, MOST_PARTS)])
+def test_what_a_backlogs_remembers_is_bounded_by_the_replicas_memory_and_by_count(room, parts):
+    backlogs = PrefillBacklogs()
+    for n in range(MOST_PARTS + 100):
+        backlogs.add(SEC, "1", PrefillId("d2", n), Prompt(((f"p{n}", 1000),), 0), room)
+    backlog = backlogs.replicas["1"]
+    assert len(backlog.cached) == parts and backlog.cached_tokens == 1000 * parts
+    assert f"p{MOST_PARTS + 99}" in backlog.cached
 
 
 def test_a_question_wants_both_answers_and_takes_the_lesser_then_the_first():
-    q = Question(("1", "2"), SEC)
-    assert not q.answered("2", 5) and q.best() == "1"
-    assert not q.answered("9", 0)
-    assert q.answered("1", 6) and q.best() == "2"
-    q.answered("2", 6)
+    q = BacklogQuery(("1", "2"), SEC)
+    assert not q.on_answer("2", 5) and q.best() == "1"
+    assert not q.on_answer("9", 0)
+    assert q.on_answer("1", 6) and q.best() == "2"
+    q.on_answer("2", 6)
     assert q.best() == "1"
 
 
@@ -95,25 +104,25 @@
     assert is_valid_message(body) == ok
 
 
-class Asking(Bench):
-    """A daemon's part whose replicas' ledgers others hold; one long prompt follows short ones."""
+class Asking(RouterBench):
+    """A daemon's part whose replicas' backlogss others hold; one long prompt follows short ones."""
 
     def __init__(self):
-        super().__init__(route(by_prefix=True), reps=tuple(rep(str(i)) for i in range(1, 9)))
+        super().__init__(route(by_prefix=True), replicas=tuple(endpoint(str(i)) for i in range(1, 9)))
         for _ in range(3):
-            rid, _ = self.ask(prefix=SHORT[0], tokens=SHORT[1])
-            self.tried(rid, 1, "done")
+            rid, _ = self.request(prefix=SHORT[0], tokens=SHORT[1])
+            self.report(rid, 1, "done")
 
     def long(self):
-        """Until both ledgers are others' -> (the request, the messages)."""
+        """Until both backlogss are others' -> (the request, the messages)."""
         for _ in range(60):
-            rid, es = self.ask(prefix=((f"s{self.n}", 2500), *LONG[0][1:]), tokens=LONG[1])
+            rid, es = self.request(prefix=((f"s{self.requests_made}", 2500), *LONG[0][1:]), tokens=LONG[1])
             asks = [e for e in es if e[0] == "send" and e[2][0] == "load-ask"]
             if len(asks) == 2:
                 assert es == asks
                 return rid, asks
-            self.tried(rid, 1, "done")
-        raise AssertionError("no prompt whose ledgers are both others'")
+            self.report(rid, 1, "done")
+        raise AssertionError("no prompt whose backlogss are both others'")
 
     def tell(self, ask, cost):
         return self.feed("msg", ask[1], ("load-told", ask[2][1], ask[2][2], cost))
@@ -124,7 +133,7 @@
 
 
 @pytest.mark.parametrize("costs, chosen", [((9000, 100), 1), ((100, 9000), 0), ((500, 500), 0)])
-def test_the_replica_with_less_to_read_gets_it_and_its_ledger_is_told(costs, chosen):
+def test_the_replica_with_less_to_read_gets_it_and_its_backlogs_is_told(costs, chosen):
     b = Asking()
     rid, asks = b.long()
     assert tries(b.tell(asks[0], costs[0])) == []
@@ -132,49 +141,48 @@
     assert tries(es) == [asks[chosen][2][2]]
     puts = [e for e in es if e[0] == "send"]
     assert [p[1:] for p in puts] == [(asks[chosen][1], ("load-put", asks[chosen][2][2], puts[0][2][2], *asks[0][2][3:]))]
-    reads = [e for e in b.tried(rid, 1, "began", 200) if e[0] == "send"]
+    reads = [e for e in b.report(rid, 1, "began", 200) if e[0] == "send"]
     assert [r[2][0] for r in reads] == ["load-read"]
-    assert [e for e in b.tried(rid, 1, "done") if e[0] == "send"] == []  # once
+    assert [e for e in b.report(rid, 1, "done") if e[0] == "send"] == []  # once
 
 
 @pytest.mark.parametrize("what", [("unsent", "refused"), ("lost", None), ("gone",), ("not-run", 503, 0.1)])
-def test_a_try_that_ends_before_its_first_token_is_taken_off_the_ledger(what):
+def test_a_try_that_ends_before_its_first_token_is_taken_off_the_backlogs(what):
     b = Asking()
     rid, asks = b.long()
     b.tell(asks[0], 1)
     b.tell(asks[1], 2)
-    assert ("load-read", asks[0][2][2]) in [e[2][:2] for e in b.tried(rid, 1, *what) if e[0] == "send"]
+    assert ("load-read", asks[0][2][2]) in [e[2][:2] for e in b.report(rid, 1, *what) if e[0] == "send"]
 
 
 def test_without_an_answer_the_first_gets_it_and_the_silent_holder_is_left_alone_for_a_while():
     b = Asking()
     _, asks = b.long()
     b.tell(asks[1], 1)
-    es = b.go(ANSWER_WITHIN / SEC)
+    es = b.advance(ANSWER_WITHIN / SEC)
     assert tries(es) == [asks[0][2][2]]
     assert b.tell(asks[0], 1) == []  # too late
     for _ in range(20):
-        es = b.ask(prefix=((f"t{b.n}", 2500), *LONG[0][1:]), tokens=LONG[1])[1]
+        es = b.request(prefix=((f"t{b.requests_made}", 2500), *LONG[0][1:]), tokens=LONG[1])[1]
         assert asks[0][1] not in [e[1] for e in es if e[0] == "send" and e[2][0] == "load-ask"]
-    b.go(SILENT_FOR / SEC)
-    assert asks[0][1] in {
-        e[1] for _ in range(40) for e in b.ask(prefix=((f"u{b.n}", 2500), *LONG[0][1:]), tokens=LONG[1])[1] if e[0] == "send"
-    }
+    b.advance(SILENT_FOR / SEC)
+    later = [b.request(prefix=((f"u{b.requests_made}", 2500), *LONG[0][1:]), tokens=LONG[1])[1] for _ in range(40)]
+    assert asks[0][1] in {e[1] for es in later for e in es if e[0] == "send"}
 
 
-def test_a_client_that_leaves_while_the_ledgers_are_asked_gets_no_try():
+def test_a_client_that_leaves_while_the_backlogss_are_asked_gets_no_try():
     b = Asking()
     rid, asks = b.long()
-    b.tried(rid, 0, "gone")
+    b.report(rid, 0, "gone")
     assert [b.tell(a, 1) for a in asks] == [[], []]
-    assert tries(b.go(1)) == []
+    assert tries(b.advance(1)) == []
 
 
-def test_a_replica_that_leaves_while_its_ledger_is_asked_gets_nothing():
+def test_a_replica_that_leaves_while_its_backlogs_is_asked_gets_nothing():
     b = Asking()
     _, asks = b.long()
     gone = asks[0][2][2]
-    b.feed("listed", (rep(gone, leaving=True),), False)
+    b.feed("listed", (endpoint(gone, leaving=True),), False)
     b.tell(asks[0], 0)
     assert gone not in tries(b.tell(asks[1], 5000))
 
@@ -188,51 +196,54 @@
     assert tries(b.tell(asks[1], 5)) == []
 
 
-def test_words_about_unknown_replicas_and_nonsense_leave_no_trace():
-    p = Placement(me="d1", region="a")
-    replicas = {"1": type("R", (), dict(service="s"))}
-    for body in (
+@pytest.mark.parametrize(
+    "body",
+    [
         ("load-put", "9", 1, (("s", 5),), 5),
         ("load-put", "1", 1, (("s", 5),), -5),
         ("load-put", "1", 1, (("s",),), 5),
         ("load-put", "1", 1, ((5, "s"),), 5),
         ("load-ask", 1, "9", (), 5),
         ("load-read", "9", 1),
-    ):
-        assert p.heard(SEC, "d2", body, replicas) == ((), None)
-    assert p.ledger.books == {}
+    ],
+)
+def test_words_about_unknown_replicas_and_nonsense_leave_no_trace(body):
+    b = RouterBench(route(), replicas=(endpoint("1"),))
+    assert b.all_effects("msg", "d2", body) == ()
+    assert b.component.machine.context.placement.backlogs.replicas == {}
 
 
 def test_a_thousand_prompts_of_one_daemon_that_are_never_read_are_forgotten():
-    p, replicas = Placement(me="d1", region="a"), {"1": type("R", (), dict(service="s"))}
+    p, replica = PrefillPlacement(own_name="d1", region="a"), type("R", (), dict(service="s"))
     for n in range(1000):
-        p.heard(SEC, "d2", ("load-put", "1", n, (), 9000), replicas)
-    p.tidy(SEC + FORGOTTEN_AFTER, replicas)
-    assert p.ledger.cost(SEC + FORGOTTEN_AFTER, "1", Prompt((), 1)) == 1
+        p.on_prefill_started(SEC, "d2", decode(("load-put", "1", n, (), 9000)), replica)
+    assert p.backlogs.cost(SEC, "1", Prompt((), 1)) == 9_000_001
+    p.expire(SEC + FORGOTTEN_AFTER, {"1": replica})
+    assert p.backlogs.cost(SEC + FORGOTTEN_AFTER, "1", Prompt((), 1)) == 1
 
 
 def test_one_holder_a_replica_the_one_who_probes_it():
-    p = Placement(me="d1", region="a")
-    p.known([("d1", "a"), ("d2", "a"), ("e1", "b")])
+    p = PrefillPlacement(own_name="d1", region="a")
+    p.set_live_daemons([("d1", "a"), ("d2", "a"), ("e1", "b")])
     for i in range(20):
         r = type("R", (), dict(id=str(i), region="a"))
-        assert p.holder(r) == prober(str(i), "a", p.live) != "e1"
-    p.known([])
-    assert p.holder(r) is None
+        assert p.holder_of(r) == health_checker(str(i), "a", p.live) != "e1"
+    p.set_live_daemons([])
+    assert p.holder_of(r) is None
 
 
 def test_one_replica_or_no_daemon_known_asks_nobody():
-    b = Bench(route(by_prefix=True), reps=(rep("1"),))
+    b = RouterBench(route(by_prefix=True), replicas=(endpoint("1"),))
     for _ in range(3):
-        rid, _ = b.ask(prefix=SHORT[0], tokens=SHORT[1])
-        b.tried(rid, 1, "done")
-    assert one(b.ask(prefix=LONG[0], tokens=LONG[1])[1][-1:], "try")
+        rid, _ = b.request(prefix=SHORT[0], tokens=SHORT[1])
+        b.report(rid, 1, "done")
+    assert only_effect(b.request(prefix=LONG[0], tokens=LONG[1])[1][-1:], "try")
 
 
 def test_switched_off_it_asks_nobody():
-    p = Placement(me="d1", region="a", enabled=False)
-    request = type("Q", (), dict(prompt=None, route=dict(by_prefix=True), f=dict(tokens=(9, 9), prefix=()), service="s"))
-    p.came(request)
+    p = PrefillPlacement(own_name="d1", region="a", is_enabled=False)
+    request = type("Q", (), dict(prompt=None, route=dict(by_prefix=True), facts=dict(tokens=(9, 9), prefix=()), service="s"))
+    p.on_request(request)
     assert request.prompt is None
 
 
--- a/tests/routing/test_reachability.py
+++ b/tests/routing/test_reachability.py
@@ -5,28 +5,28 @@
 
 import pytest
 
-from silverglade.routing.reachability import FEW, PAUSE, PAUSE_MOST, Reach
+from silverglade.routing.reachability import FIRST_TEST_INTERVAL, LONGEST_TEST_INTERVAL, UNREACHABLE_AFTER, RegionReachability
 from silverglade.testbed.fake_servers.request_format import SEC
 from silverglade.testbed.simulator.forwarding_scenario import Scene
 
-from .test_router import Bench, one, rep, route
+from ..support.router_bench import RouterBench, endpoint, only_effect, route
 
 WAIT = timedelta(milliseconds=400)
 
 
 def failed(r, now, replica):
-    r.failed(now, "b", replica, since=now - WAIT)
+    r.on_connect_failure(now, "b", replica, since=now - WAIT)
 
 
 def test_a_region_of_which_another_replica_answered_meanwhile_is_not_closed():
-    r = Reach()
+    r = RegionReachability()
     for i in range(9):
-        r.answered((10 + i) * SEC - WAIT / 2, "b")
+        r.on_answer((10 + i) * SEC - WAIT / 2, "b")
         failed(r, (10 + i) * SEC, str(i))
-    assert not r.closed("b")
+    assert not r.is_unreachable("b")
     failed(r, 30 * SEC, "1")
     failed(r, 30 * SEC, "2")
-    assert r.closed("b")
+    assert r.is_unreachable("b")
 
 
 class Replica(NamedTuple):
@@ -38,12 +38,12 @@
 
 
 def test_a_region_is_closed_after_a_few_of_its_replicas_and_tested_at_a_steady_pace():
-    r, now = Reach(), 10 * SEC
+    r, now = RegionReachability(), 10 * SEC
     failed(r, now, "1")
     failed(r, now, "1")
-    assert not r.closed("b") and r.due_tests(now, REPLICAS) == [] and r.next_test(None) is None
+    assert not r.is_unreachable("b") and r.due_tests(now, REPLICAS) == [] and r.next_test(None) is None
     failed(r, now, "2")
-    assert r.closed("b") and not r.closed("c")
+    assert r.is_unreachable("b") and not r.is_unreachable("c")
     tested, pauses = [], []
     for _ in range(9):
         at = now
@@ -56,33 +56,33 @@
             failed(r, now + WAIT, x.id)
     assert tested[:2] == [["3", "4"], ["5"]]  # those not tried yet first
     assert all(len(x) == 1 for x in tested[1:]) and {x for row in tested[2:] for x in row} == {"1", "2", "3", "4", "5"}
-    assert pauses[:2] == [0 * SEC, PAUSE] and set(pauses[2:]) == {PAUSE_MOST}
-    r.answered(now, "b")
-    assert not r.closed("b") and r.next_test(None) is None
+    assert pauses[:2] == [0 * SEC, FIRST_TEST_INTERVAL] and set(pauses[2:]) == {LONGEST_TEST_INTERVAL}
+    r.on_answer(now, "b")
+    assert not r.is_unreachable("b") and r.next_test(None) is None
 
 
 def test_a_new_replica_of_a_closed_region_is_tested_at_once():
-    r, now = Reach(), 10 * SEC
+    r, now = RegionReachability(), 10 * SEC
     failed(r, now, "1")
     failed(r, now, "2")
     r.due_tests(now, REPLICAS)
     assert r.due_tests(now, REPLICAS) == []
-    r.appeared(now, "c")
+    r.on_replica_listed(now, "c")
     assert r.due_tests(now, REPLICAS) == []
-    r.appeared(now, "b")
+    r.on_replica_listed(now, "b")
     assert r.due_tests(now, [*REPLICAS[:4], Replica("new")])[0].id in ("3", "4", "new")
 
 
 def test_failures_that_lie_far_apart_or_of_one_replica_close_nothing():
-    r = Reach()
+    r = RegionReachability()
     for i in range(5):
         failed(r, 10 * i * SEC, str(i))
         failed(r, 10 * i * SEC + WAIT, str(i))
-        assert not r.closed("b")
+        assert not r.is_unreachable("b")
 
 
 def test_what_was_under_way_when_the_region_was_closed_does_not_put_its_test_off():
-    r = Reach()
+    r = RegionReachability()
     for i in range(9):
         failed(r, 10 * SEC + i * WAIT / 10, str(i))
     assert r.next_test(None) <= 10 * SEC + WAIT
@@ -102,70 +102,71 @@
     tried, n = [], 1
     while es[0][0] == "try":
         tried.append(es[0][3]["replica"])
-        b.go(WAIT / SEC)
-        es, n = b.tried(rid, n, "unsent", "connect-timeout"), n + 1
+        b.advance(WAIT / SEC)
+        es, n = b.report(rid, n, "unsent", "connect-timeout"), n + 1
     return tried, es
 
 
 def test_a_request_does_not_walk_through_a_region_behind_a_cut_and_the_next_are_refused_at_once():
-    reps = tuple(rep(str(i), "b1") for i in range(1, 9))
-    b = Bench(route(homes=["b"]), reps=reps)
-    tried, end = timeouts(b, *b.ask())
-    assert len(tried) == FEW and len(bare_connections(end)) == FEW and not set(bare_connections(end)) & set(tried)
-    assert one(requests(end), "answer")[2] == 503
+    reps = tuple(endpoint(str(i), "b1") for i in range(1, 9))
+    b = RouterBench(route(homes=["b"]), replicas=reps)
+    tried, end = timeouts(b, *b.request())
+    assert len(tried) == UNREACHABLE_AFTER and len(bare_connections(end)) == UNREACHABLE_AFTER
+    assert not set(bare_connections(end)) & set(tried)
+    assert only_effect(requests(end), "answer")[2] == 503
     for _ in range(20):
-        _, _, status, wait, _ = one(b.ask()[1], "answer")
+        _, _, status, wait, _ = only_effect(b.request()[1], "answer")
         assert status == 503 and wait > 0
     seen = set(bare_connections(end))
     for _ in range(12):  # bare connections, no request, look whether it is back
-        es = b.go(1)
-        assert requests(es) == [] and 1 <= len(bare_connections(es)) <= FEW
+        es = b.advance(1)
+        assert requests(es) == [] and 1 <= len(bare_connections(es)) <= UNREACHABLE_AFTER
         seen |= set(bare_connections(es))
         for i in bare_connections(es):
             b.feed("reached", i, False)
-        assert one(b.ask()[1], "answer")[2] == 503
+        assert only_effect(b.request()[1], "answer")[2] == 503
     assert seen == {r[0] for r in reps}
     b.feed("reached", "5", True)
-    assert all(b.ask()[1][0][0] == "try" for _ in range(5))
+    assert all(b.request()[1][0][0] == "try" for _ in range(5))
 
 
 def test_a_replica_that_is_not_behind_the_cut_is_found():
     """Two of three take no connection: the third is tried at once, and opens the region again."""
-    b = Bench(route(homes=["b"]), reps=tuple(rep(str(i), "b1") for i in range(1, 4)))
-    tried, end = timeouts(b, *b.ask())
+    b = RouterBench(route(homes=["b"]), replicas=tuple(endpoint(str(i), "b1") for i in range(1, 4)))
+    tried, end = timeouts(b, *b.request())
     (third,) = bare_connections(end)
     assert third not in tried
     b.feed("reached", third, True)
-    rid, es = b.ask()
-    assert one(es, "try")[3]["replica"] not in tried
-    b.tried(rid, 1, "began", 200)
-    assert all(one(b.ask()[1], "try")[3]["replica"] not in tried for _ in range(5))
+    rid, es = b.request()
+    assert only_effect(es, "try")[3]["replica"] not in tried
+    b.report(rid, 1, "began", 200)
+    assert all(only_effect(b.request()[1], "try")[3]["replica"] not in tried for _ in range(5))
 
 
 def test_the_daemons_own_bound_of_connections_speaks_against_no_replica():
-    b = Bench(route(kind="effectful"), reps=(rep("1"),))
-    rid, _ = b.ask()
-    b.tried(rid, 1, "unsent", "pool-full")
-    assert all(b.ask()[1][0][0] == "try" for _ in range(3))
-    b = Bench(route(kind="effectful"), reps=(rep("1"), rep("2", "b1")))
-    rid, es = b.ask()
-    near = one(es, "try")[3]["replica"]
-    b.tried(rid, 1, "unsent", "pool-full")
-    assert one(b.ask()[1], "try")[3]["replica"] == near
+    b = RouterBench(route(kind="effectful"), replicas=(endpoint("1"),))
+    rid, _ = b.request()
+    b.report(rid, 1, "unsent", "pool-full")
+    assert all(b.request()[1][0][0] == "try" for _ in range(3))
+    b = RouterBench(route(kind="effectful"), replicas=(endpoint("1"), endpoint("2", "b1")))
+    rid, es = b.request()
+    near = only_effect(es, "try")[3]["replica"]
+    b.report(rid, 1, "unsent", "pool-full")
+    assert only_effect(b.request()[1], "try")[3]["replica"] == near
 
 
 def test_other_regions_go_first_and_a_refusal_to_connect_is_no_cut():
-    reps = (*(rep(str(i), "b1") for i in range(1, 4)), rep("7", "c1"))
-    b = Bench(route(homes=["b", "c"]), reps=reps, region="b")
-    rid, es = b.ask()
-    assert one(es, "try")[3]["replica"] in "123"
-    b.go(0.4)
-    assert one(b.tried(rid, 1, "unsent", "connect-timeout"), "try")[3]["replica"] == "7"  # not its neighbour
-    b = Bench(route(homes=["b"]), reps=reps)
-    rid, es = b.ask()
+    reps = (*(endpoint(str(i), "b1") for i in range(1, 4)), endpoint("7", "c1"))
+    b = RouterBench(route(homes=["b", "c"]), replicas=reps, region="b")
+    rid, es = b.request()
+    assert only_effect(es, "try")[3]["replica"] in "123"
+    b.advance(0.4)
+    assert only_effect(b.report(rid, 1, "unsent", "connect-timeout"), "try")[3]["replica"] == "7"  # not its neighbour
+    b = RouterBench(route(homes=["b"]), replicas=reps)
+    rid, es = b.request()
     for n in (1, 2):
-        es = b.tried(rid, n, "unsent", "refused")
-    assert one(es, "try") and one(b.ask()[1], "try")
+        es = b.report(rid, n, "unsent", "refused")
+    assert only_effect(es, "try") and only_effect(b.request()[1], "try")
 
 
 def waits(s, *, zone, secs):
@@ -207,6 +208,7 @@
     s.w.heal()
     healed, lives = s.w.now, {n.life for n in s.w.nodes.values() if n.zone == "kaohsiung"}
     s.w.run(8)
-    late = [x for x in s.r.sent.values() if x.life in lives and x.at > healed + PAUSE_MOST + 2 * WAIT and s.r.got[x.attempt]["ended"]]
+    reached_again = healed + LONGEST_TEST_INTERVAL + 2 * WAIT
+    late = [x for x in s.r.sent.values() if x.life in lives and x.at > reached_again and s.r.got[x.attempt]["ended"]]
     refused = [x for x in late if s.r.got[x.attempt]["status"] == 503]
     assert len(late) > 20 and not refused
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -6,7 +6,7 @@
 import pytest
 
 from silverglade.routing import retry_budget as module
-from silverglade.routing.retry_budget import Budget
+from silverglade.routing.retry_budget import RetryBudget
 from silverglade.runtime.settings import tuning
 
 SEC = timedelta(seconds=1)
@@ -42,15 +42,15 @@
 class Fleet:
     """Daemons that share nothing; each knows some of the others."""
 
-    def __init__(self, *, n, rng, make=Budget):
+    def __init__(self, *, n, rng, make=RetryBudget):
         self.rng, self.make, self.n = rng, make, n
-        self.all = [make(opt=OPT, born=0 * SEC) for _ in range(n)]
+        self.all = [make(tuning=OPT, started_at=0 * SEC) for _ in range(n)]
         self.side = [0] * n  # who is cut from whom
         self.knows = [n] * n
         self.asks, self.extras = [], []
 
     def restart(self, i, now):
-        self.all[i] = self.make(opt=OPT, born=now)
+        self.all[i] = self.make(tuning=OPT, started_at=now)
         self.knows[i] = sum(s == self.side[i] for s in self.side)  # only those it can reach
 
     def cut(self, a, b):
@@ -63,7 +63,7 @@
 
     def ask(self, i, now):
         """The client sent a moment before."""
-        self.all[i].came(now, "s")
+        self.all[i].on_request(now, "s")
         self.asks.append(now - self.rng.random() * 0.2 * SEC)
 
     def again(self, i, now):
@@ -76,7 +76,7 @@
         return broken(sorted(self.asks), sorted(self.extras))
 
 
-def play(seed, make=Budget, secs=45):
+def play(seed, make=RetryBudget, secs=45):
     """Waves of requests, bursts of failures, restarts, one side cut (and perhaps started anew)."""
     rng = random.Random(seed)
     n = rng.choice((1, 3, 6, 9, 9, 30))
@@ -124,7 +124,7 @@
 def planted(**kw):
     """A class with one rule left out."""
 
-    class Without(Budget):
+    class Without(RetryBudget):
         pass
 
     for k, v in kw.items():
@@ -137,7 +137,7 @@
 
 
 def no_first_window(self, now, daemons):
-    return OPT["budget_slack"] * OPT["budget_slack_part"] / max(1, self.known(now, daemons))
+    return OPT["budget_slack"] * OPT["budget_slack_part"] / max(1, self.largest_fleet(now, daemons))
 
 
 def test_the_oracle_finds_a_fleet_in_which_each_takes_the_whole_slack():
@@ -172,21 +172,21 @@
         return f.worst()
 
     assert run() == 0
-    monkeypatch.setattr(module, "MIX", (1.0, 1.0, 1.0))
+    monkeypatch.setattr(module, "MIX", module.WindowMix(1.0, 1.0, 1.0))
     assert run() > 0
 
 
 def test_the_oracle_finds_a_window_that_loses_its_requests():
     """Extras bounded by the last window's requests alone: a later window has the extras and not the requests."""
 
-    class Plain(Budget):
+    class Plain(RetryBudget):
         def spend(self, now, service, *, daemons):
-            k = self.at(now)
-            mine = sum(n for i, n in self.extras.get(service, ()) if i > k - 40) + 1
-            asks = sum(n for i, n in self.asks.get(service, ()) if i > k - 40)
+            k = self.slot(now)
+            mine = sum(x.count for x in self.retries.get(service, ()) if x.slot > k - 40) + 1
+            asks = sum(x.count for x in self.requests.get(service, ()) if x.slot > k - 40)
             if mine > 0.2 * asks + self.share(now, daemons):
                 return False
-            module.put(self.extras, service, k)
+            module.count_one(self.retries, service, k)
             return True
 
     def run(make):
@@ -202,14 +202,14 @@
         return f.worst()
 
     assert run(Plain) > 0
-    assert run(Budget) == 0
+    assert run(RetryBudget) == 0
 
 
 def test_a_steady_service_gets_nearly_the_whole_ratio():
-    b, got, asked = Budget(opt=OPT, born=0 * SEC), 0, 0
+    b, got, asked = RetryBudget(tuning=OPT, started_at=0 * SEC), 0, 0
     for tick in range(60 * 50):
         now = tick * SEC / 50
-        b.came(now, "s")
+        b.on_request(now, "s")
         if now >= 30 * SEC:
             asked += 1
             got += b.spend(now, "s", daemons=10**9)
@@ -217,26 +217,26 @@
 
 
 def test_a_start_without_a_known_fleet_has_no_slack_and_a_young_daemon_none_either():
-    b = Budget(opt=OPT, born=0 * SEC)
+    b = RetryBudget(tuning=OPT, started_at=0 * SEC)
     assert not b.spend(30 * SEC, "s", daemons=0)
     assert b.spend(30 * SEC, "s", daemons=3)
-    b = Budget(opt=OPT, born=29 * SEC)
+    b = RetryBudget(tuning=OPT, started_at=29 * SEC)
     assert not b.spend(30 * SEC, "s", daemons=3)
     assert not b.spend(39 * SEC, "s", daemons=3)
     assert b.spend(40 * SEC, "s", daemons=3)
 
 
 def test_the_largest_fleet_known_lately_divides_the_slack():
-    b = Budget(opt=OPT, born=0 * SEC)
-    b.known(20 * SEC, 9)
+    b = RetryBudget(tuning=OPT, started_at=0 * SEC)
+    b.largest_fleet(20 * SEC, 9)
     part = OPT["budget_slack"] * OPT["budget_slack_part"]
     assert b.share(21 * SEC, 3) == part / 9
     assert b.share(22 * SEC + OPT["budget_recall"], 3) == part / 3
 
 
 def test_services_do_not_spend_each_others_requests():
-    b = Budget(opt=OPT, born=0 * SEC)
+    b = RetryBudget(tuning=OPT, started_at=0 * SEC)
     for j in range(1000):
-        b.came(20 * SEC + j * SEC / 1000, "a")
+        b.on_request(20 * SEC + j * SEC / 1000, "a")
     assert not b.spend(22 * SEC, "b", daemons=0)
     assert b.spend(22 * SEC, "a", daemons=0)
--- a/tests/routing/test_router_seeds.py
+++ b/tests/routing/test_router_seeds.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from silverglade.routing import replica_selection as choose
-from silverglade.routing import retry_budget as budget
-from silverglade.routing import router as part
-from silverglade.routing import slow_start as cold
-from silverglade.runtime import daemon_machine as hub
-from silverglade.runtime.effects import start
+from silverglade.routing import attempts
+from silverglade.routing.request import Request
+from silverglade.routing.retry_budget import RetryBudget
+from silverglade.routing.router import Router
+from silverglade.routing.slow_start import SlowStart
+from silverglade.runtime import daemon_machine
 from silverglade.runtime.settings import tuning
 from silverglade.testbed.checkers.forwarding_rules import Bounds
 from silverglade.testbed.faults import forwarding_faults as forward_faults
@@ -56,42 +56,46 @@
 
 def warped(monkeypatch, turn, ev=lambda now, ev: ev):
     """The part with its effects, and what it hears, changed on the way."""
-    real = part.forward
+    real = daemon_machine.MachineComponent
 
-    def forward(**kw):
-        p, out = start(real(**kw)), ()
-        reqs, reps = (p.gi_frame.f_locals[k] for k in ("reqs", "reps"))  # noqa: F841  tests look at them here
-        while True:
-            now, got = yield out
-            got = ev(now, got)
-            out = tuple(x for e in (p.send((now, got)) if got else ()) for x in turn(now, e))
+    class Warped(real):
+        def send(self, value):
+            if value is None:
+                return ()
+            now, raw_event = value
+            raw_event = ev(now, raw_event)
+            effects = super().send((now, raw_event)) if raw_event else ()
+            return tuple(changed for effect in effects for changed in turn(now, effect))
 
-    monkeypatch.setattr(hub, "forward", forward)
+    def component(machine):
+        return (Warped if isinstance(machine, Router) else real)(machine)
+
+    monkeypatch.setattr(daemon_machine, "MachineComponent", component)
 
 
 def usable(**wrong):
     """Replicas are chosen without one of the rules."""
 
     def fn(mp):
-        real = choose.usable
+        real = attempts.usable
 
         def f(reps, **kw):
             if "service" in wrong:
                 kw["service"] = None
                 reps = list(reps)
-                return [r for r in reps if r.gone is None and not r.leaving and r.id not in kw["tried"]]
+                return [r for r in reps if r.gone_since is None and not r.is_leaving and r.id not in kw["tried"]]
             if "leaving" in wrong:
                 return [
                     r
                     for r in reps
                     if r.service == kw["service"]
                     and r.id not in kw["tried"]
-                    and r.zone not in kw["evac"]
+                    and r.zone not in kw["drained_zones"]
                     and (not kw["homes"] or r.region in kw["homes"])
                 ]
             return real(reps, **{**kw, **wrong})
 
-        mp.setattr(choose, "usable", f)
+        mp.setattr(attempts, "usable", f)
 
     return fn
 
@@ -129,15 +133,15 @@
 
 
 def every_time(mp):
-    mp.setattr(part.Request, "again", property(lambda q: True))
+    mp.setattr(Request, "is_repeatable", property(lambda request: True))
 
 
 def spends(mp):
-    mp.setattr(budget.Budget, "spend", lambda *a, **kw: True)
+    mp.setattr(RetryBudget, "spend", lambda *a, **kw: True)
 
 
 def floods(mp):
-    mp.setattr(cold.Cold, "may", lambda *a, **kw: True)
+    mp.setattr(SlowStart, "take", lambda *a, **kw: True)
 
 
 def keeps(now, e):
@@ -146,24 +150,20 @@
 
 def tries_on(mp):
     """The part takes a route for one that lets it try nine replicas."""
-    real = part.routes
-
-    class Routes:
-        table, service = real.table, real.service
+    real = attempts.find_route
 
-        @staticmethod
-        def find_route(*a):
-            r = real.find_route(*a)
-            return r and dict(r, tries=9)
+    def find_route(*a):
+        found = real(*a)
+        return found and dict(found, tries=9)
 
-    mp.setattr(part, "routes", Routes)
+    mp.setattr(attempts, "find_route", find_route)
 
 
 PLANTED = [
     ("TRIES", tries_on, ("spoil",), dict(gap=0.2, town="navrang")),
     ("DUE", effects(lambda now, e: (("try", *e[1:3], dict(e[3], deadline_ms=60000)),) if e[0] == "try" else (e,)), (), {}),
     ("DRAIN", usable(leaving=False), ("release",), {}),
-    ("EVAC", usable(evac=frozenset()), ("evacuate",), {}),
+    ("EVAC", usable(drained_zones=frozenset()), ("evacuate",), {}),
     ("HOME", usable(homes=()), (), {}),
     ("ROUTE", usable(service=None), (), {}),
     ("TWICE", every_time, ("crash", "spoil"), {}),
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Cold replicas in a fleet without messages (design 16.2), against a sliding second."""
+"""SlowStart replicas in a fleet without messages (design 16.2), against a sliding second."""
 
 import random
 from bisect import bisect_left
@@ -8,7 +8,7 @@
 import pytest
 
 from silverglade.routing import slow_start as module
-from silverglade.routing.slow_start import Cold, share
+from silverglade.routing.slow_start import SlowStart, share
 from silverglade.runtime.settings import tuning
 
 SEC = timedelta(seconds=1)
@@ -32,10 +32,10 @@
     """Edge daemons with a roster like the real one: who is reached within a second or two is known, and for a
     minute after it was reached last."""
 
-    def __init__(self, *, n, rng, make=Cold, restless=True):
+    def __init__(self, *, n, rng, make=SlowStart, restless=True):
         self.rng, self.make = rng, make
         self.ids = [f"d{i}" for i in range(n)]
-        self.d = {i: make(opt=OPT, born=-60 * SEC) for i in self.ids}
+        self.d = {i: make(own_name=i, tuning=OPT, started_at=-60 * SEC) for i in self.ids}
         self.side = dict.fromkeys(self.ids, 0)
         self.down, self.frozen, self.sent, self.view = {}, {}, [], {}
         self.seen = {i: dict.fromkeys(self.ids, 0 * SEC) for i in self.ids}
@@ -65,12 +65,12 @@
 
     def start(self, i, now):
         self.down.pop(i, None)
-        self.d[i], self.up[i], self.seen[i] = self.make(opt=OPT, born=now), now, {i: now}
+        self.d[i], self.up[i], self.seen[i] = self.make(own_name=i, tuning=OPT, started_at=now), now, {i: now}
 
     def thaw(self, i, now):
         if self.frozen.pop(i, None):
             self.seen[i] = dict.fromkeys(self.seen[i], now)  # a roster that was frozen believes in all anew
-            self.d[i].froze(now)
+            self.d[i].on_process_paused(now)
 
     def rush(self, now, per_s, k, replica="r"):
         """Every live daemon tries k times in a tenth of a second."""
@@ -79,12 +79,12 @@
                 names = self.members(i, now)
                 for j in range(k):
                     at = now + j * SEC / 10 / k
-                    if not self.d[i].may(at, replica, per_s=per_s, me=i, members=names):
+                    if not self.d[i].take(at, replica, per_second=per_s, members=names):
                         break
                     self.sent.append(at)
 
 
-def play(seed, make=Cold, n=None, secs=40, rush=True):
+def play(seed, make=SlowStart, n=None, secs=40, rush=True):
     rng = random.Random(seed)
     n = n or rng.choice((3, 6, 9, 12, 45))
     f = Fleet(n=n, rng=rng, make=make)
@@ -149,7 +149,7 @@
         n, per_s = rng.randrange(1, 40), rng.uniform(0, 60)
         few = [f"d{i}" for i in range(n)]
         many = few + [f"e{i}" for i in range(rng.randrange(1, 20))]
-        of = lambda names: {i: share(per_s=per_s, replica="r", me=i, members=frozenset(names)) for i in names}
+        of = lambda names: {i: share(per_second=per_s, replica="r", own_name=i, members=frozenset(names)) for i in names}
         a, b = of(few), of(many)
         assert sum(a.values()) == sum(b.values()) == int(per_s)
         assert all(b[i] <= a[i] for i in few)
@@ -158,61 +158,61 @@
 
 def test_who_gets_the_remainder_differs_from_replica_to_replica():
     names = frozenset(f"d{i}" for i in range(30))
-    who = {r: {i for i in names if share(per_s=5.0, replica=r, me=i, members=names)} for r in "abcdef"}
+    who = {r: {i for i in names if share(per_second=5.0, replica=r, own_name=i, members=names)} for r in "abcdef"}
     assert len(set.union(*who.values())) > 10
 
 
 def test_a_daemon_that_started_or_thawed_sends_nothing_until_it_has_settled():
     names = frozenset({"a", "b"})
-    c = Cold(opt=OPT, born=0 * SEC)
-    assert not c.may(4.9 * SEC, "r", per_s=4.0, me="a", members=names)
-    assert c.may(5 * SEC, "r", per_s=4.0, me="a", members=names)
-    c.froze(20 * SEC)
-    assert not c.may(24 * SEC, "r", per_s=4.0, me="a", members=names)
-    assert c.may(25 * SEC, "r", per_s=4.0, me="a", members=names)
+    c = SlowStart(own_name="a", tuning=OPT, started_at=0 * SEC)
+    assert not c.take(4.9 * SEC, "r", per_second=4.0, members=names)
+    assert c.take(5 * SEC, "r", per_second=4.0, members=names)
+    c.on_process_paused(20 * SEC)
+    assert not c.take(24 * SEC, "r", per_second=4.0, members=names)
+    assert c.take(25 * SEC, "r", per_second=4.0, members=names)
 
 
 def test_a_daemon_that_knows_nobody_takes_one_a_second_and_one_that_is_not_a_member_none():
-    c = Cold(opt=OPT, born=0 * SEC)
-    at = [t for t in range(100, 200) if c.may(t * SEC / 10, "r", per_s=40.0, me="a", members={"a"})]
+    c = SlowStart(own_name="a", tuning=OPT, started_at=0 * SEC)
+    at = [t for t in range(100, 200) if c.take(t * SEC / 10, "r", per_second=40.0, members={"a"})]
     assert at == list(range(100, 200, 10))
-    c = Cold(opt=OPT, born=0 * SEC)
-    assert not c.may(10 * SEC, "r", per_s=40.0, me="a", members={"b", "c"})
+    c = SlowStart(own_name="a", tuning=OPT, started_at=0 * SEC)
+    assert not c.take(10 * SEC, "r", per_second=40.0, members={"b", "c"})
 
 
 def test_names_count_long_after_the_roster_dropped_them():
-    c, names = Cold(opt=OPT, born=0 * SEC), {f"d{i}" for i in range(4)}
-    count = lambda t, ns: sum(c.may(t * SEC, "r", per_s=8.0, me="d0", members=ns) for _ in range(20))
+    c, names = SlowStart(own_name="d0", tuning=OPT, started_at=0 * SEC), {f"d{i}" for i in range(4)}
+    count = lambda t, ns: sum(c.take(t * SEC, "r", per_second=8.0, members=ns) for _ in range(20))
     assert count(10, names) == 2
     assert count(100, {"d0", "d1"}) == 2
     assert count(12 + OPT["cold_recall"] / SEC, {"d0", "d1"}) == 4
 
 
 def test_names_that_are_not_given_again_stay():
-    c = Cold(opt=OPT, born=0 * SEC)
-    c.knew(1 * SEC, ["a", "b"])
+    c = SlowStart(own_name="a", tuning=OPT, started_at=0 * SEC)
+    c.update_members(1 * SEC, ["a", "b"])
     for t in range(10, 2000, 10):
-        assert sum(c.may(t * SEC, "r", per_s=8.0, me="a", members=()) for _ in range(20)) == 4
-    c.knew(2000 * SEC, ["a"])
-    assert sum(c.may(2001 * SEC, "r", per_s=8.0, me="a", members=()) for _ in range(20)) == 4
-    assert sum(c.may(2400 * SEC, "r", per_s=8.0, me="a", members=()) for _ in range(20)) == 1
+        assert sum(c.take(t * SEC, "r", per_second=8.0, members=()) for _ in range(20)) == 4
+    c.update_members(2000 * SEC, ["a"])
+    assert sum(c.take(2001 * SEC, "r", per_second=8.0, members=()) for _ in range(20)) == 4
+    assert sum(c.take(2400 * SEC, "r", per_second=8.0, members=()) for _ in range(20)) == 1
 
 
 def test_a_replica_that_turns_warm_is_not_flooded():
-    c, names, got = Cold(opt=OPT, born=0 * SEC), {"a", "b"}, {}
-    assert c.may(10 * SEC, "r", per_s=4.0, me="a", members=names)
+    c, names, got = SlowStart(own_name="a", tuning=OPT, started_at=0 * SEC), {"a", "b"}, {}
+    assert c.take(10 * SEC, "r", per_second=4.0, members=names)
     for tick in range(80):
         t = 12 * SEC + tick * SEC / 20
-        got[tick] = sum(c.may(t, "r", per_s=None, me="a", members=names) for _ in range(100))
+        got[tick] = sum(c.take(t, "r", per_second=None, members=names) for _ in range(100))
     sums = [sum(got[i] for i in range(a, a + 10)) for a in range(0, 80, 10)]
     assert sums[0] == 2 and sums[1] == 0  # the cold share in its first second
     assert sums[2] == 4 and 4 <= sums[3] <= 8  # then twice as much each half second
     assert got[60] == 100  # and in the end what comes
-    assert c.may(30 * SEC, "never-cold", per_s=None, me="a", members=names)
+    assert c.take(30 * SEC, "never-cold", per_second=None, members=names)
 
 
 def planted(**kw):
-    class Without(Cold):
+    class Without(SlowStart):
         pass
 
     for k, v in kw.items():
@@ -225,7 +225,7 @@
 
 
 def test_the_oracle_finds_a_fleet_in_which_each_takes_all_that_the_replica_bears():
-    assert breaks(planted(mine=lambda self, replica, per_s, me: int(per_s)))
+    assert breaks(planted(own_share=lambda self, replica, per_second: int(per_second)))
 
 
 def test_the_oracle_finds_daemons_that_count_whole_seconds_instead_of_sliding_ones():
@@ -241,7 +241,7 @@
             f.rush(t * SEC, 30.0, 40)
         return most(f.sent)
 
-    assert run(planted(count=count)) > 30 * EXCESS + SLACK >= run(Cold)
+    assert run(planted(count=count)) > 30 * EXCESS + SLACK >= run(SlowStart)
 
 
 def test_the_oracle_finds_daemons_that_know_only_who_is_in_touch():
@@ -251,7 +251,7 @@
         opt = {**OPT, "cold_recall": recall}
         f = Fleet(n=9, rng=random.Random(1))
         for i in f.ids:
-            f.d[i] = Cold(opt=opt, born=-60 * SEC)
+            f.d[i] = SlowStart(own_name=i, tuning=opt, started_at=-60 * SEC)
         f.side.update(dict.fromkeys(f.ids[:4], 1))
         for t in range(0, 100):
             f.gossip(t * SEC)
@@ -271,7 +271,7 @@
         for i in f.ids:
             f.kill(i)
             f.start(i, 0 * SEC)
-            f.d[i] = Cold(opt=opt, born=0 * SEC)
+            f.d[i] = SlowStart(own_name=i, tuning=opt, started_at=0 * SEC)
             f.seen[i].update(dict.fromkeys(f.ids[:2], 0 * SEC))  # its seeds
         for t in range(0, 120):
             f.gossip(t * SEC / 10)
@@ -288,7 +288,7 @@
     def run(make):
         f, opt = Fleet(n=8, rng=random.Random(1)), {**OPT, "cold_recall": 70 * SEC}
         for i in f.ids:
-            f.d[i] = make(opt=opt, born=-60 * SEC)
+            f.d[i] = make(own_name=i, tuning=opt, started_at=-60 * SEC)
         for t in range(0, 160):
             now = t * 1.2 * SEC
             if t == 2:
@@ -301,5 +301,5 @@
             f.rush(now, 24.0, 30)
         return most(f.sent)
 
-    assert run(planted(froze=lambda self, now: None)) > 24
-    assert run(Cold) <= 24
+    assert run(planted(on_process_paused=lambda self, now: None)) > 24
+    assert run(SlowStart) <= 24
