--- a/silverglade/runtime/daemon_components.py
+++ b/silverglade/runtime/daemon_components.py
@@ -17,8 +17,8 @@
 from ..membership.zone_relay import ZoneRelay
 from ..replicas.registry import ReplicaRegistry
 from ..replicas.slot_leases import SlotLeases
-from ..routing.endpoint_list import catalog
-from ..routing.router import forward
+from ..routing.endpoint_list import EndpointList
+from ..routing.router import Router
 from ..tenant_requests.ingress import TenantIngress
 from ..tenant_shards.follower import ClaimFollower
 from ..tenant_shards.owner import ShardOwner
@@ -110,14 +110,13 @@
         Component.SLOT_LEASES: SlotLeases(own_name=name, tuning=tuning),
         Component.SHARD_OWNER: ShardOwner(own_name=name, zone=zone, tuning=tuning),
         Component.TENANT_INGRESS: TenantIngress(own_name=name, process_id=identity.process_id, zone=zone, tuning=tuning),
+        Component.ROUTER: Router(own_name=name, region=region, tuning=tuning),
+        Component.ENDPOINT_LIST: EndpointList(own_name=name, region=region, has_source=reads_endpoint_list, tuning=tuning),
+        Component.SERVICE_SCALER: ServiceScaler(region=region, tuning=tuning),
+        Component.TENANT_SCALER: TenantScaler(region=region, tuning=tuning),
+        Component.OPERATOR_API: OperatorApi(own_name=name, tuning=tuning, rng=rng),
     }
-    components: dict[str, Any] = {component: MachineComponent(machine) for component, machine in machines.items()}
-    components[Component.ROUTER] = forward(me=name, region=region, opt=tuning)
-    components[Component.ENDPOINT_LIST] = catalog(me=name, region=region, lists=reads_endpoint_list, opt=tuning)
-    components[Component.SERVICE_SCALER] = MachineComponent(ServiceScaler(region=region, tuning=tuning))
-    components[Component.TENANT_SCALER] = MachineComponent(TenantScaler(region=region, tuning=tuning))
-    components[Component.OPERATOR_API] = MachineComponent(OperatorApi(own_name=name, tuning=tuning, rng=rng))
-    return components
+    return {component: MachineComponent(machine) for component, machine in machines.items()}
 
 
 def _core_components(
--- a/silverglade/server/request_forwarding.py
+++ b/silverglade/server/request_forwarding.py
@@ -17,7 +17,7 @@
 
 from ..http.connection_pool import SECOND, ConnectionPool
 from ..http.dialect import Dialect
-from ..routing.graceful_shutdown import ELSEWHERE
+from ..routing.graceful_shutdown import RETRY_ELSEWHERE_S
 from ..runtime import result_codes
 from ..runtime.effects import (
     AnswerClient,
@@ -242,7 +242,7 @@
         elif request.was_sent:
             await request.respond_with_code(502, result_codes.REPLICA_SILENT)
         elif why is RequestEnd.SHUTDOWN:
-            await request.respond_with_code(503, result_codes.LEAVING, retry_after=ELSEWHERE, close=True)
+            await request.respond_with_code(503, result_codes.LEAVING, retry_after=RETRY_ELSEWHERE_S, close=True)
         else:
             await request.respond_with_code(503, result_codes.BUSY, retry_after=RETRY_WHEN_BUSY_S)
 
--- a/silverglade/testbed/checkers/configuration_history.py
+++ b/silverglade/testbed/checkers/configuration_history.py
@@ -87,7 +87,7 @@
             base=base,
             valid=valid,
             asked=now,
-            table=route_table.table(configuration) if valid else {},
+            table=route_table.build_route_table(configuration) if valid else {},
         )
         self.changes.append(change)
         return change
--- a/tests/membership/test_directory.py
+++ b/tests/membership/test_directory.py
@@ -6,7 +6,7 @@
 from silverglade.membership.directory import addresses_for_client, home_regions
 from silverglade.membership.records import MemberRecord
 
-from ..routing.test_router import ZONES, route
+from ..support.router_bench import ZONES, route
 
 
 def record(name, zone, state="ready", serves=True):
