--- a/silverglade/runtime/events.py
+++ b/silverglade/runtime/events.py
@@ -8,8 +8,9 @@
 
 from __future__ import annotations
 
+import math
 from collections.abc import Callable, Iterable, Mapping
-from dataclasses import dataclass
+from dataclasses import MISSING, dataclass, fields
 from datetime import timedelta
 from typing import Any, ClassVar
 
@@ -183,7 +184,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantRequestArrived(Event):
-    """A tenant's request arrived at this daemon."""
+    """A tenant's request arrived at this daemon.
+
+    :ivar facts: the texts of its head in the order of `tenant_requests.admission.RequestHead`, then the body.
+    """
 
     TAG: ClassVar[str] = "order"
     request_id: str
@@ -542,12 +546,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantRequestServed(Event):
-    """For the scaler: a tenant's request has ended; `took` says for how long it ran."""
+    """For the scaler: a tenant's request has ended.
+
+    :ivar took: from its last dispatch to the end of the answer.
+    :ivar since_arrival: from its arrival to the end of the answer.
+    """
 
     TAG: ClassVar[str] = "served"
-    facts: Any
-    took: Any
-    detail: Any = None
+    kind: str
+    took: timedelta
+    since_arrival: timedelta
 
 
 @dataclass(frozen=True, slots=True)
@@ -608,15 +616,23 @@
 
 
 class EventDecoder:
-    """From the tuple form to the events that one component handles."""
+    """From the tuple form to the events that one component handles.
+
+    Some classes share a tag ("arrived", "served") and differ in the number of their fields: only a tuple with as many is decoded.
+    """
 
     def __init__(self, handled: Iterable[type[Event]]) -> None:
-        self._classes: dict[str, type[Event]] = {event_class.TAG: event_class for event_class in handled}
+        self._classes: dict[str, tuple[type[Event], int, float]] = {
+            event_class.TAG: (event_class, *_field_counts(event_class)) for event_class in handled
+        }
 
     def __call__(self, raw: RawEvent) -> Event | None:
         """The typed event, or None for one that the component does not handle."""
-        event_class = self._classes.get(raw[0])
-        if event_class is None:
+        known = self._classes.get(raw[0])
+        if known is None:
+            return None
+        event_class, least, most = known
+        if not least < len(raw) <= most + 1:
             return None
         construct: Callable[..., Event] = event_class
         if event_class.COLLECTS_REST:
@@ -625,9 +641,17 @@
         return construct(*raw[1:])
 
 
+def _field_counts(event_class: type[Event]) -> tuple[int, float]:
+    """How many fields the tuple form of an event has at least and at most."""
+    declared = fields(event_class)
+    if event_class.COLLECTS_REST:
+        return len(declared) - 1, math.inf
+    return sum(field.default is MISSING for field in declared), len(declared)
+
+
 def event_to_tuple(event: Event) -> RawEvent:
     """The tuple form of an event."""
-    fields = [getattr(event, name) for name in field_names(type(event))]
+    values = [getattr(event, name) for name in field_names(type(event))]
     if event.COLLECTS_REST:
-        return (event.TAG, *fields[:-1], *fields[-1])
-    return (event.TAG, *fields)
+        return (event.TAG, *values[:-1], *values[-1])
+    return (event.TAG, *values)
