--- a/silverglade/autoscaling/scaler.py
+++ b/silverglade/autoscaling/scaler.py
@@ -78,8 +78,8 @@
                 gauges.setdefault(kind, Gauge()).came.append(now)
             case ("repeat", kind) if kind in gauges and gauges[kind].came:
                 gauges[kind].came.pop()  # its owner knew the key: a retry after all
-            case ("served", f, took, _):
-                gauges.setdefault(f["kind"], Gauge()).went.append((now, took / SEC))
+            case ("served", kind, took, _):
+                gauges.setdefault(kind, Gauge()).went.append((now, took / SEC))
             case ("pulse",) if now < due:
                 out.append(("due", due))
             case ("pulse",):
--- a/silverglade/runtime/daemon_machine.py
+++ b/silverglade/runtime/daemon_machine.py
@@ -19,11 +19,12 @@
 from ..replicas.slot_leases import ledger
 from ..routing.endpoint_list import catalog
 from ..routing.router import forward
-from ..tenant_requests.ingress import ingress
+from ..tenant_requests.ingress import TenantIngress
 from ..tenant_shards.follower import follower
 from ..tenant_shards.owner import owner
 from ..transport.message_schemas import is_valid_message, known_fields
 from .effects import ZERO, log, start
+from .state_machine import MachineComponent
 
 # which part hears which message between daemons
 MESSAGE_RECEIVERS = {
@@ -94,7 +95,7 @@
             "updater": news(me=me, zone=zone, region=region, core=bool(disk), addr=addr, seeds=tuple(seeds), opt=opt, rng=rng),
             "slot_leases": ledger(me=me, opt=opt),
             "shard_owner": owner(me=me, zone=zone, cores=cores, opt=opt, rng=rng),
-            "tenant_ingress": ingress(me=me, life=life, zone=zone, opt=opt),
+            "tenant_ingress": MachineComponent(TenantIngress(own_name=me, process_id=life, zone=zone, tuning=opt)),
             "router": forward(me=me, region=region, opt=opt),
             "endpoint_list": catalog(me=me, region=region, lists=lists, opt=opt),
             "service_scaler": need(me=me, region=region, opt=opt),
--- a/silverglade/tenant_requests/admission.py
+++ b/silverglade/tenant_requests/admission.py
@@ -1,7 +1,14 @@
-"""The admit stage (design 6.1): an order's head checked against the configuration."""
+"""Admission (design 6.1): the head of a tenant's request, checked against the configuration."""
 
-from ..configuration import schema as config
-from ..runtime.effects import milliseconds, to_milliseconds
+from __future__ import annotations
+
+from collections.abc import Mapping
+from datetime import timedelta
+from typing import Any, NamedTuple
+
+from ..configuration.schema import tenant_of_key
+from ..runtime import result_codes
+from ..runtime.effects import milliseconds
 from ..runtime.errors import (
     BodyTooLargeError,
     DeadlinePassedError,
@@ -9,55 +16,151 @@
     InvalidHeaderError,
     MissingKeyError,
     NotConfiguredError,
+    SilvergladeError,
     UnknownClassError,
     UnknownKeyError,
 )
+from .execution import RAN_MAYBE, RAN_NO
+
+MAX_HEADER_LENGTH = 200
+"""Of an idempotency key or a prefix; of what an error quotes."""
+
+MAX_DEADLINE_DIGITS = 9
+MAX_DEADLINE_MS = 600_000
+MAX_ATTEMPT = 999
+
+Configuration = Mapping[str, Any]
+
+
+class RequestHead(NamedTuple):
+    """The head of a tenant's request as it came; absent headers are empty.
+
+    :ivar bearer_key: the tenant's key.
+    :ivar class_name: the class of requests, from the path.
+    :ivar key: the idempotency key.
+    :ivar deadline: milliseconds from now.
+    :ivar prefix: names the prompt prefix that the request begins with.
+    :ivar attempt: by the client's count, from 1.
+    """
 
-WORD = 200
+    bearer_key: str
+    class_name: str
+    key: str
+    deadline: str
+    prefix: str
+    attempt: str
 
 
-def admit(*, cfg, bearer, cls, key, due, prefix, attempt, size, minted):
-    """-> facts of the order, or raises a Fault; nothing was handed on by then."""
-    if cfg is None:
+class RequestFacts(NamedTuple):
+    """What admission found out about a request.
+
+    :ivar key: the idempotency key; unique and made here where the client gave none.
+    :ivar key_is_generated: the client gave no key.
+    :ivar time_left: until the deadline, at admission.
+    :ivar attempt: by the client's count, from 1; 0 where it gave none.
+    :ivar kind: of the replicas that may run it.
+    :ivar is_streamed: the answer comes in pieces.
+    :ivar is_resumable: it may run again as long as no piece of the answer went out.
+    :ivar homes: zones where it may run, in the order of preference.
+    """
+
+    tenant: str
+    class_name: str
+    key: str
+    key_is_generated: bool
+    prefix: str
+    time_left: timedelta
+    attempt: int
+    kind: str
+    is_streamed: bool
+    is_resumable: bool
+    homes: tuple[str, ...]
+
+
+def admit(configuration: Configuration | None, head: RequestHead, *, body_size: int, generated_key: str) -> RequestFacts:
+    """Check a request's head; nothing was handed on by then.
+
+    :param body_size: in bytes.
+    :param generated_key: the idempotency key if the client gave none.
+    :raises SilvergladeError: of the class that says why the request is refused.
+    """
+    if configuration is None:
         raise NotConfiguredError()
-    if not bearer:
+    tenant = _authenticate(configuration, head.bearer_key)
+    tenant_configuration = configuration["tenants"][tenant]
+    request_class = tenant_configuration["classes"].get(head.class_name)
+    if request_class is None:
+        raise UnknownClassError(head.class_name[:MAX_HEADER_LENGTH])
+    if body_size > configuration["body_cap"]:
+        raise BodyTooLargeError(f"{configuration['body_cap']} bytes at most")
+    time_left = _time_left(head.deadline, default_ms=request_class["due_ms"])
+    if len(head.key) > MAX_HEADER_LENGTH or len(head.prefix) > MAX_HEADER_LENGTH:
+        raise InvalidHeaderError("a key or prefix is too long")
+    return RequestFacts(
+        tenant=tenant,
+        class_name=head.class_name,
+        key=head.key or generated_key,
+        key_is_generated=not head.key,
+        prefix=head.prefix,
+        time_left=time_left,
+        attempt=_attempt_number(head.attempt),
+        kind=request_class["kind"],
+        is_streamed=request_class["stream"],
+        is_resumable=request_class["resumable"],
+        homes=tenant_configuration["homes"],
+    )
+
+
+def _authenticate(configuration: Configuration, bearer_key: str) -> str:
+    """The tenant whose key this is."""
+    if not bearer_key:
         raise MissingKeyError()
-    tenant = config.tenant_of_key(cfg, bearer)
+    tenant: str | None = tenant_of_key(configuration, bearer_key)
     if tenant is None:
         raise UnknownKeyError()
-    c = cfg["tenants"][tenant]["classes"].get(cls)
-    if c is None:
-        raise UnknownClassError(cls[:WORD])
-    if size > cfg["body_cap"]:
-        raise BodyTooLargeError(f"{cfg['body_cap']} bytes at most")
-    if due == "":
-        left = c["due_ms"]
-    elif due.lstrip("-").isascii() and due.lstrip("-").isdigit() and len(due) < 10:
-        left = int(due)
+    return tenant
+
+
+def _time_left(deadline: str, *, default_ms: int) -> timedelta:
+    """The time until the deadline that a head names."""
+    digits = deadline.lstrip("-")
+    if deadline == "":
+        left_ms = default_ms
+    elif digits.isascii() and digits.isdigit() and len(deadline) <= MAX_DEADLINE_DIGITS:
+        left_ms = int(deadline)
     else:
-        raise InvalidDeadlineError(due[:WORD])
-    if left <= 0:
-        raise (DeadlinePassedError if left < 0 or due.strip("0") == "" and due else InvalidDeadlineError)()
-    if len(key) > WORD or len(prefix) > WORD:
-        raise InvalidHeaderError("a key or prefix is too long")
-    if attempt and not (attempt.isascii() and attempt.isdigit() and 0 < int(attempt) < 1000):
+        raise InvalidDeadlineError(deadline[:MAX_HEADER_LENGTH])
+    if left_ms > 0:
+        return milliseconds(min(left_ms, MAX_DEADLINE_MS))
+    is_zero = deadline != "" and deadline.strip("0") == ""
+    if left_ms < 0 or is_zero:
+        raise DeadlinePassedError()
+    raise InvalidDeadlineError()
+
+
+def _attempt_number(attempt: str) -> int:
+    """The client's count of its attempts; 0 where it gave none."""
+    if not attempt:
+        return 0
+    if not (attempt.isascii() and attempt.isdigit() and 0 < int(attempt) <= MAX_ATTEMPT):
         raise InvalidHeaderError("Silverglade-Attempt")
-    n = int(attempt) if attempt else 0
-    return dict(
-        tenant=tenant,
-        cls=cls,
-        key=key or minted,
-        minted=not key,
-        prefix=prefix,
-        left=milliseconds(min(left, to_milliseconds(milliseconds(600000)))),
-        attempt=n,
-        kind=c["kind"],
-        stream=c["stream"],
-        resumable=c["resumable"],
-        homes=cfg["tenants"][tenant]["homes"],
-    )
+    return int(attempt)
+
+
+def is_surely_first(facts: RequestFacts) -> bool:
+    """Whether a refusal may promise that the request did not run, though no owner has looked for its key (design 6.5)."""
+    return facts.key_is_generated or facts.attempt == 1 or (facts.is_resumable and facts.attempt == 0)
+
+
+def ran_if_first(facts: RequestFacts) -> str:
+    """What a refusal here says of whether the request ran."""
+    return RAN_NO if is_surely_first(facts) else RAN_MAYBE
 
 
-def sure(f):
-    """May a refusal of this order promise "not run" with no owner's verdict (6.5)?"""
-    return f["minted"] or f["attempt"] == 1 or (f["resumable"] and f["attempt"] == 0)
+def ran_if_not_admitted(error: SilvergladeError, head: RequestHead) -> str:
+    """What the refusal of a head says of whether the request ran, while its class is not known."""
+    if not head.key:
+        return RAN_NO
+    is_repeated = head.attempt.isdigit() and int(head.attempt) > 1
+    may_be_repeated = error.code == result_codes.NO_CONFIG and head.attempt != "1"
+    return RAN_MAYBE if is_repeated or may_be_repeated else RAN_NO
--- a/silverglade/tenant_requests/ingress.py
+++ b/silverglade/tenant_requests/ingress.py
@@ -1,304 +1,352 @@
-"""The path part (design 6.5, 6.6): orders at their ingress, and orders handed towards home."""
+"""The tenant ingress (design 6.5, 6.6): tenants' requests that come in at this daemon, and those that others forward to it.
+
+The component "tenant_ingress". A request whose homes include this daemon's zone runs here (request.py); any other is forwarded to
+a daemon of its homes (forwarding.py).
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from datetime import timedelta
+from typing import Any, ClassVar
 
 from boltons.cacheutils import LRI
 
-from ..configuration.schema import homes_of_tenant
-from ..control import replicated_state as bk
-from ..membership.rendezvous import rank_nodes
-from ..replicas.registry import INC, evacuated_zones, is_usable
-from ..runtime.effects import IDLE, send, to_milliseconds
+from ..runtime import result_codes
+from ..runtime.components import Component
+from ..runtime.effects import IDLE, Broadcast, Effect, Post, Reply, TenantResult, WakeAt
 from ..runtime.errors import SilvergladeError
-from .admission import admit, sure
-from .request import order
-
-WINDOW = 128  # pieces handed on that its visitor has not taken yet (6.6)
-KNOWN = 4096  # keys remembered, to tell a repeated one without its header
-TALES = 512  # orders whose steps are remembered for `silverglade trace`
-
-
-class Ctx:
-    """What an order may look at (held and filled by the path part alone)."""
-
-    def __init__(self, *, opt):
-        self.opt, self.book, self.reps, self.roll, self.ids = opt, {}, {}, (), {}
-        self.spills, self.evac, self.heard = 0, set(), None
-
-    def duty(self, tenant):
-        return bk.value_of(self.book, f"duty/shard/{tenant}")
-
-    def live(self, i):
-        return i in self.ids
-
-    def at_home(self, i, tenant):
-        """Does this daemon live, in a zone of the tenant's homes as they are now? An owner may not yet be moved."""
-        return self.ids.get(i) in homes_of_tenant(bk.value_of(self.book, "config"), tenant)
-
-    def fresh(self, now):
-        return self.heard is not None and now - self.heard <= self.opt["alone"]
-
-    def barred(self, rid, inc, f, now):
-        """Why this replica may not be sent this order now, or "" (design 7.2)."""
-        e = self.reps.get(rid)
-        if not self.fresh(now):
-            return "stale"
-        if e is None or e[0][INC] != inc:
-            return "incarnation"
-        if e[2] is None or now - e[2] > self.opt["stale"]:
-            return "unheard"
-        return (
-            ""
-            if is_usable(
-                e,
-                now=now,
-                opt=self.opt,
-                evac=self.evac,
-                homes=homes_of_tenant(bk.value_of(self.book, "config"), f["tenant"]),
-                kind=f["kind"],
-            )
-            else "unusable"
-        )
+from ..runtime.events import (
+    ApiCall,
+    ClientCaughtUp,
+    ClientDisconnected,
+    DispatchProgressed,
+    DrainStarted,
+    Event,
+    MembershipChanged,
+    MessageReceived,
+    ProcessPaused,
+    ProofRenewed,
+    ReplicasChanged,
+    ReportRequested,
+    StoreUpdated,
+    TenantRequestArrived,
+    TenantRequestCounts,
+    TenantRequestObserved,
+    TimerFired,
+)
+from .admission import RequestFacts, RequestHead, admit, ran_if_first, ran_if_not_admitted
+from .execution import RAN_MAYBE, RAN_NO
+from .forwarding import ForwardedRequests, LostRequest, ReceivedRequests
+from .messages import ClientLeft, Deny, Forward, ForwardedResult, Grant, Moved, OwnerMessage, PiecesTaken, Withdraw, decode, send
+from .request import TenantRequest
+from .request_context import RequestContext
+from .request_traces import RequestTrace, RequestTraces
+from .results import RETRY_AFTER_MS, fault_result, key_result
 
+MAX_KNOWN_KEYS = 4096
+"""Idempotency keys that are remembered, to tell a repeated one without its header."""
 
-def ingress(*, me, life, zone, opt):
-    ctx, gens, hands, guests, out = Ctx(opt=opt), {}, {}, {}, []
-    num, drain, tale, clock, known = 0, False, LRI(max_size=TALES), None, LRI(max_size=KNOWN)
-
-    def run(oid, now, ev):
-        """Drive one order's generator and sort its effects."""
-        for e in gens[oid].send((now, ev)):
-            settle(oid, e)
-
-    def mark(oid, now, what):
-        """What befell an order lately, for `silverglade trace` (design 8.6); no content."""
-        if oid in tale:
-            tale[oid]["steps"].append((to_milliseconds(now - tale[oid]["born"]), what))
-
-    def told(e):
-        match e:
-            case ("send", to, ("ask" | "hand", *_)):
-                return f"asked {to}"
-            case ("dispatch", did, rid, *_):
-                return f"dispatched {did} to {rid}"
-            case ("result", _, "fault", code, ran, *_):
-                return f"told {code} ran={ran}"
-            case ("result", _, "whole" | "done", *_):
-                return "told done"
-            case ("result", _, "piece", 1, _):
-                return "first piece"
-        return None
+MAX_FIRST_ATTEMPT = 1
+"""A client that gives no count (0) or counts 1 may be asking for the first time."""
+
+UNUSED_KEY = "-"
+"""In place of a generated key while only the head is checked."""
+
+
+class TenantIngress:
+    """The state machine of the ingress.
+
+    :ivar context: what requests under way may look at.
+    """
+
+    handled_events: ClassVar[tuple[type[Event], ...]] = (
+        TimerFired,
+        MessageReceived,
+        ApiCall,
+        TenantRequestArrived,
+        ClientDisconnected,
+        ClientCaughtUp,
+        DispatchProgressed,
+        DrainStarted,
+        StoreUpdated,
+        ProofRenewed,
+        ReplicasChanged,
+        MembershipChanged,
+        ProcessPaused,
+        ReportRequested,
+    )
+
+    def __init__(self, *, own_name: str, process_id: str, zone: str, tuning: Mapping[str, Any]) -> None:
+        self.context = RequestContext(tuning=tuning)
+        self._own_name = own_name
+        self._process_id = process_id
+        self._zone = zone
+        self._tuning = tuning
+        self._is_draining = False
+        self._arrivals = 0
+        self._known_keys: LRI = LRI(max_size=MAX_KNOWN_KEYS)  # of (tenant, key)
+        self._traces = RequestTraces()
+        self._running: dict[str, TenantRequest] = {}  # by request id
+        self._forwarded = ForwardedRequests(tuning=tuning, context=self.context)
+        self._received = ReceivedRequests(tuning=tuning, context=self.context)
+        self._effects: list[Effect] = []
+        self._handlers: dict[type[Event], Callable[[timedelta, Any], None]] = {
+            TimerFired: self._on_timer,
+            MessageReceived: self._on_message,
+            ApiCall: self._on_api_call,
+            TenantRequestArrived: self._on_request_arrived,
+            ClientDisconnected: self._on_client_disconnected,
+            ClientCaughtUp: self._on_client_caught_up,
+            DispatchProgressed: self._on_dispatch_progressed,
+            DrainStarted: self._on_drain_started,
+            StoreUpdated: self._on_store_updated,
+            ProofRenewed: self._on_proof_renewed,
+            ReplicasChanged: self._on_replicas_changed,
+            MembershipChanged: self._on_membership_changed,
+            ProcessPaused: self._on_process_paused,
+            ReportRequested: self._on_report_requested,
+        }
+
+    def step(self, now: timedelta, event: Event) -> list[Effect]:
+        """Handle one event; -> its effects in their order."""
+        self._handlers[type(event)](now, event)
+        effects = self._effects
+        self._effects = []
+        return effects
+
+    # --- what this daemon knows
 
-    def settle(oid, e):
-        if what := told(e):
-            mark(oid, clock, what)
-        match e:
-            case ("end", _):
-                gens.pop(oid, None)
-                guests.pop(oid, None)
-            case ("result", _, *r) if oid in guests:
-                g = guests[oid]
-                g["seq"] += 1
-                if r[0] == "piece":  # its visitor is slow: the replica is not read on
-                    g["piece"] = r[1]
-                    if not g["held"] and r[1] - g["taken"] > WINDOW:
-                        g["held"] = True
-                        out.append(("ease", oid, False))
-                out.append(send(g["to"], "res", oid, g["seq"], *r))
-            case ("served" | "repeat", *_):
-                out.append(("cast", e))
-            case _:
-                out.append(e)
-
-    def start_(oid, f, body, now):
-        k = (f["tenant"], f["key"])
-        f["counted"] = f["attempt"] < 2 and k not in known  # a retry never feeds lambda (9.3)
-        known[k] = True
-        if f["counted"]:
-            out.append(("cast", ("arrived", f["kind"])))
-        gens[oid] = g = order(oid=oid, f=f, body=body, opt=opt, ctx=ctx, me=me, now=now)
-        for e in next(g):
-            settle(oid, e)
-
-    def refuse(oid, code, ran, wait=None, detail=""):
-        out.append(("result", oid, "fault", code, ran, wait, detail))
-        mark(oid, clock, f"told {code} ran={ran}")
-
-    def head(bearer, cls, key, due, prefix, attempt, now):
-        """The head of an order, before its body is read: -> (code, what to say or the body's cap)."""
-        cfg = bk.value_of(ctx.book, "config")
+    def _on_store_updated(self, now: timedelta, event: StoreUpdated) -> None:
+        self.context.set_store(event.store)
+
+    def _on_proof_renewed(self, now: timedelta, event: ProofRenewed) -> None:
+        self.context.proved_at = event.proved_at
+
+    def _on_replicas_changed(self, now: timedelta, event: ReplicasChanged) -> None:
+        self.context.replicas = event.replicas
+
+    def _on_membership_changed(self, now: timedelta, event: MembershipChanged) -> None:
+        self.context.set_members(event.members)
+
+    def _on_process_paused(self, now: timedelta, event: ProcessPaused) -> None:
+        self.context.proved_at = None
+
+    def _on_drain_started(self, now: timedelta, event: DrainStarted) -> None:
+        self._is_draining = True
+
+    # --- calls of the control API, and figures for it
+
+    def _on_api_call(self, now: timedelta, event: ApiCall) -> None:
+        match event.operation:
+            case "trace":
+                (word,) = event.arguments
+                rows = self._traces.find(word, now)
+                code = result_codes.OK if rows else result_codes.NOT_FOUND
+                self._effects.append(Reply(event.call_id, code, {"orders": rows}))
+            case "head":
+                code, fields = self._check_head(RequestHead(*event.arguments))
+                self._effects.append(Reply(event.call_id, code, fields))
+
+    def _check_head(self, head: RequestHead) -> tuple[int, dict[str, Any]]:
+        """Check the head of a request before its body is read.
+
+        :returns: a result code, with what to say of the refusal, or with the largest body that is taken.
+        """
+        configuration = self.context.configuration
         try:
-            f = admit(cfg=cfg, bearer=bearer, cls=cls, key=key, due=due, prefix=prefix, attempt=attempt, size=0, minted="-")
-        except SilvergladeError as e:
-            return e.code, dict(ran=blank(e, key, attempt), detail=e.detail, wait=1000 if e.code == 309 else None)
-        if drain:
-            return 308, dict(ran="no" if sure(f) else "maybe", wait=1000)
-        return 100, dict(cap=cfg["body_cap"])
-
-    def blank(e, key, attempt):
-        """What a refusal of the head may promise."""
-        known = key and (attempt.isdigit() and int(attempt) > 1 or e.code == 309 and attempt != "1")
-        return "maybe" if known else "no"
-
-    def fresh_order(oid, spec, now):
-        nonlocal num
-        tale[oid] = dict(order=oid, key=spec[2], cls=spec[1], born=now, steps=[])
-        bearer, cls, key, due, prefix, attempt, body = spec
-        num += 1
-        cfg = bk.value_of(ctx.book, "config")
+            facts = admit(configuration, head, body_size=0, generated_key=UNUSED_KEY)
+        except SilvergladeError as error:
+            ran = ran_if_not_admitted(error, head)
+            return error.code, {"ran": ran, "detail": error.detail, "wait": _retry_after(error)}
+        if self._is_draining:
+            return result_codes.DRAINING, {"ran": ran_if_first(facts), "wait": RETRY_AFTER_MS}
+        assert configuration is not None  # admit() refuses all without one
+        return result_codes.OK, {"cap": configuration["body_cap"]}
+
+    def _on_report_requested(self, now: timedelta, event: ReportRequested) -> None:
+        counts = TenantRequestCounts(len(self._running), len(self._forwarded), self.context.overflow_count)
+        self._effects.append(Post(Component.OPERATOR_API, counts))
+
+    # --- requests of this daemon's clients
+
+    def _on_request_arrived(self, now: timedelta, event: TenantRequestArrived) -> None:
+        *head_texts, body = event.facts
+        head = RequestHead(*head_texts)
+        request_id = event.request_id
+        trace = self._traces.begin(request_id=request_id, key=head.key, class_name=head.class_name, now=now)
+        self._arrivals += 1
+        generated_key = f"{self._own_name}-{self._process_id}-{self._arrivals}"
         try:
-            f = admit(
-                cfg=cfg,
-                bearer=bearer,
-                cls=cls,
-                key=key,
-                due=due,
-                prefix=prefix,
-                attempt=attempt,
-                size=len(body),
-                minted=f"{me}-{life}-{num}",
-            )
-        except SilvergladeError as e:
-            return refuse(oid, e.code, blank(e, key, attempt), 1000 if e.code == 309 else None, e.detail)
-        tale[oid].update(key=f["key"], tenant=f["tenant"])
-        out.append(("result", oid, "key", f["key"], f["stream"]))
-        maybe = "no" if sure(f) else "maybe"
-        if drain:
-            return refuse(oid, 308, maybe, 1000)
-        if not ctx.fresh(now):
-            return refuse(oid, 307, maybe, 1000)
-        if zone in f["homes"]:
-            return start_(oid, f, body, now)
-        to = homeward(f)
-        if not to:
-            return refuse(oid, 306, maybe, 1000)
-        hands[oid] = dict(to=to, seq=0, at=now, due=now + f["left"], f=f, out=False, told=False)
-        out.append(send(to, "hand", oid, bearer, cls, f["key"], f["minted"], to_milliseconds(f["left"]), prefix, f["attempt"], body))
-        return None
+            facts = admit(self.context.configuration, head, body_size=len(body), generated_key=generated_key)
+        except SilvergladeError as error:
+            ran = ran_if_not_admitted(error, head)
+            self._refuse(request_id, now, error.code, ran, _retry_after(error), error.detail)
+            return
+        trace.key = facts.key
+        trace.tenant = facts.tenant
+        self._effects.append(key_result(request_id, facts.key, facts.is_streamed))
+        self._place(request_id, head, facts, body, now, trace)
 
-    def homeward(f):
-        """The shard's owner where it lives, else a live daemon of the homes in their order."""
-        d = ctx.duty(f["tenant"])
-        if d and ctx.at_home(d[1], f["tenant"]):
-            return d[1]
-        for z in f["homes"]:
-            ids = [r[0] for r in ctx.roll if r[4] == z and r[9] == "ready"]
-            if ids:
-                return rank_nodes(f["key"], ids)[0]
+    def _place(
+        self, request_id: str, head: RequestHead, facts: RequestFacts, body: bytes, now: timedelta, trace: RequestTrace | None
+    ) -> None:
+        """Run an admitted request here, forward it towards its homes, or refuse it."""
+        code = self._cannot_take_work(now)
+        if code is None and self._zone in facts.homes:
+            self._run(request_id, facts, body, now, trace)
+            return
+        daemon = self.context.daemon_towards_home(facts) if code is None else None
+        if daemon is None:
+            self._refuse(request_id, now, code or result_codes.NO_HOME, ran_if_first(facts), RETRY_AFTER_MS)
+            return
+        self._effects.append(self._forwarded.forward(request_id, daemon, head, facts, body, now))
+
+    def _cannot_take_work(self, now: timedelta) -> int | None:
+        """The result code that says why no request may begin here now."""
+        if self._is_draining:
+            return result_codes.DRAINING
+        if not self.context.has_recent_proof(now):
+            return result_codes.STALE
         return None
 
-    def guest(frm, oid, bearer, cls, key, minted, left, prefix, attempt, body, now):
-        """An order handed to us from outside its homes; we are its ingress now."""
-        if oid in guests:
+    def _refuse(self, request_id: str, now: timedelta, code: int, ran: str, retry_after_ms: int | None, detail: str = "") -> None:
+        """Answer a client of this daemon with a fault."""
+        self._effects.append(fault_result(request_id, code, ran, retry_after_ms, detail))
+        self._traces.record(request_id, now, f"told {code} ran={ran}")
+
+    def _on_client_disconnected(self, now: timedelta, event: ClientDisconnected) -> None:
+        request_id = event.request_id
+        request = self._running.get(request_id)
+        if request is not None:
+            self._settle(request_id, request, request.on_client_left(now))
+        elif request_id in self._forwarded:
+            self._effects.append(self._forwarded.abandon(request_id))
+
+    def _on_client_caught_up(self, now: timedelta, event: ClientCaughtUp) -> None:
+        if event.request_id in self._forwarded:
+            self._effects.append(self._forwarded.report_taken(event.request_id, event.position))
+
+    # --- requests that run here
+
+    def _run(self, request_id: str, facts: RequestFacts, body: bytes, now: timedelta, trace: RequestTrace | None) -> None:
+        """Begin a request; a retry never counts as an arrival for the scaler (design 9.3)."""
+        known_key = (facts.tenant, facts.key)
+        counts_as_arrival = facts.attempt <= MAX_FIRST_ATTEMPT and known_key not in self._known_keys
+        self._known_keys[known_key] = True
+        if counts_as_arrival:
+            self._effects.append(Broadcast(TenantRequestObserved(facts.kind)))
+        request = TenantRequest(
+            request_id=request_id,
+            facts=facts,
+            body=body,
+            now=now,
+            tuning=self._tuning,
+            context=self.context,
+            counts_as_arrival=counts_as_arrival,
+            trace=trace,
+        )
+        self._running[request_id] = request
+        self._settle(request_id, request, request.start(now))
+
+    def _settle(self, request_id: str, request: TenantRequest, effects: list[Effect]) -> None:
+        """Take the effects of a request that runs here; results go to where it came in."""
+        if request_id in self._received:
+            for effect in effects:
+                if isinstance(effect, TenantResult):
+                    self._effects.extend(self._received.send_back(effect))
+                else:
+                    self._effects.append(effect)
+        else:
+            self._effects.extend(effects)
+        if request.is_finished:
+            self._running.pop(request_id, None)
+            self._received.remove(request_id)
+
+    def _on_dispatch_progressed(self, now: timedelta, event: DispatchProgressed) -> None:
+        request_id = event.dispatch_id.rsplit(".", 1)[0]
+        request = self._running.get(request_id)
+        if request is not None:
+            self._settle(request_id, request, request.on_dispatch_progress(now, event.outcome))
+
+    def _on_timer(self, now: timedelta, event: TimerFired) -> None:
+        for request_id, request in list(self._running.items()):
+            self._settle(request_id, request, request.on_timer(now))
+        for request_id in self._received.orphaned(now):
+            self._on_sender_left(now, request_id)
+        for request_id, effects, lost in self._forwarded.overdue(now):
+            self._effects.extend(effects)
+            self._refuse_lost(request_id, now, lost)
+        if not self._running and not self._received and not self._forwarded:
+            self._effects.append(WakeAt(IDLE))
+
+    def _on_sender_left(self, now: timedelta, request_id: str) -> None:
+        """Nobody waits any more for a request that another daemon forwarded here."""
+        request = self._running.get(request_id)
+        if request is not None:
+            self._settle(request_id, request, request.on_client_left(now))
+
+    def _refuse_lost(self, request_id: str, now: timedelta, lost: LostRequest) -> None:
+        self._refuse(request_id, now, lost.code, lost.ran, RETRY_AFTER_MS)
+
+    # --- messages from other daemons
+
+    def _on_message(self, now: timedelta, event: MessageReceived) -> None:
+        message = decode(event.body)
+        match message:
+            case Grant() | Deny() | Moved():
+                self._on_owner_message(now, event.sender, message)
+            case ForwardedResult():
+                self._on_forwarded_result(now, event.sender, message)
+            case PiecesTaken():
+                self._effects.extend(self._received.on_pieces_taken(event.sender, message))
+            case Forward():
+                self._on_forward(now, event.sender, message)
+            case ClientLeft():
+                if message.request_id in self._received:
+                    self._on_sender_left(now, message.request_id)
+
+    def _on_owner_message(self, now: timedelta, sender: str, message: OwnerMessage) -> None:
+        request = self._running.get(message.request_id)
+        if request is not None:
+            self._settle(message.request_id, request, request.on_owner_message(now, message))
+        elif isinstance(message, Grant):
+            self._effects.append(send(sender, Withdraw(message.request_id)))  # nobody waits: it will not be sent
+
+    def _on_forwarded_result(self, now: timedelta, sender: str, message: ForwardedResult) -> None:
+        if message.request_id not in self._forwarded:
+            return
+        effects, lost = self._forwarded.on_result(sender, message)
+        self._effects.extend(effects)
+        if lost is not None:
+            self._refuse_lost(message.request_id, now, lost)
+
+    def _on_forward(self, now: timedelta, sender: str, message: Forward) -> None:
+        """Take in a request of another daemon, which is outside the request's homes. It is never forwarded again."""
+        request_id = message.request_id
+        if request_id in self._received:
             return
-        guests[oid] = dict(to=frm, seq=0, at=now, piece=0, taken=0, held=False)
-        no = lambda code, ran: (settle(oid, ("result", oid, "fault", code, ran, 1000)), settle(oid, ("end", oid)))
+        self._received.add(request_id, sender, now)
         try:
-            f = admit(
-                cfg=bk.value_of(ctx.book, "config"),
-                bearer=bearer,
-                cls=cls,
-                key=key,
-                due=str(left),
-                prefix=prefix,
-                attempt=str(attempt or ""),
-                size=len(body),
-                minted="",
-            )
-        except SilvergladeError as e:
-            no(e.code, "no" if minted or attempt == 1 else "maybe")
+            facts = admit(self.context.configuration, message.head(), body_size=len(message.body), generated_key="")
+        except SilvergladeError as error:
+            ran = RAN_NO if message.key_is_generated or message.attempt == 1 else RAN_MAYBE
+            self._refuse_received(request_id, error.code, ran)
             return
-        f["minted"] = minted
-        if zone not in f["homes"]:
-            no(306, "no" if sure(f) else "maybe")  # never passed on to a third region
-        elif drain or not ctx.fresh(now):
-            no(308 if drain else 307, "no" if sure(f) else "maybe")
+        facts = facts._replace(key_is_generated=message.key_is_generated)
+        code = self._cannot_take_work(now)
+        if self._zone not in facts.homes:
+            self._refuse_received(request_id, result_codes.NO_HOME, ran_if_first(facts))
+        elif code is not None:
+            self._refuse_received(request_id, code, ran_if_first(facts))
         else:
-            start_(oid, f, body, now)
-
-    def relay(oid, h, seq, r, now):
-        if seq != h["seq"] + 1:
-            out.append(send(h["to"], "left", oid))
-            return lose(oid, h, 405)
-        h["seq"], h["told"] = seq, True
-        if r[0] == "piece":
-            h["out"] = True
-        if r[0] == "fault" and r[1] in (404,) or r[0] in ("done", "whole", "fault"):
-            hands.pop(oid)
-        if r[0] in ("piece", "done", "whole", "fault"):
-            out.append(("result", oid, *r))
-        return None
+            self._run(request_id, facts, message.body, now, trace=None)
+
+    def _refuse_received(self, request_id: str, code: int, ran: str) -> None:
+        self._effects.extend(self._received.send_back(fault_result(request_id, code, ran, RETRY_AFTER_MS)))
+        self._received.remove(request_id)
+
 
-    def lose(oid, h, code):
-        hands.pop(oid)
-        refuse(oid, 404 if h["out"] else code, "yes" if h["out"] else "maybe", 1000)
-
-    def pulse(now):
-        for oid in list(gens):
-            run(oid, now, ("pulse",))
-        for oid, g in list(guests.items()):
-            if not ctx.live(g["to"]) and now - g["at"] > opt["gone"]:
-                if oid in gens:
-                    run(oid, now, ("gone",))
-        for oid, h in list(hands.items()):
-            if now >= h["due"] + opt["settle"]:
-                out.append(send(h["to"], "left", oid))
-                lose(oid, h, 403)
-            elif not ctx.live(h["to"]):
-                lose(oid, h, 405)
-
-    while True:
-        now, ev = yield tuple(out)
-        out, clock = [], now
-        match ev:
-            case ("pulse",):
-                pulse(now)
-                if not gens and not guests and not hands:
-                    out.append(("due", IDLE))
-            case ("call", cid, "trace", (word,)):
-                rows = [dict(t, born=to_milliseconds(now - t["born"])) for t in tale.values() if word in (t["order"], t["key"])]
-                out.append(("reply", cid, 100 if rows else 507, dict(orders=rows)))
-            case ("book", b, _):
-                ctx.book, ctx.evac = b, evacuated_zones(b)
-            case ("replicas", rs):
-                ctx.reps = rs
-            case ("roll", r):
-                ctx.roll, ctx.ids = r, {x[0]: x[4] for x in r}
-            case ("fresh", f):
-                ctx.heard = f
-            case ("froze",):
-                ctx.heard = None
-            case ("drain",):
-                drain = True
-            case ("call", cid, "head", spec):
-                out.append(("reply", cid, *head(*spec, now)))
-            case ("drained", oid, n) if oid in hands:
-                out.append(send(hands[oid]["to"], "more", oid, n))
-            case ("msg", frm, ("more", str(oid), int(n))) if oid in guests and guests[oid]["to"] == frm:
-                g = guests[oid]
-                g["taken"] = max(g["taken"], n)
-                if g["held"] and g["piece"] - g["taken"] <= WINDOW // 2:
-                    g["held"] = False
-                    out.append(("ease", oid, True))
-            case ("order", oid, spec):
-                fresh_order(oid, spec, now)
-            case ("gone", oid):
-                if oid in gens:
-                    run(oid, now, ("gone",))
-                elif oid in hands:
-                    out.append(send(hands.pop(oid)["to"], "left", oid))
-            case ("ran", did, *r):
-                oid = did.rsplit(".", 1)[0]
-                if oid in gens:
-                    run(oid, now, ("ran", *r))
-            case ("msg", frm, (("grant" | "deny" | "moved") as k, str(oid), *r)) if oid in gens:
-                run(oid, now, (k, *r))
-            case ("msg", frm, ("grant", str(oid), *_)):
-                out.append(send(frm, "quit", oid))  # nobody waits: it will not be sent
-            case ("msg", frm, ("hand", str(oid), str(b), str(c), str(k), bool(m), int(left), str(p), int(a), bytes(body))):
-                guest(frm, oid, b, c, k, m, left, p, a, body, now)
-            case ("msg", frm, ("left", str(oid))) if oid in gens and oid in guests:
-                run(oid, now, ("gone",))
-            case ("msg", frm, ("res", str(oid), int(seq), *r)) if r and oid in hands:
-                if frm == hands[oid]["to"]:
-                    relay(oid, hands[oid], seq, r, now)
-            case ("look",):
-                out.append(("post", "operator_api", ("orders", len(gens), len(hands), ctx.spills)))
+def _retry_after(error: SilvergladeError) -> int | None:
+    """When a request that was not admitted may come back; None where it would be refused again."""
+    return RETRY_AFTER_MS if error.code == result_codes.NO_CONFIG else None
--- a/silverglade/tenant_requests/request.py
+++ b/silverglade/tenant_requests/request.py
@@ -1,178 +1,418 @@
-"""One order's way at its home ingress (design 6.5): ask, dispatch, relay.
+"""One tenant's request at a daemon of its homes (design 6.5): ask the shard's owner, dispatch, relay the answer.
 
-A generator; sent (now, event) and yields effects. Its last yield has ("end", oid). Context
-`ctx` reads what the path part holds: duty(tenant), at_home(id, tenant), barred(rid, inc, f, now),
-fresh(now).
+A state machine without I/O. Each attempt asks the owner for a replica, and is dispatched there once it is granted. An attempt
+that surely did not run, or one of a resumable class before its first piece, is followed by another while there is time.
 """
 
-from ..runtime.effects import ZERO, log, milliseconds, send, to_milliseconds
-from .admission import sure
-
-ENDS = ("whole", "done", "fault")
-
-
-def order(*, oid, f, body, opt, ctx, me, now):
-    due, born = now + f["left"], now
-    n, ran, sent, piece = 0, "no", False, 0  # ran: worst over this order's dispatches
-    out, cause = [], None
-
-    def result(kind, *r):
-        out.append(("result", oid, kind, *r))
-
-    def fault(code, ran_, wait=None):
-        """The final answer, at once; `ran` is only ever as good as what is sure."""
-        if ran != "no":
-            ran_ = ran
-        # "?": the owner knows of no other ask of the key; "blind": no owner has looked. After a while,
-        # or when nobody looked, its visitor may have asked elsewhere.
-        if ran_ in ("?", "blind"):
-            soon = f["minted"] or now - born <= (opt["settle"] if ran_ == "?" else ZERO)
-            ran_ = "no" if soon and sure(f) else "maybe"
-        if ran_ == "no" and now > due + opt["beat"] and not f["minted"]:
-            ran_ = "maybe"  # frozen meanwhile: the owner's word is old
-        result("fault", code, ran_, wait)
-        out.append(("end", oid))
-
-    def repeated():
-        """Its owner knew the key: no arrival of the scaler's after all (9.3)."""
-        if f["counted"]:
-            f["counted"] = False
-            out.append(("repeat", f["kind"]))
-
-    while True:
-        n += 1
-        holder = epoch = at = None
-        began, grant, moved = now, None, None
-        # ask: the shard's owner for a replica and, where needed, a claim
-        while grant is None:
-            d = ctx.duty(f["tenant"])
-            # a daemon without news may hold homes that are none any more: it asks nobody (5.7)
-            ok = d is not None and d[1] and ctx.fresh(now) and ctx.at_home(d[1], f["tenant"])
-            if ok and ((epoch, holder) != d[:2] or now - at > opt["owner_wait"]) and (moved is None or now - moved > opt["beat"] / 2):
-                epoch, holder, at = d[0], d[1], now
-                out.append(
-                    send(
-                        holder,
-                        "ask",
-                        oid,
-                        n,
-                        f["tenant"],
-                        epoch,
-                        (f["cls"], f["key"], f["prefix"], max(1, to_milliseconds(due - now)), f["attempt"]),
-                    )
-                )
-                began = now
-            if now >= due:
-                out += [send(holder, "quit", oid)] if holder else []
-                fault(207 if n == 1 else 403, "blind", 1000)
-                yield tuple(out)
-                return
-            if not ok and now - began > opt["owner_wait"] * 3:
-                fault(304, "blind", 1000)
-                yield tuple(out)
-                return
-            now, ev = yield tuple(out)
-            out = []
-            match ev:
-                case ("grant", k, rid, inc, addr, _, spill, *more) if k == n:
-                    grant = (rid, inc, addr)
-                    if more and more[0] is True:
-                        repeated()
-                    ctx.spills += bool(spill)
-                case ("deny", k, code, r, wait) if k == n:
-                    if code == 304 and now - began < opt["owner_wait"]:
-                        epoch, moved = None, now
-                        continue
-                    if n == 1 and code in (305, 401):
-                        repeated()
-                    if code == 305 and n > 1:  # no more tries: what befell the last one
-                        code, r = cause
-                    fault(code, "blind" if r == "?" and code in (203, 307) else r, wait)
-                    yield tuple(out)
-                    return
-                case ("moved", k) if k == n:
-                    epoch, moved = None, now
-                case ("gone",):
-                    out += [send(holder, "quit", oid)] if holder else []
-                    out.append(("end", oid))
-                    yield tuple(out)
-                    return
-        rid, inc, addr = grant
-        did, start = f"{oid}.{n}", now
-        # dispatch: checked again just before it is sent (7.2)
-        why = ctx.barred(rid, inc, f, now)
-        if why:
-            how, r = "refused", "no"
-            out.append(log("dispatch-barred", order=oid, replica=rid, why=why))
+from __future__ import annotations
+
+from collections.abc import Mapping
+from datetime import timedelta
+from enum import Enum
+from typing import Any, Final
+
+from ..runtime import result_codes
+from ..runtime.effects import ZERO, AbortDispatch, Broadcast, Dispatch, Effect, log_record, milliseconds, to_milliseconds
+from ..runtime.events import TenantRequestServed, TenantRetryObserved
+from .admission import RequestFacts, is_surely_first
+from .dispatch_outcomes import (
+    DispatchFailed,
+    DispatchOutcome,
+    NotRun,
+    PieceReceived,
+    StreamEnded,
+    WholeAnswerReceived,
+    decode_outcome,
+)
+from .execution import RAN_MAYBE, RAN_NO, RAN_NOT_ELSEWHERE, RAN_NOT_LOOKED_UP, RAN_YES
+from .messages import (
+    DISPATCH_BARRED,
+    DISPATCH_DONE,
+    DISPATCH_NOT_RUN,
+    DISPATCH_RAN,
+    Ask,
+    AskedFacts,
+    Deny,
+    DispatchEnded,
+    Grant,
+    Moved,
+    OwnerMessage,
+    Withdraw,
+    send,
+)
+from .request_context import RequestContext, ShardOwner
+from .request_traces import RequestTrace
+from .results import RETRY_AFTER_MS, done_result, fault_result, piece_result, whole_result
+
+OWNER_WAITS_WITHOUT_OWNER = 3
+"""A request is refused after so many times `owner_wait` without an owner that may be asked."""
+
+MIN_TIME_FOR_RETRY = milliseconds(50)
+
+
+class Phase(Enum):
+    """Where a request is on its way."""
+
+    ASKING = "asking"
+    DISPATCHED = "dispatched"
+    FINISHED = "finished"
+
+
+class AttemptEnd(Enum):
+    """How an attempt ended."""
+
+    BARRED = "barred"
+    NOT_RUN = "not run"
+    DONE = "done"
+    FAILED = "failed"
+    DEADLINE_PASSED = "deadline passed"
+    CLIENT_LEFT = "client left"
+
+
+REPORTED_OUTCOMES: Final = {
+    AttemptEnd.BARRED: DISPATCH_BARRED,
+    AttemptEnd.NOT_RUN: DISPATCH_NOT_RUN,
+    AttemptEnd.DONE: DISPATCH_DONE,
+    AttemptEnd.FAILED: DISPATCH_RAN,
+    AttemptEnd.DEADLINE_PASSED: DISPATCH_RAN,
+    AttemptEnd.CLIENT_LEFT: DISPATCH_RAN,
+}
+"""What the shard's owner is told of an end."""
+
+ABORTED_ENDS: Final = frozenset((AttemptEnd.FAILED, AttemptEnd.DEADLINE_PASSED, AttemptEnd.CLIENT_LEFT))
+"""Ends after which the replica's answer is not read on."""
+
+NOT_RUN_ENDS: Final = frozenset((AttemptEnd.BARRED, AttemptEnd.NOT_RUN))
+
+
+class TenantRequest:
+    """A request under way; every method that an event calls returns the effects in their order.
+
+    :ivar phase: where the request is.
+    """
+
+    __slots__ = (
+        "_arrived_at",
+        "_asked_at",
+        "_asked_owner",
+        "_asking_since",
+        "_attempt",
+        "_body",
+        "_context",
+        "_counts_as_arrival",
+        "_deadline",
+        "_dispatch_id",
+        "_dispatched_at",
+        "_effects",
+        "_facts",
+        "_last_failure",
+        "_must_ask",
+        "_moved_at",
+        "_pieces",
+        "_ran",
+        "_request_id",
+        "_trace",
+        "_tuning",
+        "phase",
+    )
+
+    def __init__(
+        self,
+        *,
+        request_id: str,
+        facts: RequestFacts,
+        body: bytes,
+        now: timedelta,
+        tuning: Mapping[str, Any],
+        context: RequestContext,
+        counts_as_arrival: bool,
+        trace: RequestTrace | None,
+    ) -> None:
+        self._request_id = request_id
+        self._facts = facts
+        self._body = body
+        self._tuning = tuning
+        self._context = context
+        self._counts_as_arrival = counts_as_arrival  # the scaler was told of it as of a new request
+        self._trace = trace
+        self._arrived_at = now
+        self._deadline = now + facts.time_left
+        self.phase = Phase.ASKING
+        self._effects: list[Effect] = []
+        # all attempts: their number, the worst that is known of whether one ran, pieces passed on, how the last one failed
+        self._attempt = 0
+        self._ran = RAN_NO
+        self._pieces = 0
+        self._last_failure: tuple[int, str] = (result_codes.NO_SLOT, RAN_NO)
+        # this attempt: the owner that was asked, when, and whether it is to be asked anew though it is the same one
+        self._asked_owner: ShardOwner | None = None
+        self._asked_at = now
+        self._must_ask = False
+        self._asking_since = now
+        self._moved_at: timedelta | None = None  # when a daemon said that it does not own the shard
+        self._dispatch_id = ""
+        self._dispatched_at = now
+
+    @property
+    def is_finished(self) -> bool:
+        """Whether nothing more is to be done for it."""
+        return self.phase is Phase.FINISHED
+
+    def start(self, now: timedelta) -> list[Effect]:
+        """Begin the first attempt."""
+        self._begin_attempt(now)
+        return self._take_effects()
+
+    def on_timer(self, now: timedelta) -> list[Effect]:
+        """Look at the clock."""
+        if self.phase is Phase.ASKING:
+            self._seek_grant(now)
+        else:
+            self._ends_late(now)
+        return self._take_effects()
+
+    def on_owner_message(self, now: timedelta, message: OwnerMessage) -> list[Effect]:
+        """Handle an owner's answer; one to an earlier attempt only makes the request look at the clock."""
+        if self.phase is Phase.DISPATCHED:
+            self._ends_late(now)
+        elif message.attempt != self._attempt:
+            self._seek_grant(now)
+        elif isinstance(message, Grant):
+            self._on_grant(now, message)
+        elif isinstance(message, Moved) or self._may_find_owner(now, message):
+            self._must_ask = True
+            self._moved_at = now
+            self._seek_grant(now)
         else:
-            out.append(
-                (
-                    "dispatch",
-                    did,
-                    rid,
-                    addr,
-                    dict(
-                        tenant=f["tenant"],
-                        cls=f["cls"],
-                        stream=f["stream"],
-                        prefix=f["prefix"],
-                        kind=f["kind"],
-                        due=to_milliseconds(due - now),
-                    ),
-                    body,
-                )
-            )
-            sent, how = True, None
-        while how is None:
-            now, ev = yield tuple(out)
-            out = []
-            if now >= due:
-                how, r = "late", "maybe"
-                break
-            match ev:
-                case ("ran", "refused"):
-                    how, r = "refused", "no"
-                case ("ran", "fault", r):
-                    how = "fault"
-                case ("ran", "piece", k, data) if f["stream"]:
-                    if k != piece + 1:  # lost, repeated or foreign: never passed on
-                        how, r = "fault", "yes"
-                        continue
-                    piece = k
-                    result("piece", k, data)
-                case ("ran", "done", k) if f["stream"]:
-                    how = "done" if k == piece and piece else "fault"
-                    r = "yes"
-                case ("ran", "whole", data) if not f["stream"]:
-                    how, r = "done", "yes"
-                    result("whole", data)
-                case ("ran", *_):
-                    how, r = "fault", "yes"
-                case ("gone",):
-                    how, r = "gone", "maybe"
-        if sent and how in ("late", "gone", "fault"):
-            out.append(("abort", did))
-        out.append(send(holder, "fin", oid, n, "barred" if why else {"refused": "unrun", "done": "done"}.get(how, "ran")))
-        if how == "done":
-            out += [("served", f, now - start, now - (due - f["left"]))]
-            if f["stream"]:
-                result("done", piece)
-            out.append(("end", oid))
-            yield tuple(out)
+            self._on_deny(now, message)
+        return self._take_effects()
+
+    def on_dispatch_progress(self, now: timedelta, outcome: tuple[Any, ...]) -> list[Effect]:
+        """Handle what the replica made of the dispatch so far."""
+        if self.phase is Phase.ASKING:
+            self._seek_grant(now)
+        elif not self._ends_late(now):
+            self._on_outcome(now, decode_outcome(outcome, is_streamed=self._facts.is_streamed))
+        return self._take_effects()
+
+    def on_client_left(self, now: timedelta) -> list[Effect]:
+        """Nobody waits for the answer any more."""
+        if self.phase is Phase.ASKING:
+            self._withdraw()
+            self.phase = Phase.FINISHED
+        elif not self._ends_late(now):
+            self._end_attempt(now, AttemptEnd.CLIENT_LEFT, RAN_MAYBE)
+        return self._take_effects()
+
+    def _take_effects(self) -> list[Effect]:
+        effects = self._effects
+        self._effects = []
+        return effects
+
+    def _record(self, now: timedelta, step: str) -> None:
+        if self._trace is not None:
+            self._trace.record(now, step)
+
+    # --- asking for a replica
+
+    def _begin_attempt(self, now: timedelta) -> None:
+        self.phase = Phase.ASKING
+        self._attempt += 1
+        self._asked_owner = None
+        self._must_ask = False
+        self._asking_since = now
+        self._moved_at = None
+        self._seek_grant(now)
+
+    def _seek_grant(self, now: timedelta) -> None:
+        """Ask the shard's owner for a replica and, where needed, a claim; or give up."""
+        owner = self._context.reachable_owner(self._facts.tenant, now)
+        if owner is not None and self._is_to_be_asked(owner, now):
+            self._ask(owner, now)
+        if now >= self._deadline:
+            self._withdraw()
+            code = result_codes.DUE_PASSED if self._attempt == 1 else result_codes.REPLICA_SILENT
+            self._fail(now, code, RAN_NOT_LOOKED_UP, RETRY_AFTER_MS)
+        elif owner is None and now - self._asking_since > self._tuning["owner_wait"] * OWNER_WAITS_WITHOUT_OWNER:
+            self._fail(now, result_codes.NO_OWNER, RAN_NOT_LOOKED_UP, RETRY_AFTER_MS)
+
+    def _is_to_be_asked(self, owner: ShardOwner, now: timedelta) -> bool:
+        """Whether this owner was not asked yet, or did not answer; one that does not own the shard is left alone for a while."""
+        if self._moved_at is not None and now - self._moved_at <= self._tuning["beat"] / 2:
+            return False
+        return self._must_ask or owner != self._asked_owner or now - self._asked_at > self._tuning["owner_wait"]
+
+    def _ask(self, owner: ShardOwner, now: timedelta) -> None:
+        facts = self._facts
+        left_ms = max(1, to_milliseconds(self._deadline - now))
+        asked_facts = AskedFacts(facts.class_name, facts.key, facts.prefix, left_ms, facts.attempt)
+        ask = Ask(self._request_id, self._attempt, facts.tenant, owner.epoch, asked_facts)
+        self._effects.append(send(owner.name, ask))
+        self._record(now, f"asked {owner.name}")
+        self._asked_owner = owner
+        self._must_ask = False
+        self._asked_at = now
+        self._asking_since = now
+
+    def _withdraw(self) -> None:
+        """Tell the owner that was asked that the request will not be sent."""
+        if self._asked_owner is not None:
+            self._effects.append(send(self._asked_owner.name, Withdraw(self._request_id)))
+
+    def _may_find_owner(self, now: timedelta, deny: Deny) -> bool:
+        """Whether the daemon that was asked lacks an owner, and there is still time to find one."""
+        return deny.code == result_codes.NO_OWNER and now - self._asking_since < self._tuning["owner_wait"]
+
+    def _on_grant(self, now: timedelta, grant: Grant) -> None:
+        if grant.key_was_known:
+            self._take_back_arrival()
+        self._context.overflow_count += bool(grant.is_overflow)
+        self._dispatch(now, grant)
+
+    def _on_deny(self, now: timedelta, deny: Deny) -> None:
+        code, ran = deny.code, deny.ran
+        if self._attempt == 1 and code in (result_codes.RETRY_BUDGET, result_codes.SEEN):
+            self._take_back_arrival()
+        if code == result_codes.RETRY_BUDGET and self._attempt > 1:  # no more attempts: the client is told of the last one
+            code, ran = self._last_failure
+        if ran == RAN_NOT_ELSEWHERE and code in (result_codes.UNKNOWN_CLASS, result_codes.STALE):
+            ran = RAN_NOT_LOOKED_UP
+        self._fail(now, code, ran, deny.retry_after_ms)
+
+    def _take_back_arrival(self) -> None:
+        """The owner knew the key: the request was no arrival for the scaler after all (design 9.3)."""
+        if self._counts_as_arrival:
+            self._counts_as_arrival = False
+            self._effects.append(Broadcast(TenantRetryObserved(self._facts.kind)))
+
+    # --- running on a replica
+
+    def _dispatch(self, now: timedelta, grant: Grant) -> None:
+        """Send the request to the granted replica, unless something has come between (design 7.2)."""
+        self.phase = Phase.DISPATCHED
+        self._dispatched_at = now
+        self._dispatch_id = f"{self._request_id}.{self._attempt}"
+        barrier = self._context.dispatch_barrier(grant.replica, grant.incarnation, self._facts, now)
+        if barrier is not None:
+            self._effects.append(log_record("dispatch-barred", request=self._request_id, replica=grant.replica, why=barrier.value))
+            self._end_attempt(now, AttemptEnd.BARRED, RAN_NO)
             return
-        ran = "no" if r == "no" and ran == "no" else "yes" if "yes" in (r, ran) or piece else "maybe"
-        again = (how == "refused" or (how == "fault" and f["resumable"])) and not piece
-        cause = (
-            404 if piece else 403 if how == "late" else 402 if ran != "no" else 301,
-            "blind" if f["resumable"] or ran != "no" else "no",
-        )
-        if how == "gone" or not (again and due - now > milliseconds(50)):
-            if how != "gone":
-                if ran == "no":
-                    out.append(send(holder, "quit", oid))
-                fault(*cause, 1000)
-            else:
-                out.append(("end", oid))
-            yield tuple(out)
+        facts = self._facts
+        dispatch_facts = {
+            "tenant": facts.tenant,
+            "cls": facts.class_name,
+            "stream": facts.is_streamed,
+            "prefix": facts.prefix,
+            "kind": facts.kind,
+            "due": to_milliseconds(self._deadline - now),
+        }
+        self._effects.append(Dispatch(self._dispatch_id, grant.replica, grant.address, dispatch_facts, self._body))
+        self._record(now, f"dispatched {self._dispatch_id} to {grant.replica}")
+
+    def _ends_late(self, now: timedelta) -> bool:
+        """End the attempt if the deadline has passed; -> whether it has."""
+        if now < self._deadline:
+            return False
+        self._end_attempt(now, AttemptEnd.DEADLINE_PASSED, RAN_MAYBE)
+        return True
+
+    def _on_outcome(self, now: timedelta, outcome: DispatchOutcome) -> None:
+        match outcome:
+            case PieceReceived(number, data):
+                self._on_piece(now, number, data)
+            case StreamEnded(pieces):
+                is_complete = pieces == self._pieces and pieces > 0
+                self._end_attempt(now, AttemptEnd.DONE if is_complete else AttemptEnd.FAILED, RAN_YES)
+            case WholeAnswerReceived(data):
+                self._effects.append(whole_result(self._request_id, data))
+                self._record(now, "told done")
+                self._end_attempt(now, AttemptEnd.DONE, RAN_YES)
+            case NotRun():
+                self._end_attempt(now, AttemptEnd.NOT_RUN, RAN_NO)
+            case DispatchFailed(ran):
+                self._end_attempt(now, AttemptEnd.FAILED, ran)
+
+    def _on_piece(self, now: timedelta, number: int, data: bytes) -> None:
+        if number != self._pieces + 1:  # lost, repeated or foreign: never passed on
+            self._end_attempt(now, AttemptEnd.FAILED, RAN_YES)
+            return
+        self._pieces = number
+        self._effects.append(piece_result(self._request_id, number, data))
+        if number == 1:
+            self._record(now, "first piece")
+
+    def _end_attempt(self, now: timedelta, end: AttemptEnd, ran: str) -> None:
+        """Tell the replica and the owner, then answer the client, or begin another attempt."""
+        if end in ABORTED_ENDS:
+            self._effects.append(AbortDispatch(self._dispatch_id))
+        if self._asked_owner is not None:
+            self._effects.append(send(self._asked_owner.name, DispatchEnded(self._request_id, self._attempt, REPORTED_OUTCOMES[end])))
+        if end is AttemptEnd.DONE:
+            self._complete(now)
             return
-        sent = False
+        self._note_failure(end, ran)
+        if end is AttemptEnd.CLIENT_LEFT:
+            self.phase = Phase.FINISHED
+        elif self._may_run_again(end) and self._deadline - now > MIN_TIME_FOR_RETRY:
+            self._begin_attempt(now)
+        else:
+            if self._ran == RAN_NO:
+                self._withdraw()
+            code, told_ran = self._last_failure
+            self._fail(now, code, told_ran, RETRY_AFTER_MS)
+
+    def _complete(self, now: timedelta) -> None:
+        served = TenantRequestServed(self._facts.kind, now - self._dispatched_at, now - self._arrived_at)
+        self._effects.append(Broadcast(served))
+        if self._facts.is_streamed:
+            self._effects.append(done_result(self._request_id, self._pieces))
+            self._record(now, "told done")
+        self.phase = Phase.FINISHED
+
+    def _may_run_again(self, end: AttemptEnd) -> bool:
+        """Whether another attempt cannot run the request twice, nor join two answers."""
+        is_safe = end in NOT_RUN_ENDS or (end is AttemptEnd.FAILED and self._facts.is_resumable)
+        return is_safe and not self._pieces
+
+    def _note_failure(self, end: AttemptEnd, ran: str) -> None:
+        """Keep what is known of this attempt for the answer, should it be the last."""
+        if self._ran == RAN_NO and ran == RAN_NO:
+            self._ran = RAN_NO
+        elif RAN_YES in (ran, self._ran) or self._pieces:
+            self._ran = RAN_YES
+        else:
+            self._ran = RAN_MAYBE
+        if self._pieces:
+            code = result_codes.BROKEN_STREAM
+        elif end is AttemptEnd.DEADLINE_PASSED:
+            code = result_codes.REPLICA_SILENT
+        elif self._ran != RAN_NO:
+            code = result_codes.REPLICA_FAULT
+        else:
+            code = result_codes.NO_SLOT
+        is_unclaimed = self._facts.is_resumable or self._ran != RAN_NO
+        self._last_failure = (code, RAN_NOT_LOOKED_UP if is_unclaimed else RAN_NO)
+
+    # --- the final answer
+
+    def _fail(self, now: timedelta, code: int, ran: str, retry_after_ms: Any) -> None:
+        """Answer the client with a fault, at once; `ran` is only ever as good as what is sure."""
+        told_ran = self._ran if self._ran != RAN_NO else self._promise(now, ran)
+        self._effects.append(fault_result(self._request_id, code, told_ran, retry_after_ms))
+        self._record(now, f"told {code} ran={told_ran}")
+        self.phase = Phase.FINISHED
+
+    def _promise(self, now: timedelta, ran: str) -> str:
+        """What the client may be told of whether a request ran that no attempt of ours has run.
+
+        After a while, or when no owner has looked for the key, the client may have asked elsewhere.
+        """
+        facts = self._facts
+        if ran in (RAN_NOT_ELSEWHERE, RAN_NOT_LOOKED_UP):
+            patience = self._tuning["settle"] if ran == RAN_NOT_ELSEWHERE else ZERO
+            is_soon = facts.key_is_generated or now - self._arrived_at <= patience
+            ran = RAN_NO if is_soon and is_surely_first(facts) else RAN_MAYBE
+        is_late = now > self._deadline + self._tuning["beat"]
+        if ran == RAN_NO and is_late and not facts.key_is_generated:
+            return RAN_MAYBE  # this process was paused meanwhile: the owner's word is old
+        return ran
--- /dev/null
+++ b/silverglade/tenant_requests/request_context.py
@@ -0,0 +1,133 @@
+"""What a daemon knows that decides whether and where its tenants' requests may run (design 5.7, 6.5, 7.2)."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from datetime import timedelta
+from enum import StrEnum
+from typing import Any, NamedTuple
+
+from ..configuration.schema import homes_of_tenant
+from ..control.replicated_state import value_of
+from ..membership.records import MemberRecord, members_of
+from ..membership.rendezvous import rank_nodes
+from ..replicas.records import ReplicaEntry
+from ..replicas.registry import evacuated_zones, is_usable
+from ..runtime.events import Version
+from .admission import Configuration, RequestFacts
+
+
+class DispatchBarrier(StrEnum):
+    """Why a replica may not be sent a request now."""
+
+    NO_RECENT_PROOF = "stale"
+    OTHER_INCARNATION = "incarnation"
+    NOT_HEARD_OF = "unheard"
+    NOT_USABLE = "unusable"
+
+
+class ShardOwner(NamedTuple):
+    """The owner of a tenant's shard, and the epoch of its role."""
+
+    epoch: int
+    name: str
+
+
+class RequestContext:
+    """What requests under way may look at; the ingress keeps it up to date.
+
+    :ivar tuning: the settings that all components share.
+    :ivar store: what control has acknowledged, key to (version, value).
+    :ivar replicas: id to `ReplicaEntry`.
+    :ivar members: the live daemons in the order of their names.
+    :ivar drained_zones: nothing new is started there.
+    :ivar proved_at: when the store was last proved to be the newest, or None.
+    :ivar overflow_count: grants for a replica outside the tenant's first home.
+    """
+
+    __slots__ = ("_zones", "drained_zones", "members", "overflow_count", "proved_at", "replicas", "store", "tuning")
+
+    def __init__(self, *, tuning: Mapping[str, Any]) -> None:
+        self.tuning = tuning
+        self.store: Mapping[str, tuple[Version, Any]] = {}
+        self.replicas: Mapping[str, tuple[Any, ...]] = {}
+        self.members: tuple[MemberRecord, ...] = ()
+        self.drained_zones: set[str] = set()
+        self.proved_at: timedelta | None = None
+        self.overflow_count = 0
+        self._zones: dict[str, str] = {}
+
+    @property
+    def configuration(self) -> Configuration | None:
+        """The configuration in force here."""
+        configuration: Configuration | None = value_of(self.store, "config")
+        return configuration
+
+    def set_store(self, store: Mapping[str, tuple[Version, Any]]) -> None:
+        """Take a newer store."""
+        self.store = store
+        self.drained_zones = evacuated_zones(store)
+
+    def set_members(self, rows: tuple[tuple[Any, ...], ...]) -> None:
+        """Take a newer list of the live daemons."""
+        self.members = members_of(rows)
+        self._zones = {member.name: member.zone for member in self.members}
+
+    def is_live(self, daemon: str) -> bool:
+        """Whether the daemon is among the live ones."""
+        return daemon in self._zones
+
+    def is_at_home(self, daemon: str, tenant: str) -> bool:
+        """Whether a daemon lives in a zone of the tenant's homes as they are now. An owner may not have been moved yet."""
+        return self._zones.get(daemon) in homes_of_tenant(self.configuration, tenant)
+
+    def has_recent_proof(self, now: timedelta) -> bool:
+        """Whether the store was proved to be the newest so lately that work may be started on it."""
+        return self.proved_at is not None and now - self.proved_at <= self.tuning["alone"]
+
+    def shard_owner(self, tenant: str) -> ShardOwner | None:
+        """The owner of the tenant's shard, wherever it is; None while there is none."""
+        assignment = value_of(self.store, f"duty/shard/{tenant}")
+        if not assignment:
+            return None
+        epoch, name, *_ = assignment
+        return ShardOwner(epoch, name) if name else None
+
+    def reachable_owner(self, tenant: str, now: timedelta) -> ShardOwner | None:
+        """The shard's owner if it may be asked now.
+
+        A daemon without a recent proof may hold homes that are none any more: it asks nobody (design 5.7).
+        """
+        owner = self.shard_owner(tenant)
+        if owner is not None and self.has_recent_proof(now) and self.is_at_home(owner.name, tenant):
+            return owner
+        return None
+
+    def daemon_towards_home(self, facts: RequestFacts) -> str | None:
+        """The shard's owner where it lives, else a ready daemon of the homes in their order."""
+        owner = self.shard_owner(facts.tenant)
+        if owner is not None and self.is_at_home(owner.name, facts.tenant):
+            return owner.name
+        for home in facts.homes:
+            ready = [member.name for member in self.members if member.zone == home and member.is_ready]
+            if ready:
+                nearest: str = rank_nodes(facts.key, ready)[0]
+                return nearest
+        return None
+
+    def dispatch_barrier(self, replica: str, incarnation: int, facts: RequestFacts, now: timedelta) -> DispatchBarrier | None:
+        """Why this replica may not be sent this request now, or None (design 7.2)."""
+        if not self.has_recent_proof(now):
+            return DispatchBarrier.NO_RECENT_PROOF
+        entry = self.replicas.get(replica)
+        if entry is None:
+            return DispatchBarrier.OTHER_INCARNATION
+        known = ReplicaEntry.of(entry)
+        if known.record.incarnation != incarnation:
+            return DispatchBarrier.OTHER_INCARNATION
+        if known.heard_at is None or now - known.heard_at > self.tuning["stale"]:
+            return DispatchBarrier.NOT_HEARD_OF
+        homes = homes_of_tenant(self.configuration, facts.tenant)
+        if is_usable(known, now=now, opt=self.tuning, evac=self.drained_zones, homes=homes, kind=facts.kind):
+            return None
+        return DispatchBarrier.NOT_USABLE
--- a/silverglade/testbed/experiments/recovery_figures.py
+++ b/silverglade/testbed/experiments/recovery_figures.py
@@ -106,7 +106,7 @@
     t0 = s.w.now
     s.traffic()
     s.w.run(60)
-    spills = sum(n.tenant_context.spills for n in s.w.nodes.values())
+    spills = sum(n.tenant_context.overflow_count for n in s.w.nodes.values())
     want = dict(s.w.nodes[s.live()[0]].required_replicas)
     s.open = False
     s.w.run(20)
--- a/silverglade/testbed/experiments/scaler_days.py
+++ b/silverglade/testbed/experiments/scaler_days.py
@@ -111,7 +111,7 @@
         down=p.down,
         under_least=p.under,
         most=max(m for _, _, m in p.wanted),
-        spills=sum(n.tenant_context.spills for n in s.w.nodes.values() if n.hub),
+        spills=sum(n.tenant_context.overflow_count for n in s.w.nodes.values() if n.hub),
         faults=s.o.faults,
         wanted=falls,
     )
--- a/silverglade/testbed/simulator/inspection.py
+++ b/silverglade/testbed/simulator/inspection.py
@@ -91,7 +91,7 @@
     @property
     def tenant_context(self) -> Any:
         """What the tenant ingress shares with the requests under way."""
-        return self._held("tenant_ingress", "ctx")
+        return self._held("tenant_ingress", "context")
 
     @property
     def router_requests(self) -> Any:
--- a/tests/autoscaling/test_scaler.py
+++ b/tests/autoscaling/test_scaler.py
@@ -58,7 +58,7 @@
         if t and t % 20 == 0:
             for _ in range(came):
                 g.send((now, ("arrived", "model")))
-                g.send((now, ("served", {"kind": "model"}, SEC / 4, SEC / 4)))
+                g.send((now, ("served", "model", SEC / 4, SEC / 4)))
         for e in g.send((now, ("pulse",))):
             if e[0] == "post" and e[2][1] == "parts":
                 last = {p[0]: p for p in e[2][2]}
--- a/tests/configuration/test_settings.py
+++ b/tests/configuration/test_settings.py
@@ -6,7 +6,7 @@
 from silverglade.runtime import errors as faults
 from silverglade.runtime import settings as options
 from silverglade.runtime.errors import SilvergladeError
-from silverglade.tenant_requests.admission import admit, sure
+from silverglade.tenant_requests.admission import RequestHead, admit, is_surely_first
 
 GOOD = dict(name="e", zone="z", region="r", listen="127.0.0.1:1", http="127.0.0.1:2", seeds=["127.0.0.1:3"], cores=["a", "b", "c"])
 CFG = {
@@ -65,24 +65,27 @@
 
 
 def head(**kw):
-    base = dict(cfg=config.parse_configuration(CFG)[0], bearer="k", cls="chat", key="", due="", prefix="", attempt="", size=1, minted="m")
-    return admit(**{**base, **kw})
+    given = dict(configuration=config.parse_configuration(CFG)[0], body_size=1, generated_key="m")
+    texts = dict(bearer_key="k", class_name="chat", key="", deadline="", prefix="", attempt="")
+    for name, value in kw.items():
+        (given if name in given else texts)[name] = value
+    return admit(given.pop("configuration"), RequestHead(**texts), **given)
 
 
 @pytest.mark.parametrize(
     "kw,code",
     [
-        (dict(bearer=""), 201),
-        (dict(bearer="other"), 202),
-        (dict(cls="nothing"), 203),
-        (dict(size=1 << 21), 204),
-        (dict(due="soon"), 206),
-        (dict(due="1.5"), 206),
-        (dict(due="0"), 207),
-        (dict(due="-4"), 207),
+        (dict(bearer_key=""), 201),
+        (dict(bearer_key="other"), 202),
+        (dict(class_name="nothing"), 203),
+        (dict(body_size=1 << 21), 204),
+        (dict(deadline="soon"), 206),
+        (dict(deadline="1.5"), 206),
+        (dict(deadline="0"), 207),
+        (dict(deadline="-4"), 207),
         (dict(attempt="x"), 208),
         (dict(key="k" * 201), 208),
-        (dict(cfg=None), 309),
+        (dict(configuration=None), 309),
     ],
 )
 def test_a_bad_order_has_its_code_before_anything_is_handed_on(kw, code):
@@ -92,8 +95,8 @@
 
 
 def test_not_run_is_promised_without_an_owner_only_when_that_is_sure():
-    assert sure(head()) and sure(head(key="a", attempt="1"))
-    assert not sure(head(key="a")) and not sure(head(key="a", attempt="2"))
+    assert is_surely_first(head()) and is_surely_first(head(key="a", attempt="1"))
+    assert not is_surely_first(head(key="a")) and not is_surely_first(head(key="a", attempt="2"))
 
 
 def test_every_code_has_a_name_of_its_own_and_stands_in_the_docs():
--- a/tests/replicas/test_candidate_selection.py
+++ b/tests/replicas/test_candidate_selection.py
@@ -119,9 +119,9 @@
     at = next(n for n in ("edge-middle-0", "edge-south-0") if n != own)
     n, sent = s.w.nodes[at], []
     ctx = n.tenant_context
-    assert ctx.at_home(own, "pair") and not ctx.at_home(own, "lone") and not ctx.at_home("nobody", "pair")
+    assert ctx.is_at_home(own, "pair") and not ctx.is_at_home(own, "lone") and not ctx.is_at_home("nobody", "pair")
     here = s.w.nodes[own].zone
-    book = dict(ctx.book)
+    book = dict(ctx.store)
     v, cfg = book["config"]
     book["config"] = (
         v,
@@ -132,7 +132,7 @@
             ),
         ),
     )
-    ctx.book = book
+    ctx.store = book
     s.w.effect = lambda n, e: sent.append(e) if e[0] == "send" and e[2][0] in ("ask", "hand") else None
     s.order(tenant="pair", cls="lookup", at=at, retry=False, old=0)
     s.w.run(0.2)
--- a/tests/system/test_safety_rules.py
+++ b/tests/system/test_safety_rules.py
@@ -43,7 +43,7 @@
 USABLE = (
     "silverglade.replicas.registry.is_usable",
     "silverglade.replicas.candidate_selection.is_usable",
-    "silverglade.tenant_requests.ingress.is_usable",
+    "silverglade.tenant_requests.request_context.is_usable",
 )
 
 CASES = [
@@ -66,17 +66,17 @@
         [
             (
                 "silverglade.tenant_requests.admission",
-                'return f["minted"] or',
+                "return facts.key_is_generated or",
                 "return True or",
-                "silverglade.tenant_requests.ingress.sure",
-                "silverglade.tenant_requests.request.sure",
+                "silverglade.tenant_requests.admission.is_surely_first",
+                "silverglade.tenant_requests.request.is_surely_first",
             )
         ],
     ),
     (
         a_visitor_moves_on_while_its_daemon_waits,
         "not-run-but-ran",
-        [(ORDER, 'soon = f["minted"] or', "soon = True or", "silverglade.tenant_requests.ingress.order")],
+        [(ORDER, "is_soon = facts.key_is_generated or", "is_soon = True or", "silverglade.tenant_requests.ingress.TenantRequest")],
     ),
     (
         a_key_is_asked_twice_and_the_first_ask_is_held_up,
@@ -90,21 +90,26 @@
             )
         ],
     ),
-    (a_replica_skips_a_piece, "pieces", [(ORDER, "if k != piece + 1:", "if False:", "silverglade.tenant_requests.ingress.order")]),
+    (
+        a_replica_skips_a_piece,
+        "pieces",
+        [(ORDER, "if number != self._pieces + 1:", "if False:", "silverglade.tenant_requests.ingress.TenantRequest")],
+    ),
     (
         a_replica_fails_at_the_end,
         "success-unearned-or-told",
         [
             (
                 ORDER,
-                """                case ("ran", "fault", r):
-                    how = "fault"
+                """            case DispatchFailed(ran):
+                self._end_attempt(now, AttemptEnd.FAILED, ran)
 """,
-                """                case ("ran", "fault", r):
-                    how = "done"
-                    result("whole", b"x.1|whole") if not f["stream"] else None
+                """            case DispatchFailed(ran):
+                if not self._facts.is_streamed:
+                    self._effects.append(whole_result(self._request_id, b"x.1|whole"))
+                self._end_attempt(now, AttemptEnd.DONE, ran)
 """,
-                "silverglade.tenant_requests.ingress.order",
+                "silverglade.tenant_requests.ingress.TenantRequest",
             )
         ],
     ),
@@ -114,9 +119,9 @@
         [
             (
                 ORDER,
-                ('f["resumable"])) and not piece', "if k != piece + 1:"),
-                ('f["resumable"]))', "if False:"),
-                "silverglade.tenant_requests.ingress.order",
+                ("return is_safe and not self._pieces", "if number != self._pieces + 1:"),
+                ("return is_safe", "if False:"),
+                "silverglade.tenant_requests.ingress.TenantRequest",
             )
         ],
     ),
@@ -157,10 +162,10 @@
             (LEDGER, ("or fresh is None\n", 'or now - fresh > opt["alone"]\n'), ("\n", "\n"), "silverglade.runtime.daemon_machine.ledger"),
             (OWNER, 'if fresh is None or now - fresh > opt["alone"]:', "if False:", "silverglade.runtime.daemon_machine.owner"),
             (
-                "silverglade.tenant_requests.ingress",
-                'return self.heard is not None and now - self.heard <= self.opt["alone"]',
+                "silverglade.tenant_requests.request_context",
+                'return self.proved_at is not None and now - self.proved_at <= self.tuning["alone"]',
                 "return True",
-                "silverglade.runtime.daemon_machine.ingress",
+                "silverglade.tenant_requests.ingress.RequestContext",
             ),
         ],
     ),
