--- a/silverglade/runtime/daemon_machine.py
+++ b/silverglade/runtime/daemon_machine.py
@@ -7,8 +7,8 @@
 from collections import deque
 
 from .. import __version__
-from ..autoscaling.scaler import scaler
-from ..autoscaling.unordered_scaler import need
+from ..autoscaling.service_scaler import need
+from ..autoscaling.tenant_scaler import scaler
 from ..configuration.operator_api import desk
 from ..configuration.updates import keeper, news
 from ..control.core import core
--- a/silverglade/testbed/experiments/demand_day.py
+++ b/silverglade/testbed/experiments/demand_day.py
@@ -10,7 +10,7 @@
 from math import ceil, pi, sin
 
 from ...autoscaling.markov_chain import room_of, smallest
-from ...autoscaling.unordered_scaler import need
+from ...autoscaling.service_scaler import need
 from ...runtime.effects import start
 from ...runtime.settings import tuning
 
--- a/tests/autoscaling/test_unordered_scaler.py
+++ b/tests/autoscaling/test_service_scaler.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from silverglade.autoscaling import unordered_scaler as module
-from silverglade.autoscaling.unordered_scaler import goals, need, peers
+from silverglade.autoscaling import service_scaler as module
+from silverglade.autoscaling.service_scaler import goals, need, peers
 from silverglade.runtime.effects import start
 from silverglade.runtime.settings import tuning
 from silverglade.testbed.experiments.demand_day import day
--- a/tests/autoscaling/test_scaler.py
+++ b/tests/autoscaling/test_tenant_scaler.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from silverglade.autoscaling.scaler import Gauge, scaler
+from silverglade.autoscaling.tenant_scaler import Gauge, scaler
 from silverglade.runtime.effects import start
 from silverglade.runtime.settings import tuning
 from silverglade.testbed.sites import hamlet
