--- a/silverglade/autoscaling/__init__.py
+++ b/silverglade/autoscaling/__init__.py
@@ -0,0 +1,1 @@
+"""How many replicas a region needs (design 9, 16.3)."""
--- a/silverglade/autoscaling/service_scaler.py
+++ b/silverglade/autoscaling/service_scaler.py
@@ -1,142 +1,268 @@
-"""The scaler for services of replicas that nobody here can order (design 16.3).
+"""The scaler for services whose replicas nobody here can order (design 16.3), the component "service_scaler".
 
-The count it keeps orders nothing: set against the ready replicas it says what the region cannot take.
+The number that it works out orders nothing: set against the ready replicas it says what the region cannot take.
 """
 
+from __future__ import annotations
+
 from collections import deque
+from collections.abc import Callable, Mapping
 from datetime import timedelta
+from typing import Any, ClassVar, NamedTuple
+
+from ..control.replicated_state import value_of
+from ..membership.records import MemberRecord, members_of
+from ..runtime.effects import IDLE, ZERO, Broadcast, Effect, WakeAt, log_record
+from ..runtime.events import (
+    Event,
+    LoadsReported,
+    MembershipChanged,
+    ServiceRequestObserved,
+    ServiceRequestServed,
+    ServicesShort,
+    StoreUpdated,
+    TimerFired,
+)
+from .load_measurement import SECOND, LoadMeasurement
+from .markov_chain import room_of_replica
+
+MS_PER_SECOND = 1000
+
+LATENCY_OF_SLOT = "place"
+"""Value of the setting `need_latency`: a request takes up one slot of a replica, not the whole replica."""
+
+
+class ReplicaLoad(NamedTuple):
+    """What a replica of a service reported.
+
+    :ivar active: requests that run.
+    :ivar slots: requests that it runs at once.
+    :ivar is_ready: it answers and takes new requests.
+    """
+
+    service: str
+    region: str
+    active: int
+    slots: int
+    is_ready: bool
+
+
+class ServiceNeed(NamedTuple):
+    """How many replicas a service requires in the region, how many are ready, and whether these are too few."""
+
+    required: int
+    ready: int
+    is_short: bool
+
+
+class Grounds(NamedTuple):
+    """What a service's need follows from; the fields are pairs of the log line.
+
+    :ivar arrival_rate: requests a second in the region, projected.
+    :ivar retry_rate: retries a second at this daemon; they are no arrivals.
+    :ivar service_s: 1/mu in seconds; 0 while it is not known.
+    :ivar use: mean share of the slots that are used.
+    """
+
+    arrival_rate: float
+    retry_rate: float
+    service_s: float
+    use: float
+
+
+class ServiceMeasurement:
+    """One service's replicas in the region, as they reported, and its requests at this daemon.
+
+    :ivar load: of the requests but retries.
+    :ivar retries: when they arrived.
+    """
+
+    __slots__ = ("_started_at", "_tuning", "_uses", "load", "retries")
+
+    def __init__(self, *, now: timedelta, tuning: Mapping[str, Any]) -> None:
+        self._tuning = tuning
+        self._started_at = now
+        self._uses: deque[tuple[timedelta, float]] = deque()
+        self.load = LoadMeasurement(tuning)
+        self.retries: deque[timedelta] = deque()
+
+    def completion_window(self, now: timedelta) -> timedelta:
+        """Over which time completions are counted."""
+        window: timedelta = max(self._tuning["scale_every"], min(self._tuning["need_window"], now - self._started_at))
+        return window
+
+    def mean_use(self, now: timedelta, loads: list[ReplicaLoad]) -> float:
+        """Mean use over `need_window` of what is ready: active requests over slots at each report, at most 1."""
+        slots = sum(load.slots for load in loads)
+        if slots:
+            self._uses.append((now, sum(load.active for load in loads) / slots))
+        while self._uses and now - self._uses[0][0] >= self._tuning["need_window"]:
+            self._uses.popleft()
+        if not self._uses:
+            return 0.0
+        return min(1.0, sum(use for _, use in self._uses) / len(self._uses))
 
-from ..control import replicated_state as bk
-from ..membership.member import CORE, REGION, STATE
-from ..runtime.effects import IDLE, ZERO, log
-from .load_measurement import Gauge
-from .markov_chain import room_of, smallest
-
-SEC = timedelta(seconds=1)
-SERVICE, PLACE, ACTIVE, CAPACITY, READY = range(5)  # of a load
-
-
-class Pool:
-    """One service's replicas in the region, as they reported."""
-
-    def __init__(self, now):
-        self.gauge, self.again, self.uses, self.born = Gauge(), deque(), deque(), now
-
-    def use(self, now, loads, opt):
-        """Mean use over `need_window` of what is ready: sum of active over sum of capacity at each look."""
-        places = sum(x[CAPACITY] for x in loads)
-        if places:
-            self.uses.append((now, sum(x[ACTIVE] for x in loads) / places))
-        while self.uses and now - self.uses[0][0] >= opt["need_window"]:
-            self.uses.popleft()
-        return min(1.0, sum(u for _, u in self.uses) / len(self.uses)) if self.uses else 0.0
-
-    def repeats(self, now, win):
-        while self.again and now - self.again[0] >= win:
-            self.again.popleft()
-        return len(self.again) / (win / SEC)
-
-
-def goals(cfg):
-    """service -> the tightest goal of the routes that lead to it, in seconds."""
-    g = {}
-    for r in cfg["routes"]:
-        for s in r["shares"]:
-            if s["weight"] > 0:
-                g[s["service"]] = min(g.get(s["service"], r["aim_ms"]), r["aim_ms"])
-    return {s: a / 1000 for s, a in g.items()}
-
-
-def peers(roll, region):
-    """The region's ready daemons that clients call: those that are no cores, where there are any."""
-    here = [r for r in roll if r[REGION] == region and r[STATE] == "ready"]
-    return max(1, sum(not r[CORE] for r in here) or len(here))
-
-
-def need(*, me, region, opt):
-    """Casts ("short", {(region, service): (m, ready, short)}) when it changes. Generator; see part.py."""
-    pools, roll, cfg, loads, due, told, out = {}, (), None, {}, ZERO, {}, []
-
-    def pool(service):
-        if service not in pools:
-            pools[service] = Pool(now)
-        return pools[service]
-
-    def one(now, service, aim, count):
-        """-> (m, ready, short), and what it followed from."""
-        p, g = pool(service), pool(service).gauge
-        here = [x for x in loads.values() if x[SERVICE] == service and x[PLACE] == region and x[READY]]
-        ready, places = len(here), sum(x[CAPACITY] for x in here)
-        long = max(opt["scale_every"], min(opt["need_window"], now - p.born))
-        came, served = g.rates(now, opt["scale_every"], long)
-        lam = g.trend(now, came * count, opt)
-        use = p.use(now, here, opt)
-        each = max(1.0, places / ready) if ready else 1.0
-        sv = g.service(use=use, ready=ready, count=count, served=served, opt=opt, places=each if opt["need_latency"] == "place" else 1)
-        m, low = 0, lam > 0 and not ready
-        if lam > 0 and sv:
-            room = opt["need_room"] or room_of(capacity=round(each), mu=1 / sv, aim=aim)
-            m, met = smallest(
-                lam=lam,
-                mu=1 / sv,
-                replicas=ready,
-                aim=aim,
-                room=room,
-                fan=opt["scale_fan"],
-                top=opt["scale_top"],
-                fall=opt["scale_fall"],
-                flow=opt["scale_flow"],
+    def retry_rate(self, now: timedelta) -> float:
+        """Retries a second."""
+        window: timedelta = self._tuning["scale_every"]
+        while self.retries and now - self.retries[0] >= window:
+            self.retries.popleft()
+        return len(self.retries) / (window / SECOND)
+
+
+class ServiceScaler:
+    """The state machine of the scaler.
+
+    :ivar measurements: of each service that has had requests, or that a route leads to.
+    """
+
+    handled_events: ClassVar[tuple[type[Event], ...]] = (
+        TimerFired,
+        MembershipChanged,
+        StoreUpdated,
+        LoadsReported,
+        ServiceRequestObserved,
+        ServiceRequestServed,
+    )
+
+    def __init__(self, *, region: str, tuning: Mapping[str, Any]) -> None:
+        self._region = region
+        self._tuning = tuning
+        self.measurements: dict[str, ServiceMeasurement] = {}
+        self._members: tuple[MemberRecord, ...] = ()
+        self._configuration: Mapping[str, Any] | None = None
+        self._loads: Mapping[str, tuple[Any, ...]] = {}
+        self._next_run = ZERO
+        self._last_needs: dict[tuple[str, str], ServiceNeed] = {}  # by (region, service), as they were last broadcast
+        self._effects: list[Effect] = []
+        self._handlers: dict[type[Event], Callable[[timedelta, Any], None]] = {
+            TimerFired: self._on_timer,
+            MembershipChanged: self._on_membership_changed,
+            StoreUpdated: self._on_store_updated,
+            LoadsReported: self._on_loads_reported,
+            ServiceRequestObserved: self._on_request_observed,
+            ServiceRequestServed: self._on_request_served,
+        }
+
+    def step(self, now: timedelta, event: Event) -> list[Effect]:
+        """Handle one event; -> its effects in their order."""
+        self._handlers[type(event)](now, event)
+        effects = self._effects
+        self._effects = []
+        return effects
+
+    def _on_membership_changed(self, now: timedelta, event: MembershipChanged) -> None:
+        self._members = members_of(event.members)
+
+    def _on_store_updated(self, now: timedelta, event: StoreUpdated) -> None:
+        configuration = value_of(event.store, "config")
+        if configuration and configuration.get("services"):
+            self._configuration = configuration
+
+    def _on_loads_reported(self, now: timedelta, event: LoadsReported) -> None:
+        self._loads = event.loads
+
+    def _on_request_observed(self, now: timedelta, event: ServiceRequestObserved) -> None:
+        measurement = self._measurement(event.service, now)
+        arrivals = measurement.retries if event.is_retry else measurement.load.arrivals
+        arrivals.append(now)
+
+    def _on_request_served(self, now: timedelta, event: ServiceRequestServed) -> None:
+        self._measurement(event.service, now).load.completions.append((now, event.seconds))
+
+    def _on_timer(self, now: timedelta, event: TimerFired) -> None:
+        if now >= self._next_run:
+            self._next_run = now + self._tuning["scale_every"]
+            if self._configuration:
+                self._update_needs(now, self._configuration)
+        self._effects.append(WakeAt(self._next_run if self._configuration else IDLE))
+
+    def _measurement(self, service: str, now: timedelta) -> ServiceMeasurement:
+        if service not in self.measurements:
+            self.measurements[service] = ServiceMeasurement(now=now, tuning=self._tuning)
+        return self.measurements[service]
+
+    def _update_needs(self, now: timedelta, configuration: Mapping[str, Any]) -> None:
+        """Work out what every service needs; log and broadcast what changed."""
+        daemons = daemons_with_clients(self._members, self._region)
+        loads = [ReplicaLoad(*load) for load in self._loads.values()]
+        needs: dict[tuple[str, str], ServiceNeed] = {}
+        for service, latency_target in sorted(latency_targets(configuration).items()):
+            ready = [load for load in loads if load.service == service and load.region == self._region and load.is_ready]
+            need, grounds = self._need(now, service=service, latency_target=latency_target, loads=ready, daemons=daemons)
+            key = (self._region, service)
+            needs[key] = need
+            if need != self._last_needs.get(key):
+                self._log(service, need, grounds, daemons)
+        for service in [service for service in self.measurements if (self._region, service) not in needs]:
+            del self.measurements[service]
+        if needs != self._last_needs:
+            self._last_needs = needs
+            self._effects.append(Broadcast(ServicesShort(needs)))
+
+    def _need(
+        self, now: timedelta, *, service: str, latency_target: float, loads: list[ReplicaLoad], daemons: int
+    ) -> tuple[ServiceNeed, Grounds]:
+        """Work out what one service needs, and what that follows from.
+
+        :param latency_target: in seconds.
+        :param loads: of the service's ready replicas in the region.
+        """
+        measurement = self._measurement(service, now)
+        ready = len(loads)
+        slots = max(1.0, sum(load.slots for load in loads) / ready) if ready else 1.0  # of one replica
+        rates = measurement.load.rates(now, self._tuning["scale_every"], measurement.completion_window(now))
+        arrival_rate = measurement.load.projected_rate(now, rates.arrivals * daemons)
+        use = measurement.mean_use(now, loads)
+        service_time = measurement.load.update_service_time(
+            use=use,
+            ready=ready,
+            daemons=daemons,
+            completions=rates.completions,
+            slots=slots if self._tuning["need_latency"] == LATENCY_OF_SLOT else 1,
+        )
+        required = 0
+        is_short = arrival_rate > 0 and not ready
+        if arrival_rate > 0 and service_time:
+            room = self._tuning["need_room"]
+            if not room:
+                room = room_of_replica(capacity=round(slots), mu=1 / service_time, latency_target=latency_target)
+            required, meets_target = measurement.load.required_replicas(
+                arrival_rate=arrival_rate, service_time=service_time, replicas=ready, latency_target=latency_target, room=room
             )
-            low = low or not met and m >= opt["scale_fan"] * max(1, ready)
-        m = g.hold(now, m, opt)
-        return (m, ready, low or m > ready), dict(lam=lam, repeats=p.repeats(now, opt["scale_every"]), service_s=sv or 0.0, use=use)
-
-    def look(now):
-        nonlocal told
-        count, new = peers(roll, region), {}
-        for service, aim in sorted(goals(cfg).items()):
-            new[region, service], why = one(now, service, aim, count)
-            if new[region, service] != told.get((region, service)):
-                m, ready, low = new[region, service]
-                out.append(
-                    log(
-                        "need",
-                        region=region,
-                        service=service,
-                        wanted=m,
-                        ready=ready,
-                        short=low,
-                        daemons=count,
-                        **{k: f"{v:.4g}" for k, v in why.items()},
-                    )
-                )
-        for s in [s for s in pools if (region, s) not in new]:
-            del pools[s]
-        if new != told:
-            told = new
-            out.append(("cast", ("short", new)))
-
-    while True:
-        now, ev = yield tuple(out)
-        out = []
-        match ev:
-            case ("roll", r):
-                roll = r
-            case ("routes", c):
-                cfg = c
-            case ("book", b, _):
-                new = bk.value_of(b, "config")
-                cfg = new if new and new.get("services") else cfg
-            case ("loads", x):
-                loads = x
-            case ("arrived", service, repeat):
-                p = pool(service)
-                (p.again if repeat else p.gauge.came).append(now)
-            case ("served", service, took) if isinstance(took, (int, float)):
-                pool(service).gauge.went.append((now, took))
-            case ("pulse",):
-                if now >= due:
-                    due = now + opt["scale_every"]
-                    if cfg:
-                        look(now)
-                out.append(("due", due if cfg else IDLE))
+            is_short = is_short or (not meets_target and required >= self._tuning["scale_fan"] * max(1, ready))
+        required = measurement.load.hold(now, required)
+        grounds = Grounds(arrival_rate, measurement.retry_rate(now), service_time or 0.0, use)
+        return ServiceNeed(required, ready, is_short or required > ready), grounds
+
+    def _log(self, service: str, need: ServiceNeed, grounds: Grounds, daemons: int) -> None:
+        figures = {name: f"{value:.4g}" for name, value in grounds._asdict().items()}
+        self._effects.append(
+            log_record(
+                "service-scaler",
+                region=self._region,
+                service=service,
+                required=need.required,
+                ready=need.ready,
+                short=need.is_short,
+                daemons=daemons,
+                **figures,
+            )
+        )
+
+
+def latency_targets(configuration: Mapping[str, Any]) -> dict[str, float]:
+    """The tightest latency target, in seconds, of the routes that lead to each service."""
+    targets_ms: dict[str, int] = {}
+    for route in configuration["routes"]:
+        for share in route["shares"]:
+            if share["weight"] > 0:
+                service, target_ms = share["service"], route["aim_ms"]
+                targets_ms[service] = min(targets_ms.get(service, target_ms), target_ms)
+    return {service: target_ms / MS_PER_SECOND for service, target_ms in targets_ms.items()}
+
+
+def daemons_with_clients(members: tuple[MemberRecord, ...], region: str) -> int:
+    """How many of the region's ready daemons clients call, at least 1: those that are no cores, where there are any."""
+    here = [member for member in members if member.region == region and member.is_ready]
+    return max(1, sum(not member.is_core for member in here) or len(here))
--- a/silverglade/autoscaling/tenant_scaler.py
+++ b/silverglade/autoscaling/tenant_scaler.py
@@ -1,89 +1,204 @@
-"""The scaler inside every daemon (design 9): its part of the replicas its region needs."""
+"""The scaler for tenants' requests (design 9), the component "tenant_scaler" of every daemon.
 
+Each daemon works out how many replicas of each kind its region requires, and publishes its part, that number over the count of
+the region's daemons, in its member record. Every daemon adds the parts up.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
 from datetime import timedelta
 from math import ceil
+from typing import Any, ClassVar, NamedTuple
+
+from ..control.replicated_state import value_of
+from ..membership.records import MemberRecord, members_of
+from ..replicas.records import ReplicaEntry, ReplicaState
+from ..runtime.components import Component
+from ..runtime.effects import ZERO, Broadcast, Effect, Post, WakeAt, log_record
+from ..runtime.events import (
+    AttributeSet,
+    Event,
+    MembershipChanged,
+    ReplicasChanged,
+    RequiredReplicasChanged,
+    StoreUpdated,
+    TenantRequestObserved,
+    TenantRequestServed,
+    TenantRetryObserved,
+    TimerFired,
+)
+from .load_measurement import SECOND, LoadMeasurement
+from .markov_chain import RequiredReplicas
+
+PARTS_ATTRIBUTE = "parts"
+"""Attribute of the member record that holds a daemon's parts."""
+
+DEFAULT_KIND = "model"
+"""The kind of replicas of which a region keeps its least number, also while there is none."""
+
+MS_PER_SECOND = 1000
+ROUNDING = 1e-6
+"""What a sum of parts may be off before it is rounded up."""
+
+
+class ScalerPart(NamedTuple):
+    """What a daemon publishes of one kind of replicas; in the member record as an array of its fields in this order.
+
+    :ivar required: by this daemon's measurements, for the whole region.
+    :ivar share: `required` over the count of the region's daemons.
+    :ivar arrival_rate: requests a second in the region.
+    :ivar service_time: in seconds; 0 while it is not known.
+    :ivar meets_target: the number meets the latency target.
+    """
+
+    kind: str
+    required: int
+    share: float
+    arrival_rate: float
+    service_time: float
+    meets_target: bool
+
+    @classmethod
+    def of(cls, row: tuple[Any, ...]) -> ScalerPart:
+        """A part from its array; fields of a later program are dropped."""
+        return cls(*row[: len(cls._fields)])
+
+
+class TenantScaler:
+    """The state machine of the scaler.
 
-from ..control import replicated_state as bk
-from ..membership.member import extra
-from ..replicas.registry import KIND, S_STATE, S_USE, ZONE
-from ..runtime.effects import ZERO, log
-from .load_measurement import Gauge
-from .markov_chain import smallest
+    :ivar measurements: of each kind of requests that came by.
+    """
 
-SEC = timedelta(seconds=1)
+    handled_events: ClassVar[tuple[type[Event], ...]] = (
+        TimerFired,
+        MembershipChanged,
+        StoreUpdated,
+        ReplicasChanged,
+        TenantRequestObserved,
+        TenantRetryObserved,
+        TenantRequestServed,
+    )
 
+    def __init__(self, *, region: str, tuning: Mapping[str, Any]) -> None:
+        self._region = region
+        self._tuning = tuning
+        self.measurements: dict[str, LoadMeasurement] = {}
+        self._members: tuple[MemberRecord, ...] = ()
+        self._configuration: Mapping[str, Any] | None = None
+        self._replicas: Mapping[str, tuple[Any, ...]] = {}
+        self._next_run = ZERO
+        self._effects: list[Effect] = []
+        self._handlers: dict[type[Event], Callable[[timedelta, Any], None]] = {
+            TimerFired: self._on_timer,
+            MembershipChanged: self._on_membership_changed,
+            StoreUpdated: self._on_store_updated,
+            ReplicasChanged: self._on_replicas_changed,
+            TenantRequestObserved: self._on_request_observed,
+            TenantRetryObserved: self._on_retry_observed,
+            TenantRequestServed: self._on_request_served,
+        }
 
-def scaler(*, me, region, opt):
-    """Casts ("wanted", {(region, kind): m}); names its own part in its roster record."""
-    gauges, roll, book, reps, due, out = {}, (), {}, {}, ZERO, []
+    def step(self, now: timedelta, event: Event) -> list[Effect]:
+        """Handle one event; -> its effects in their order."""
+        self._handlers[type(event)](now, event)
+        effects = self._effects
+        self._effects = []
+        return effects
 
-    def aims(cfg):
-        a = {}
-        for t in cfg["tenants"].values():
-            for c in t["classes"].values():
-                a[c["kind"]] = min(a.get(c["kind"], 1 << 60), c["aim_ms"])
-        return a
+    def _on_membership_changed(self, now: timedelta, event: MembershipChanged) -> None:
+        self._members = members_of(event.members)
+        self._effects.append(Broadcast(RequiredReplicasChanged(self._sum_of_parts())))
 
-    def name(now):
-        cfg = bk.value_of(book, "config")
-        mine = {z: d for z, d in cfg["zones"].items() if d["region"] == region}
-        count = max(1, sum(1 for r in roll if r[5] == region and r[9] == "ready"))
-        least = sum(d["least"] for d in mine.values())
+    def _on_store_updated(self, now: timedelta, event: StoreUpdated) -> None:
+        self._configuration = value_of(event.store, "config")
+
+    def _on_replicas_changed(self, now: timedelta, event: ReplicasChanged) -> None:
+        self._replicas = event.replicas
+
+    def _on_request_observed(self, now: timedelta, event: TenantRequestObserved) -> None:
+        self._measurement(event.kind).arrivals.append(now)
+
+    def _on_retry_observed(self, now: timedelta, event: TenantRetryObserved) -> None:
+        """Take an arrival back: the shard's owner knew the key, so that it was a retry."""
+        measurement = self.measurements.get(event.kind)
+        if measurement is not None and measurement.arrivals:
+            measurement.arrivals.pop()
+
+    def _on_request_served(self, now: timedelta, event: TenantRequestServed) -> None:
+        self._measurement(event.kind).completions.append((now, event.took / SECOND))
+
+    def _on_timer(self, now: timedelta, event: TimerFired) -> None:
+        if now >= self._next_run:
+            self._next_run = now + self._tuning["scale_every"]
+            if self._configuration:
+                self._publish_parts(now, self._configuration)
+        self._effects.append(WakeAt(self._next_run))
+
+    def _measurement(self, kind: str) -> LoadMeasurement:
+        if kind not in self.measurements:
+            self.measurements[kind] = LoadMeasurement(self._tuning)
+        return self.measurements[kind]
+
+    def _sum_of_parts(self) -> dict[tuple[str, str], int]:
+        """The sum of all daemons' parts: (region, kind) to replicas."""
+        totals: dict[tuple[str, str], float] = {}
+        for member in self._members:
+            for row in member.attribute(PARTS_ATTRIBUTE, ()):
+                part = ScalerPart.of(row)
+                key = (member.region, part.kind)
+                totals[key] = totals.get(key, 0.0) + part.share
+        return {key: ceil(total - ROUNDING) for key, total in totals.items()}
+
+    def _publish_parts(self, now: timedelta, configuration: Mapping[str, Any]) -> None:
+        """Work out this daemon's part of each kind, and put them into its member record."""
+        zones = {name: zone for name, zone in configuration["zones"].items() if zone["region"] == self._region}
+        least = sum(zone["least"] for zone in zones.values())
+        daemons = max(1, sum(member.region == self._region and member.is_ready for member in self._members))
+        entries = [entry for entry in map(ReplicaEntry.of, self._replicas.values()) if entry.record.zone in zones]
         parts = []
-        for kind, aim in sorted(aims(cfg).items()):
-            g = gauges.setdefault(kind, Gauge())
-            here = [(r, s) for r, s, _ in reps.values() if r[KIND] == kind and r[ZONE] in mine]
-            uses = [s[S_USE] for _, s in here if s and s[S_STATE] == "ready"]
-            came, served = g.rates(now, opt["scale_every"])
-            lam = g.trend(now, came * count, opt)
-            sv = g.service(use=sum(uses) / len(uses) if uses else 0.0, ready=len(uses), count=count, served=served, opt=opt)
-            m, met = 0, True
-            if lam > 0 and sv:
-                m, met = smallest(
-                    lam=lam,
-                    mu=1 / sv,
-                    replicas=len(here),
-                    aim=aim / 1000,
-                    room=opt["scale_room"],
-                    fan=opt["scale_fan"],
-                    top=opt["scale_top"],
-                    fall=opt["scale_fall"],
-                    flow=opt["scale_flow"],
-                )
-            m = max(g.hold(now, m, opt), least if here or kind == "model" else 0)
-            parts.append((kind, m, m / count, round(lam, 3), round(sv or 0.0, 6), met))
-        out.append(("post", "membership", ("extra", "parts", tuple(parts))))
-        out.append(log("scaler", region=region, daemons=count, parts=";".join(f"{p[0]}:{p[1]}:{p[2]:.2f}:{p[3]:.2f}" for p in parts)))
-
-    def totals():
-        t = {}
-        for r in roll:
-            for p in extra(r, "parts", ()):
-                k = (r[5], p[0])
-                t[k] = t.get(k, 0.0) + p[2]
-        return {k: ceil(v - 1e-6) for k, v in t.items()}
-
-    while True:
-        now, ev = yield tuple(out)
-        out = []
-        match ev:
-            case ("roll", r):
-                roll = r
-                out.append(("cast", ("wanted", totals())))
-            case ("book", b, _):
-                book = b
-            case ("replicas", rs):
-                reps = rs
-            case ("arrived", kind):
-                gauges.setdefault(kind, Gauge()).came.append(now)
-            case ("repeat", kind) if kind in gauges and gauges[kind].came:
-                gauges[kind].came.pop()  # its owner knew the key: a retry after all
-            case ("served", kind, took, _):
-                gauges.setdefault(kind, Gauge()).went.append((now, took / SEC))
-            case ("pulse",) if now < due:
-                out.append(("due", due))
-            case ("pulse",):
-                due = now + opt["scale_every"]
-                if bk.value_of(book, "config"):
-                    name(now)
-                out.append(("due", due))
+        for kind, latency_target in sorted(latency_targets(configuration).items()):
+            here = [entry for entry in entries if entry.record.kind == kind]
+            minimum = least if here or kind == DEFAULT_KIND else 0
+            parts.append(self._part(now, kind=kind, latency_target=latency_target, entries=here, daemons=daemons, minimum=minimum))
+        self._effects.append(Post(Component.MEMBERSHIP, AttributeSet(PARTS_ATTRIBUTE, tuple([tuple(part) for part in parts]))))
+        summary = ";".join(f"{part.kind}:{part.required}:{part.share:.2f}:{part.arrival_rate:.2f}" for part in parts)
+        self._effects.append(log_record("tenant-scaler", region=self._region, daemons=daemons, parts=summary))
+
+    def _part(
+        self, now: timedelta, *, kind: str, latency_target: float, entries: list[ReplicaEntry], daemons: int, minimum: int
+    ) -> ScalerPart:
+        """Work out this daemon's part of one kind.
+
+        :param latency_target: in seconds.
+        :param entries: the region's replicas of this kind.
+        :param minimum: the smallest number to require.
+        """
+        measurement = self._measurement(kind)
+        uses = [entry.status.use for entry in entries if entry.status and entry.status.state == ReplicaState.READY]
+        rates = measurement.rates(now, self._tuning["scale_every"])
+        arrival_rate = measurement.projected_rate(now, rates.arrivals * daemons)
+        use = sum(uses) / len(uses) if uses else 0.0
+        service_time = measurement.update_service_time(use=use, ready=len(uses), daemons=daemons, completions=rates.completions)
+        required = RequiredReplicas(0, True)
+        if arrival_rate > 0 and service_time:
+            required = measurement.required_replicas(
+                arrival_rate=arrival_rate,
+                service_time=service_time,
+                replicas=len(entries),
+                latency_target=latency_target,
+                room=self._tuning["scale_room"],
+            )
+        count = max(measurement.hold(now, required.replicas), minimum)
+        return ScalerPart(kind, count, count / daemons, round(arrival_rate, 3), round(service_time or 0.0, 6), required.meets_target)
+
+
+def latency_targets(configuration: Mapping[str, Any]) -> dict[str, float]:
+    """The tightest latency target, in seconds, of the classes whose requests go to each kind of replicas."""
+    targets_ms: dict[str, int] = {}
+    for tenant in configuration["tenants"].values():
+        for request_class in tenant["classes"].values():
+            kind, target_ms = request_class["kind"], request_class["aim_ms"]
+            targets_ms[kind] = min(targets_ms.get(kind, target_ms), target_ms)
+    return {kind: target_ms / MS_PER_SECOND for kind, target_ms in targets_ms.items()}
--- a/silverglade/runtime/daemon_machine.py
+++ b/silverglade/runtime/daemon_machine.py
@@ -7,8 +7,8 @@
 from collections import deque
 
 from .. import __version__
-from ..autoscaling.service_scaler import need
-from ..autoscaling.tenant_scaler import scaler
+from ..autoscaling.service_scaler import ServiceScaler
+from ..autoscaling.tenant_scaler import TenantScaler
 from ..configuration.operator_api import desk
 from ..configuration.updates import keeper, news
 from ..control.core import core
@@ -98,8 +98,8 @@
             "tenant_ingress": MachineComponent(TenantIngress(own_name=me, process_id=life, zone=zone, tuning=opt)),
             "router": forward(me=me, region=region, opt=opt),
             "endpoint_list": catalog(me=me, region=region, lists=lists, opt=opt),
-            "service_scaler": need(me=me, region=region, opt=opt),
-            "tenant_scaler": scaler(me=me, region=region, opt=opt),
+            "service_scaler": MachineComponent(ServiceScaler(region=region, tuning=opt)),
+            "tenant_scaler": MachineComponent(TenantScaler(region=region, tuning=opt)),
             "operator_api": desk(me=me, cores=cores, opt=opt, rng=rng),
         }
         if disk:
--- a/silverglade/testbed/checkers/request_oracle.py
+++ b/silverglade/testbed/checkers/request_oracle.py
@@ -116,7 +116,7 @@
     # control
     def log(self, n, ev, kw):
         self.events[ev] += 1
-        if ev not in ("scaler", "daemon-live"):
+        if ev not in ("tenant-scaler", "daemon-live"):
             self.w.trace.append((round(self.w.now / SEC, 3), n.name, ev, kw))
 
     def put(self, code, kw, tag):
--- a/silverglade/testbed/experiments/demand_day.py
+++ b/silverglade/testbed/experiments/demand_day.py
@@ -9,10 +9,10 @@
 from datetime import timedelta
 from math import ceil, pi, sin
 
-from ...autoscaling.markov_chain import room_of, smallest
-from ...autoscaling.service_scaler import need
-from ...runtime.effects import start
+from ...autoscaling.markov_chain import room_of_replica, smallest_sufficient
+from ...autoscaling.service_scaler import ServiceScaler
 from ...runtime.settings import tuning
+from ...runtime.state_machine import MachineComponent
 
 SEC = timedelta(seconds=1)
 STEP = 0.02
@@ -58,7 +58,7 @@
         "routes": [{"name": "a", "shares": [{"service": "s", "weight": 1.0}], "aim_ms": aim_ms, "kind": "pure"}],
         "services": {"s": {"capacity": capacity}},
     }
-    parts = [start(need(me=f"d{i}", region="m", opt=opt)) for i in range(daemons)]
+    parts = [MachineComponent(ServiceScaler(region="m", tuning=opt)) for i in range(daemons)]
     roll = tuple((f"d{i}", "l", 1, 1, "z", "m", "", "", False, "ready", (), ()) for i in range(daemons))
     said, lines, rows, crowd = [(0, 0, False)] * daemons, 0, [], None
 
@@ -71,7 +71,7 @@
 
     for i in range(daemons):
         tell(i, 0, ("roll", roll))
-        tell(i, 0, ("routes", cfg))
+        tell(i, 0, ("book", {"config": ((1, 1), cfg)}, (1, 1)))
     for tick in range(int(secs / STEP)):
         t, x = tick * STEP, tick * STEP / secs
         lam, wk = lam_of(x, peak), work_of(x, work)
@@ -141,15 +141,15 @@
 def wide(replicas, flow):
     """(m, met) in a region of many replicas of 64 places; a request takes as long as the aim."""
     mu, aim = 64 / 0.6, 0.6
-    return smallest(
+    return smallest_sufficient(
         lam=0.7 * replicas * mu,
         mu=mu,
         replicas=replicas,
-        aim=aim,
-        room=room_of(capacity=64, mu=mu, aim=aim),
-        fan=50,
-        top=0.8,
-        fall=0.65,
+        latency_target=aim,
+        room=room_of_replica(capacity=64, mu=mu, latency_target=aim),
+        fan_out=50,
+        max_load=0.8,
+        fallback_load=0.65,
         flow=flow,
     )
 
@@ -158,15 +158,15 @@
     """m by the room worked out, and how often another room gives another m: loads of 0.1 to 1.4 a replica."""
     got, other, mu = {}, dict.fromkeys(("capacity", "20", "4 x capacity"), 0), capacity / 0.6
     for aim in (0.3, 0.6, 2.0):
-        k = room_of(capacity=capacity, mu=mu, aim=aim)
+        k = room_of_replica(capacity=capacity, mu=mu, latency_target=aim)
         for replicas in (1, 2, 5):
             for x in range(1, 15 * replicas):
-                kw = dict(lam=x / 10 * mu, mu=mu, replicas=replicas, aim=aim, fan=50, top=0.8, fall=0.65)
-                m = got[aim, replicas, x] = smallest(room=k, **kw)
+                kw = dict(lam=x / 10 * mu, mu=mu, replicas=replicas, latency_target=aim, fan_out=50, max_load=0.8, fallback_load=0.65)
+                m = got[aim, replicas, x] = smallest_sufficient(room=k, **kw)
                 for name, n in (("capacity", capacity), ("20", 20), ("4 x capacity", 4 * capacity)):
-                    other[name] += smallest(room=n, **kw) != m
+                    other[name] += smallest_sufficient(room=n, **kw) != m
     return dict(
-        rooms=[room_of(capacity=capacity, mu=mu, aim=a) for a in (0.3, 0.6, 2.0)],
+        rooms=[room_of_replica(capacity=capacity, mu=mu, latency_target=a) for a in (0.3, 0.6, 2.0)],
         cases=len(got),
         other=other,
         m_of_five=[got[0.6, 5, x][0] for x in (5, 20, 40, 60)],
--- a/silverglade/testbed/simulator/inspection.py
+++ b/silverglade/testbed/simulator/inspection.py
@@ -106,4 +106,4 @@
     @property
     def scaler_gauges(self) -> Any:
         """What the scaler has measured, by kind of request."""
-        return self._held("tenant_scaler", "gauges")
+        return self._held("tenant_scaler", "measurements")
--- a/tests/autoscaling/test_markov_chain.py
+++ b/tests/autoscaling/test_markov_chain.py
@@ -6,7 +6,7 @@
 import pytest
 
 from silverglade.autoscaling import markov_chain as chain
-from silverglade.autoscaling.markov_chain import measures, room_of, smallest, states
+from silverglade.autoscaling.markov_chain import chain_measures, room_of_replica, smallest_sufficient, state_weights
 
 CASES = [(m, k, lam) for m in (1, 2, 3, 5) for k in (1, 2, 3, 6, 9) for lam in (F(1, 3), F(2), F(7, 2))]
 
@@ -30,7 +30,7 @@
 @pytest.mark.parametrize("m,room", [(3, 4), (3, 9), (5, 12), (4, 20)])
 def test_states_are_those_of_the_printed_recursions_in_exact_arithmetic(m, room):
     lam, mu, r = F(7, 2), F(1), F(200)
-    assert states(lam=lam, mu=mu, r=r, m=m, room=room) == printed(lam, mu, r, m, room)
+    assert state_weights(lam=lam, mu=mu, r=r, m=m, room=room) == printed(lam, mu, r, m, room)
 
 
 def balance(lam, mu, r, m, room):
@@ -50,7 +50,7 @@
 @pytest.mark.parametrize("m,room,lam", CASES)
 def test_states_balance_every_state_of_the_diagram(m, room, lam):
     mu, r = F(3, 2), F(40)
-    q = states(lam=lam, mu=mu, r=r, m=m, room=room)
+    q = state_weights(lam=lam, mu=mu, r=r, m=m, room=room)
     p = {(k, n): q[k][n] for k in range(room + 1) for n in (0, 1)}
     net = dict.fromkeys(p, F(0))
     for (a, b), x in balance(lam, mu, r, m, room).items():
@@ -76,7 +76,7 @@
             if j != i and a[j][i]:
                 f = a[j][i]
                 a[j] = [x - f * y for x, y in zip(a[j], a[i])]
-    q = states(lam=lam, mu=mu, r=r, m=m, room=room)
+    q = state_weights(lam=lam, mu=mu, r=r, m=m, room=room)
     tot = sum(x + y for x, y in q)
     assert [a[at[s]][-1] for s in ids] == [q[k][n] / tot for k, n in ids]
 
@@ -98,54 +98,54 @@
                 break
         out += b[0] < s[0]
         s = b
-    w, g, _, _ = measures(lam=lam, mu=mu, r=r, m=m, room=room, flow="served")
+    w, g, _, _ = chain_measures(lam=lam, mu=mu, r=r, m=m, room=room, flow="served")
     assert abs(out / t - g) / g < 0.02 and abs(held / out - w) / w < 0.02
-    w, g, _, _ = measures(lam=lam, mu=mu, r=r, m=m, room=room)
+    w, g, _, _ = chain_measures(lam=lam, mu=mu, r=r, m=m, room=room)
     assert abs(mu * in0 / t - g) / g < 0.02 and abs(held / (mu * in0) - w) / w < 0.02
 
 
-KW = dict(mu=1.0, replicas=3, room=20, fan=50, top=0.8, fall=0.65)
+KW = dict(mu=1.0, replicas=3, room=20, fan_out=50, max_load=0.8, fallback_load=0.65)
 
 
 def test_the_smallest_m_that_meets_the_aim_is_taken_and_no_smaller_one_does():
     for lam in (0.3, 0.9, 1.7, 2.3):
         for aim in (1.05, 1.2, 2.0, 6.0):
-            m, met = smallest(lam=lam, aim=aim, **KW)
+            m, met = smallest_sufficient(lam=lam, latency_target=aim, **KW)
             if met:
                 for x in range(1, m + 1):
-                    w = measures(lam=lam, mu=1.0, r=150.0, m=x, room=60)[0]
+                    w = chain_measures(lam=lam, mu=1.0, r=150.0, m=x, room=60)[0]
                     assert (w <= aim and lam / x <= 0.8) == (x == m)
 
 
 def test_no_m_busier_than_the_top_and_failing_the_aim_the_fall():
-    assert smallest(lam=0.79, aim=100.0, **KW) == (1, True)
-    assert smallest(lam=0.81, aim=100.0, **KW) == (2, True)  # above 0.8 on one
-    assert smallest(lam=3.0, aim=0.5, **KW) == (5, False)  # 3/0.65 = 4.6
-    assert smallest(lam=2.6, aim=0.5, **KW) == (4, False)  # 2.6/0.65 = 4, at most
-    assert smallest(lam=0.0, aim=0.5, **KW) == (0, True)
-    assert smallest(lam=1e6, aim=0.5, **KW) == (150, False)  # fifty times the replicas
+    assert smallest_sufficient(lam=0.79, latency_target=100.0, **KW) == (1, True)
+    assert smallest_sufficient(lam=0.81, latency_target=100.0, **KW) == (2, True)  # above 0.8 on one
+    assert smallest_sufficient(lam=3.0, latency_target=0.5, **KW) == (5, False)  # 3/0.65 = 4.6
+    assert smallest_sufficient(lam=2.6, latency_target=0.5, **KW) == (4, False)  # 2.6/0.65 = 4, at most
+    assert smallest_sufficient(lam=0.0, latency_target=0.5, **KW) == (0, True)
+    assert smallest_sufficient(lam=1e6, latency_target=0.5, **KW) == (150, False)  # fifty times the replicas
 
 
 def test_long_chains_neither_overflow_nor_vanish():
-    w, g, loss, use = measures(lam=5000.0, mu=1.0, r=1e6, m=3, room=2000, flow="served")
+    w, g, loss, use = chain_measures(lam=5000.0, mu=1.0, r=1e6, m=3, room=2000, flow="served")
     assert 0.99 < use <= 1.0 and loss > 0.99 and 600 < w < 700
 
 
-def whole(*, lam, mu, replicas, aim, room, fan, top, fall, flow="printed"):
+def whole(*, lam, mu, replicas, latency_target, room, fan_out, max_load, fallback_load, flow="printed"):
     """The smallest m by the printed rule alone, every m tried, every state held."""
     from math import ceil
 
-    cap, big = fan * replicas, room * replicas
-    for m in range(max(1, ceil(lam / (top * mu) - 1e-9)), min(cap, big) + 1):
+    cap, big = fan_out * replicas, room * replicas
+    for m in range(max(1, ceil(lam / (max_load * mu) - 1e-9)), min(cap, big) + 1):
         q = [(1.0, 0.0)]
         for k in range(1, big + 1):
             p0, p1 = q[-1]
             a = lam * (p0 + p1) / (min(k, m) * mu)
             q.append((a, lam * ((a if k < big else 0.0) + (p1 if k > 1 else p0)) / (cap * mu)))
         busy = (lambda k: min(k, m)) if flow == "served" else (lambda k: min(k, 1))
-        if sum(k * (a + b) for k, (a, b) in enumerate(q)) / (sum(busy(k) * a for k, (a, _) in enumerate(q)) * mu) <= aim:
+        if sum(k * (a + b) for k, (a, b) in enumerate(q)) / (sum(busy(k) * a for k, (a, _) in enumerate(q)) * mu) <= latency_target:
             return m, True
-    return min(cap, max(1, ceil(lam / (fall * mu) - 1e-9))), False
+    return min(cap, max(1, ceil(lam / (fallback_load * mu) - 1e-9))), False
 
 
 def differ(seed):
@@ -157,14 +157,14 @@
             lam=rng.uniform(0.01, 12) * mu,
             mu=mu,
             replicas=rng.randrange(1, 5),
-            aim=rng.uniform(0.3, 8) / mu,
+            latency_target=rng.uniform(0.3, 8) / mu,
             room=rng.choice((1, 3, 7, 20, 60)),
-            fan=rng.choice((3, 12)),
-            top=0.8,
-            fall=0.65,
+            fan_out=rng.choice((3, 12)),
+            max_load=0.8,
+            fallback_load=0.65,
             flow=rng.choice(("printed", "served")),
         )
-        if smallest(**kw) != whole(**kw):
+        if smallest_sufficient(**kw) != whole(**kw):
             bad.append(kw)
     return bad
 
@@ -174,13 +174,16 @@
     assert differ(seed) == []
 
 
-@pytest.mark.parametrize("name,value", [("TINY", 0.05), ("SAME", 0.05)])
+@pytest.mark.parametrize(
+    "name,value",
+    [pytest.param("NEGLIGIBLE_WEIGHT", 0.05, id="TINY-0.05"), pytest.param("SAME_RESPONSE_TIME", 0.05, id="SAME-0.05")],
+)
 def test_a_search_that_leaves_out_too_much_is_found(monkeypatch, name, value):
     monkeypatch.setattr(chain, name, value)
     assert differ(0)
 
 
 def test_the_room_is_what_runs_and_what_can_still_begin_within_the_aim():
-    assert room_of(capacity=64, mu=100.0, aim=0.6) == 124
-    assert room_of(capacity=6, mu=2.0, aim=0.4) == 6  # nobody who waits would be in time
-    assert room_of(capacity=1, mu=2.5, aim=2.0) == 6
+    assert room_of_replica(capacity=64, mu=100.0, latency_target=0.6) == 124
+    assert room_of_replica(capacity=6, mu=2.0, latency_target=0.4) == 6  # nobody who waits would be in time
+    assert room_of_replica(capacity=1, mu=2.5, latency_target=2.0) == 6
--- a/tests/autoscaling/test_service_scaler.py
+++ b/tests/autoscaling/test_service_scaler.py
@@ -5,9 +5,10 @@
 import pytest
 
 from silverglade.autoscaling import service_scaler as module
-from silverglade.autoscaling.service_scaler import goals, need, peers
-from silverglade.runtime.effects import start
+from silverglade.autoscaling.service_scaler import ServiceScaler, daemons_with_clients, latency_targets
+from silverglade.membership.records import members_of
 from silverglade.runtime.settings import tuning
+from silverglade.runtime.state_machine import MachineComponent
 from silverglade.testbed.experiments.demand_day import day
 
 SEC = timedelta(seconds=1)
@@ -28,11 +29,14 @@
     """One part, driven; what it cast and logged."""
 
     def __init__(self, *, daemons=2, cfg=CFG, **opts):
-        self.p = start(need(me="d0", region="m", opt=tuning(**opts)))
+        self.p = MachineComponent(ServiceScaler(region="m", tuning=tuning(**opts)))
         self.short, self.logs, self.now = None, [], 0.0
         self.tell(("roll", tuple(rec(f"d{i}") for i in range(daemons))))
         if cfg:
-            self.tell(("routes", cfg))
+            self.configure(cfg)
+
+    def configure(self, cfg):
+        self.tell(("book", {"config": ((1, 1), cfg)}, (1, 1)))
 
     def tell(self, ev):
         for e in self.p.send((self.now * SEC, ev)):
@@ -61,21 +65,21 @@
 
 
 def test_the_aim_is_the_tightest_goal_of_the_routes_that_lead_to_the_service():
-    assert goals(CFG) == {"s": 0.6, "t": 0.2}
+    assert latency_targets(CFG) == {"s": 0.6, "t": 0.2}
 
 
 def test_the_daemons_are_the_regions_ready_ones_that_clients_call():
     roll = (rec("a"), rec("b"), rec("c", core=True), rec("d", region="n"), rec("e", state="leaving"))
-    assert peers(roll, "m") == 2
-    assert peers((rec("a", core=True), rec("b", core=True)), "m") == 2
-    assert peers((), "m") == 1
+    assert daemons_with_clients(members_of(roll), "m") == 2
+    assert daemons_with_clients(members_of((rec("a", core=True), rec("b", core=True))), "m") == 2
+    assert daemons_with_clients((), "m") == 1
 
 
 def test_arrivals_times_daemons_over_the_rate_of_a_replica_at_most_at_the_top_load():
     d = Daemon(daemons=3)
     d.loads(5, 5)  # half used: 2 replicas, 3 daemons, 2 ends a second
     assert d.run(30, came=2, served=2) == (2, 2, False)
-    assert (d.logs[-1]["service_s"], d.logs[-1]["use"], d.logs[-1]["lam"]) == ("0.1667", "0.5", "6")
+    assert (d.logs[-1]["service_s"], d.logs[-1]["use"], d.logs[-1]["arrival_rate"]) == ("0.1667", "0.5", "6")
     d.loads(9, 9)  # 1/mu of 0.3: 6 * 0.3 / 0.8 = 2.25
     assert d.run(10, came=2, served=2) == (3, 2, True)
 
@@ -171,10 +175,10 @@
     d = Daemon()
     d.loads(5, 5)
     d.run(10, came=2, served=2)
-    d.tell(("routes", {"routes": [route(100, "t")], "services": {"t": {}}}))
+    d.configure({"routes": [route(100, "t")], "services": {"t": {}}})
     d.run(4)
     assert set(d.short) == {("m", "t")}
-    assert set(d.p.gi_frame.f_locals["pools"]) <= {"t"}
+    assert set(d.p.machine.measurements) <= {"t"}
 
 
 def test_the_configuration_may_come_as_the_book_brings_it():
@@ -199,18 +203,18 @@
 def test_a_day_finds_a_scaler_that_holds_nothing_back_or_sees_no_crowd(monkeypatch):
     well = day(capacity=16, secs=200)
 
-    plain = module.Gauge
+    plain = module.LoadMeasurement
 
     class Blind(plain):
-        def trend(self, now, lam, opt):
-            return lam / 3
+        def projected_rate(self, now, rate):
+            return rate / 3
 
-    monkeypatch.setattr(module, "Gauge", Blind)
+    monkeypatch.setattr(module, "LoadMeasurement", Blind)
     assert day(capacity=16, secs=200)["missed"] > 3 * well["missed"]
 
     class Hasty(plain):
-        def hold(self, now, m, opt):
-            return m
+        def hold(self, now, required):
+            return required
 
-    monkeypatch.setattr(module, "Gauge", Hasty)
+    monkeypatch.setattr(module, "LoadMeasurement", Hasty)
     assert day(capacity=16, secs=200)["lines"] > 1.3 * well["lines"]
--- a/tests/autoscaling/test_tenant_scaler.py
+++ b/tests/autoscaling/test_tenant_scaler.py
@@ -4,19 +4,20 @@
 
 import pytest
 
-from silverglade.autoscaling.tenant_scaler import Gauge, scaler
-from silverglade.runtime.effects import start
+from silverglade.autoscaling.load_measurement import LoadMeasurement
+from silverglade.autoscaling.tenant_scaler import TenantScaler
 from silverglade.runtime.settings import tuning
+from silverglade.runtime.state_machine import MachineComponent
 from silverglade.testbed.sites import hamlet
 
 SEC = timedelta(seconds=1)
-OPT = tuning()
+TUNING = tuning()
 
 
 def test_the_rise_of_ten_seconds_is_carried_ten_seconds_ahead():
-    g, got = Gauge(), []
+    g, got = LoadMeasurement(TUNING), []
     for i, lam in enumerate([2, 2, 2, 2, 2, 2, 5, 5, 5, 5, 5, 5, 3]):
-        got.append(g.trend(i * 2 * SEC, float(lam), OPT))
+        got.append(g.projected_rate(i * 2 * SEC, float(lam)))
     assert got[:6] == [2.0] * 6
     assert got[6:11] == [8.0] * 5  # 5 now, 2 ten seconds ago
     assert got[11] == 5.0  # the rise is over
@@ -24,29 +25,29 @@
 
 
 def test_more_is_named_at_once_and_less_only_after_it_was_enough_for_six_seconds():
-    g = Gauge()
+    g = LoadMeasurement(TUNING)
     ms = [(0, 2), (2, 5), (4, 3), (6, 4), (8, 3), (10, 3), (12, 3)]
-    assert [g.hold(t * SEC, m, OPT) for t, m in ms] == [2, 5, 5, 5, 5, 4, 4]
-    g = Gauge()
+    assert [g.hold(t * SEC, m) for t, m in ms] == [2, 5, 5, 5, 5, 4, 4]
+    g = LoadMeasurement(TUNING)
     ms = [(0, 5), (2, 3), (4, 3), (6, 5), (8, 3), (10, 3), (12, 3), (14, 3)]
-    assert [g.hold(t * SEC, m, OPT) for t, m in ms] == [5, 5, 5, 5, 5, 5, 5, 3]  # asked for again
+    assert [g.hold(t * SEC, m) for t, m in ms] == [5, 5, 5, 5, 5, 5, 5, 3]  # asked for again
 
 
 def test_service_is_use_times_ready_over_daemons_times_the_served_rate():
-    g = Gauge()
-    assert abs(g.service(use=0.6, ready=4, count=3, served=2.0, opt=OPT) - 0.4) < 1e-12
-    assert g.service(use=0.0, ready=4, count=3, served=0.0, opt=OPT) == g.mean  # held
-    g.went.append((0 * SEC, 0.3))
-    assert g.service(use=0.4, ready=4, count=3, served=0.0, opt=OPT) == 0.3  # mean latency
-    g.went.append((0 * SEC, 0.9))
-    assert g.service(use=0.6, ready=4, count=3, served=0.0, opt=OPT) == 0.3  # not while busy
+    g = LoadMeasurement(TUNING)
+    assert abs(g.update_service_time(use=0.6, ready=4, daemons=3, completions=2.0) - 0.4) < 1e-12
+    assert g.update_service_time(use=0.0, ready=4, daemons=3, completions=0.0) == g.service_time  # held
+    g.completions.append((0 * SEC, 0.3))
+    assert g.update_service_time(use=0.4, ready=4, daemons=3, completions=0.0) == 0.3  # mean latency
+    g.completions.append((0 * SEC, 0.9))
+    assert g.update_service_time(use=0.6, ready=4, daemons=3, completions=0.0) == 0.3  # not while busy
 
 
 def run(*, came, daemons=2, least=1, secs=18, use=0.5):
     """A scaler part of region m with one ready replica -> its last named parts."""
     cfg = hamlet()["config"]
     cfg["zones"]["middle"]["least"] = least
-    g = start(scaler(me="a", region="m", opt=OPT))
+    g = MachineComponent(TenantScaler(region="m", tuning=TUNING))
     roll = tuple((f"d{i}", "l", 1, 1, "middle", "m", "", "", False, "ready", (), ()) for i in range(daemons))
     g.send((0 * SEC, ("book", {"config": ((1, 1), cfg)}, (1, 1))))
     g.send((0 * SEC, ("roll", roll)))
--- a/tests/testbed/test_scaler_days.py
+++ b/tests/testbed/test_scaler_days.py
@@ -22,7 +22,7 @@
 
     def came():
         g = [n.scaler_gauges.get("model") for n in s.w.nodes.values()]
-        return sum(len(x.came) for x in g if x)
+        return sum(len(x.arrivals) for x in g if x)
 
     again, n = [], came()
     assert n == 20
