--- a/silverglade/tenant_requests/ingress.py
+++ b/silverglade/tenant_requests/ingress.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Mapping, Sequence
 from datetime import timedelta
 from typing import Any, ClassVar
 
@@ -249,7 +249,7 @@
         self._running[request_id] = request
         self._settle(request_id, request, request.start(now))
 
-    def _settle(self, request_id: str, request: TenantRequest, effects: list[Effect]) -> None:
+    def _settle(self, request_id: str, request: TenantRequest, effects: Sequence[Effect]) -> None:
         """Take the effects of a request that runs here; results go to where it came in."""
         if request_id in self._received:
             for effect in effects:
@@ -271,11 +271,13 @@
 
     def _on_timer(self, now: timedelta, event: TimerFired) -> None:
         for request_id, request in list(self._running.items()):
-            self._settle(request_id, request, request.on_timer(now))
+            effects = request.on_timer(now)
+            if effects:
+                self._settle(request_id, request, effects)
         for request_id in self._received.orphaned(now):
             self._on_sender_left(now, request_id)
-        for request_id, effects, lost in self._forwarded.overdue(now):
-            self._effects.extend(effects)
+        for request_id, last_effects, lost in self._forwarded.overdue(now):
+            self._effects.extend(last_effects)
             self._refuse_lost(request_id, now, lost)
         if not self._running and not self._received and not self._forwarded:
             self._effects.append(WakeAt(IDLE))
--- a/silverglade/tenant_requests/request.py
+++ b/silverglade/tenant_requests/request.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Mapping, Sequence
 from datetime import timedelta
 from enum import Enum
 from typing import Any, Final
@@ -158,12 +158,12 @@
         """Whether nothing more is to be done for it."""
         return self.phase is Phase.FINISHED
 
-    def start(self, now: timedelta) -> list[Effect]:
+    def start(self, now: timedelta) -> Sequence[Effect]:
         """Begin the first attempt."""
         self._begin_attempt(now)
         return self._take_effects()
 
-    def on_timer(self, now: timedelta) -> list[Effect]:
+    def on_timer(self, now: timedelta) -> Sequence[Effect]:
         """Look at the clock."""
         if self.phase is Phase.ASKING:
             self._seek_grant(now)
@@ -171,7 +171,7 @@
             self._ends_late(now)
         return self._take_effects()
 
-    def on_owner_message(self, now: timedelta, message: OwnerMessage) -> list[Effect]:
+    def on_owner_message(self, now: timedelta, message: OwnerMessage) -> Sequence[Effect]:
         """Handle an owner's answer; one to an earlier attempt only makes the request look at the clock."""
         if self.phase is Phase.DISPATCHED:
             self._ends_late(now)
@@ -187,7 +187,7 @@
             self._on_deny(now, message)
         return self._take_effects()
 
-    def on_dispatch_progress(self, now: timedelta, outcome: tuple[Any, ...]) -> list[Effect]:
+    def on_dispatch_progress(self, now: timedelta, outcome: tuple[Any, ...]) -> Sequence[Effect]:
         """Handle what the replica made of the dispatch so far."""
         if self.phase is Phase.ASKING:
             self._seek_grant(now)
@@ -195,7 +195,7 @@
             self._on_outcome(now, decode_outcome(outcome, is_streamed=self._facts.is_streamed))
         return self._take_effects()
 
-    def on_client_left(self, now: timedelta) -> list[Effect]:
+    def on_client_left(self, now: timedelta) -> Sequence[Effect]:
         """Nobody waits for the answer any more."""
         if self.phase is Phase.ASKING:
             self._withdraw()
@@ -204,7 +204,9 @@
             self._end_attempt(now, AttemptEnd.CLIENT_LEFT, RAN_MAYBE)
         return self._take_effects()
 
-    def _take_effects(self) -> list[Effect]:
+    def _take_effects(self) -> Sequence[Effect]:
+        if not self._effects:
+            return ()
         effects = self._effects
         self._effects = []
         return effects
--- a/silverglade/tenant_requests/request_context.py
+++ b/silverglade/tenant_requests/request_context.py
@@ -37,7 +37,7 @@
     """What requests under way may look at; the ingress keeps it up to date.
 
     :ivar tuning: the settings that all components share.
-    :ivar store: what control has acknowledged, key to (version, value).
+    :ivar configuration: the one in force here, or None.
     :ivar replicas: id to `ReplicaEntry`.
     :ivar members: the live daemons in the order of their names.
     :ivar drained_zones: nothing new is started there.
@@ -45,27 +45,41 @@
     :ivar overflow_count: grants for a replica outside the tenant's first home.
     """
 
-    __slots__ = ("_zones", "drained_zones", "members", "overflow_count", "proved_at", "replicas", "store", "tuning")
+    __slots__ = (
+        "_owners",
+        "_store",
+        "_zones",
+        "configuration",
+        "drained_zones",
+        "members",
+        "overflow_count",
+        "proved_at",
+        "replicas",
+        "tuning",
+    )
 
     def __init__(self, *, tuning: Mapping[str, Any]) -> None:
         self.tuning = tuning
-        self.store: Mapping[str, tuple[Version, Any]] = {}
+        self.configuration: Configuration | None = None
         self.replicas: Mapping[str, tuple[Any, ...]] = {}
         self.members: tuple[MemberRecord, ...] = ()
         self.drained_zones: set[str] = set()
         self.proved_at: timedelta | None = None
         self.overflow_count = 0
+        self._store: Mapping[str, tuple[Version, Any]] = {}
+        self._owners: dict[str, ShardOwner | None] = {}  # by tenant, as the store has them
         self._zones: dict[str, str] = {}
 
     @property
-    def configuration(self) -> Configuration | None:
-        """The configuration in force here."""
-        configuration: Configuration | None = value_of(self.store, "config")
-        return configuration
+    def store(self) -> Mapping[str, tuple[Version, Any]]:
+        """What control has acknowledged: key to (version, value)."""
+        return self._store
 
     def set_store(self, store: Mapping[str, tuple[Version, Any]]) -> None:
         """Take a newer store."""
-        self.store = store
+        self._store = store
+        self._owners.clear()
+        self.configuration = value_of(store, "config")
         self.drained_zones = evacuated_zones(store)
 
     def set_members(self, rows: tuple[tuple[Any, ...], ...]) -> None:
@@ -87,7 +101,12 @@
 
     def shard_owner(self, tenant: str) -> ShardOwner | None:
         """The owner of the tenant's shard, wherever it is; None while there is none."""
-        assignment = value_of(self.store, f"duty/shard/{tenant}")
+        if tenant not in self._owners:
+            self._owners[tenant] = self._read_shard_owner(tenant)
+        return self._owners[tenant]
+
+    def _read_shard_owner(self, tenant: str) -> ShardOwner | None:
+        assignment = value_of(self._store, f"duty/shard/{tenant}")
         if not assignment:
             return None
         epoch, name, *_ = assignment
--- a/tests/replicas/test_candidate_selection.py
+++ b/tests/replicas/test_candidate_selection.py
@@ -132,7 +132,7 @@
             ),
         ),
     )
-    ctx.store = book
+    ctx.set_store(book)
     s.w.effect = lambda n, e: sent.append(e) if e[0] == "send" and e[2][0] in ("ask", "hand") else None
     s.order(tenant="pair", cls="lookup", at=at, retry=False, old=0)
     s.w.run(0.2)
