--- a/silverglade/runtime/effects.py
+++ b/silverglade/runtime/effects.py
@@ -11,7 +11,7 @@
 from datetime import timedelta
 from typing import Any, ClassVar
 
-from .events import Event, event_to_tuple, field_names
+from .events import Event, event_to_tuple, fields_of
 
 ZERO = timedelta(0)
 
@@ -275,12 +275,14 @@
     """The tuple form of an effect, and of an event within it. A tuple is returned as it is."""
     if isinstance(effect, tuple):
         return effect
-    fields = [getattr(effect, name) for name in field_names(type(effect))]
-    if isinstance(effect, Post | Broadcast):
-        fields[-1] = event_to_tuple(fields[-1])
+    if isinstance(effect, Post):
+        return (effect.TAG, effect.component, event_to_tuple(effect.event))
+    if isinstance(effect, Broadcast):
+        return (effect.TAG, event_to_tuple(effect.event))
+    values = fields_of(effect)
     if effect.SPREADS_REST:
-        return (effect.TAG, *fields[:-1], *fields[-1])
-    return (effect.TAG, *fields)
+        return (effect.TAG, *values[:-1], *values[-1])
+    return (effect.TAG, *values)
 
 
 # --- the tuple form, for components that are not typed yet
--- a/silverglade/runtime/events.py
+++ b/silverglade/runtime/events.py
@@ -9,6 +9,7 @@
 from __future__ import annotations
 
 import math
+import operator
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import MISSING, dataclass, fields
 from datetime import timedelta
@@ -649,9 +650,28 @@
     return sum(field.default is MISSING for field in declared), len(declared)
 
 
+_fields_readers: dict[type, Callable[[Any], tuple[Any, ...]]] = {}
+
+
+def fields_of(record: Any) -> tuple[Any, ...]:
+    """All fields of a dataclass's instance, in their order."""
+    reader = _fields_readers.get(type(record))
+    if reader is None:
+        reader = _fields_readers[type(record)] = _new_fields_reader(type(record))
+    return reader(record)
+
+
+def _new_fields_reader(record_class: type) -> Callable[[Any], tuple[Any, ...]]:
+    """A function that reads all fields of this class's instances."""
+    names = field_names(record_class)
+    if len(names) > 1:
+        return operator.attrgetter(*names)
+    return lambda record: tuple([getattr(record, name) for name in names])
+
+
 def event_to_tuple(event: Event) -> RawEvent:
     """The tuple form of an event."""
-    values = [getattr(event, name) for name in field_names(type(event))]
+    values = fields_of(event)
     if event.COLLECTS_REST:
         return (event.TAG, *values[:-1], *values[-1])
     return (event.TAG, *values)
