--- a/silverglade/autoscaling/service_scaler.py
+++ b/silverglade/autoscaling/service_scaler.py
@@ -47,7 +47,7 @@
     is_ready: bool
 
 
-class ServiceNeed(NamedTuple):
+class ServiceRequirement(NamedTuple):
     """How many replicas a service requires in the region, how many are ready, and whether these are too few."""
 
     required: int
@@ -56,7 +56,7 @@
 
 
 class Grounds(NamedTuple):
-    """What a service's need follows from; the fields are pairs of the log line.
+    """What a service's requirement follows from; the fields are pairs of the log line.
 
     :ivar arrival_rate: requests a second in the region, projected.
     :ivar retry_rate: retries a second at this daemon; they are no arrivals.
@@ -133,7 +133,7 @@
         self._configuration: Mapping[str, Any] | None = None
         self._loads: Mapping[str, tuple[Any, ...]] = {}
         self._next_run = ZERO
-        self._last_needs: dict[tuple[str, str], ServiceNeed] = {}  # by (region, service), as they were last broadcast
+        self._last_requirements: dict[tuple[str, str], ServiceRequirement] = {}  # by (region, service), as they were last broadcast
         self._effects: list[Effect] = []
         self._handlers: dict[type[Event], Callable[[timedelta, Any], None]] = {
             TimerFired: self._on_timer,
@@ -174,7 +174,7 @@
         if now >= self._next_run:
             self._next_run = now + self._tuning["scale_every"]
             if self._configuration:
-                self._update_needs(now, self._configuration)
+                self._update_requirements(now, self._configuration)
         self._effects.append(WakeAt(self._next_run if self._configuration else IDLE))
 
     def _measurement(self, service: str, now: timedelta) -> ServiceMeasurement:
@@ -182,28 +182,28 @@
             self.measurements[service] = ServiceMeasurement(now=now, tuning=self._tuning)
         return self.measurements[service]
 
-    def _update_needs(self, now: timedelta, configuration: Mapping[str, Any]) -> None:
-        """Work out what every service needs; log and broadcast what changed."""
+    def _update_requirements(self, now: timedelta, configuration: Mapping[str, Any]) -> None:
+        """Work out what every service requires; log and broadcast what changed."""
         daemons = daemons_with_clients(self._members, self._region)
         loads = [ReplicaLoad(*load) for load in self._loads.values()]
-        needs: dict[tuple[str, str], ServiceNeed] = {}
+        requirements: dict[tuple[str, str], ServiceRequirement] = {}
         for service, latency_target in sorted(latency_targets(configuration).items()):
             ready = [load for load in loads if load.service == service and load.region == self._region and load.is_ready]
-            need, grounds = self._need(now, service=service, latency_target=latency_target, loads=ready, daemons=daemons)
+            requirement, grounds = self._requirement(now, service=service, latency_target=latency_target, loads=ready, daemons=daemons)
             key = (self._region, service)
-            needs[key] = need
-            if need != self._last_needs.get(key):
-                self._log(service, need, grounds, daemons)
-        for service in [service for service in self.measurements if (self._region, service) not in needs]:
+            requirements[key] = requirement
+            if requirement != self._last_requirements.get(key):
+                self._log(service, requirement, grounds, daemons)
+        for service in [service for service in self.measurements if (self._region, service) not in requirements]:
             del self.measurements[service]
-        if needs != self._last_needs:
-            self._last_needs = needs
-            self._effects.append(Broadcast(ServicesShort(needs)))
+        if requirements != self._last_requirements:
+            self._last_requirements = requirements
+            self._effects.append(Broadcast(ServicesShort(requirements)))
 
-    def _need(
+    def _requirement(
         self, now: timedelta, *, service: str, latency_target: float, loads: list[ReplicaLoad], daemons: int
-    ) -> tuple[ServiceNeed, Grounds]:
-        """Work out what one service needs, and what that follows from.
+    ) -> tuple[ServiceRequirement, Grounds]:
+        """Work out what one service requires, and what that follows from.
 
         :param latency_target: in seconds.
         :param loads: of the service's ready replicas in the region.
@@ -233,18 +233,18 @@
             is_short = is_short or (not meets_target and required >= self._tuning["scale_fan"] * max(1, ready))
         required = measurement.load.hold(now, required)
         grounds = Grounds(arrival_rate, measurement.retry_rate(now), service_time or 0.0, use)
-        return ServiceNeed(required, ready, is_short or required > ready), grounds
+        return ServiceRequirement(required, ready, is_short or required > ready), grounds
 
-    def _log(self, service: str, need: ServiceNeed, grounds: Grounds, daemons: int) -> None:
+    def _log(self, service: str, requirement: ServiceRequirement, grounds: Grounds, daemons: int) -> None:
         figures = {name: f"{value:.4g}" for name, value in grounds._asdict().items()}
         self._effects.append(
             log_record(
                 "service-scaler",
                 region=self._region,
                 service=service,
-                required=need.required,
-                ready=need.ready,
-                short=need.is_short,
+                required=requirement.required,
+                ready=requirement.ready,
+                short=requirement.is_short,
                 daemons=daemons,
                 **figures,
             )
--- a/tests/autoscaling/test_tenant_scaler.py
+++ b/tests/autoscaling/test_tenant_scaler.py
@@ -15,9 +15,9 @@
 
 
 def test_the_rise_of_ten_seconds_is_carried_ten_seconds_ahead():
-    g, got = LoadMeasurement(TUNING), []
+    measurement, got = LoadMeasurement(TUNING), []
     for i, lam in enumerate([2, 2, 2, 2, 2, 2, 5, 5, 5, 5, 5, 5, 3]):
-        got.append(g.projected_rate(i * 2 * SEC, float(lam)))
+        got.append(measurement.projected_rate(i * 2 * SEC, float(lam)))
     assert got[:6] == [2.0] * 6
     assert got[6:11] == [8.0] * 5  # 5 now, 2 ten seconds ago
     assert got[11] == 5.0  # the rise is over
@@ -25,42 +25,42 @@
 
 
 def test_more_is_named_at_once_and_less_only_after_it_was_enough_for_six_seconds():
-    g = LoadMeasurement(TUNING)
+    measurement = LoadMeasurement(TUNING)
     ms = [(0, 2), (2, 5), (4, 3), (6, 4), (8, 3), (10, 3), (12, 3)]
-    assert [g.hold(t * SEC, m) for t, m in ms] == [2, 5, 5, 5, 5, 4, 4]
-    g = LoadMeasurement(TUNING)
+    assert [measurement.hold(t * SEC, m) for t, m in ms] == [2, 5, 5, 5, 5, 4, 4]
+    measurement = LoadMeasurement(TUNING)
     ms = [(0, 5), (2, 3), (4, 3), (6, 5), (8, 3), (10, 3), (12, 3), (14, 3)]
-    assert [g.hold(t * SEC, m) for t, m in ms] == [5, 5, 5, 5, 5, 5, 5, 3]  # asked for again
+    assert [measurement.hold(t * SEC, m) for t, m in ms] == [5, 5, 5, 5, 5, 5, 5, 3]  # asked for again
 
 
 def test_service_is_use_times_ready_over_daemons_times_the_served_rate():
-    g = LoadMeasurement(TUNING)
-    assert abs(g.update_service_time(use=0.6, ready=4, daemons=3, completions=2.0) - 0.4) < 1e-12
-    assert g.update_service_time(use=0.0, ready=4, daemons=3, completions=0.0) == g.service_time  # held
-    g.completions.append((0 * SEC, 0.3))
-    assert g.update_service_time(use=0.4, ready=4, daemons=3, completions=0.0) == 0.3  # mean latency
-    g.completions.append((0 * SEC, 0.9))
-    assert g.update_service_time(use=0.6, ready=4, daemons=3, completions=0.0) == 0.3  # not while busy
+    measurement = LoadMeasurement(TUNING)
+    assert abs(measurement.update_service_time(use=0.6, ready=4, daemons=3, completions=2.0) - 0.4) < 1e-12
+    assert measurement.update_service_time(use=0.0, ready=4, daemons=3, completions=0.0) == measurement.service_time  # held
+    measurement.completions.append((0 * SEC, 0.3))
+    assert measurement.update_service_time(use=0.4, ready=4, daemons=3, completions=0.0) == 0.3  # mean latency
+    measurement.completions.append((0 * SEC, 0.9))
+    assert measurement.update_service_time(use=0.6, ready=4, daemons=3, completions=0.0) == 0.3  # not while busy
 
 
 def run(*, came, daemons=2, least=1, secs=18, use=0.5):
     """A scaler part of region m with one ready replica -> its last named parts."""
-    cfg = hamlet()["config"]
-    cfg["zones"]["middle"]["least"] = least
-    g = MachineComponent(TenantScaler(region="m", tuning=TUNING))
-    roll = tuple((f"d{i}", "l", 1, 1, "middle", "m", "", "", False, "ready", (), ()) for i in range(daemons))
-    g.send((0 * SEC, ("book", {"config": ((1, 1), cfg)}, (1, 1))))
-    g.send((0 * SEC, ("roll", roll)))
-    rec = ("r", 1, 1, "", "middle", "model", ("middle",), (), 4, False)
-    g.send((0 * SEC, ("replicas", {"r": (rec, ("r", 1, 1, 1, "ready", use, 0.0, 1, 4, 1), 0 * SEC)})))
+    configuration = hamlet()["config"]
+    configuration["zones"]["middle"]["least"] = least
+    scaler = MachineComponent(TenantScaler(region="m", tuning=TUNING))
+    members = tuple((f"d{i}", "l", 1, 1, "middle", "m", "", "", False, "ready", (), ()) for i in range(daemons))
+    scaler.send((0 * SEC, ("book", {"config": ((1, 1), configuration)}, (1, 1))))
+    scaler.send((0 * SEC, ("roll", members)))
+    record = ("r", 1, 1, "", "middle", "model", ("middle",), (), 4, False)
+    scaler.send((0 * SEC, ("replicas", {"r": (record, ("r", 1, 1, 1, "ready", use, 0.0, 1, 4, 1), 0 * SEC)})))
     last = {}
     for t in range(0, secs * 20):
         now = t * SEC / 20
         if t and t % 20 == 0:
             for _ in range(came):
-                g.send((now, ("arrived", "model")))
-                g.send((now, ("served", "model", SEC / 4, SEC / 4)))
-        for e in g.send((now, ("pulse",))):
+                scaler.send((now, ("arrived", "model")))
+                scaler.send((now, ("served", "model", SEC / 4, SEC / 4)))
+        for e in scaler.send((now, ("pulse",))):
             if e[0] == "post" and e[2][1] == "parts":
                 last = {p[0]: p for p in e[2][2]}
     return last["model"]
