--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -372,7 +372,7 @@
     assert measure(daemons=12, secs=5)["woken_edge"] < 18
     without(monkeypatch, "silverglade.tenant_shards.owner",
             "context.effects.append(WakeAt(self._next_round if is_needed else IDLE))", "pass",
-            "silverglade.runtime.daemon_machine.ShardOwner")
+            "silverglade.runtime.daemon_components.ShardOwner")
     assert measure(daemons=12, secs=5)["woken_edge"] > 25
 
 
--- a/tests/membership/test_zone_relay_partitions.py
+++ b/tests/membership/test_zone_relay_partitions.py
@@ -88,7 +88,7 @@
 
 def without_guards(s, monkeypatch, *guards):
     """The same town whose daemons ask for news without these guards; -> does its zone stay behind?"""
-    without(monkeypatch, "silverglade.configuration.updater", *zip(*guards), "silverglade.runtime.daemon_machine.Updater")
+    without(monkeypatch, "silverglade.configuration.updater", *zip(*guards), "silverglade.runtime.daemon_components.Updater")
     for n in s.w.nodes.values():
         n.boot()
     s.w.run(9)
--- a/tests/system/test_safety_rules.py
+++ b/tests/system/test_safety_rules.py
@@ -61,7 +61,7 @@
                 "silverglade.tenant_shards.follower",
                 "if held is not None and held.request_id != request.request_id:",
                 "if False:",
-                "silverglade.runtime.daemon_machine.ClaimFollower",
+                "silverglade.runtime.daemon_components.ClaimFollower",
             ),
         ],
     ),
@@ -144,7 +144,7 @@
         "work-after-leaving",
         [
             (REG, "and not record.is_leaving\n", "\n", *USABLE),
-            (LEASES, "or record.is_leaving\n", "\n", "silverglade.runtime.daemon_machine.SlotLeases"),
+            (LEASES, "or record.is_leaving\n", "\n", "silverglade.runtime.daemon_components.SlotLeases"),
         ],
     ),
     (
@@ -157,7 +157,7 @@
                 "if False:",
                 "silverglade.replicas.replica_table.ReplicaTable",
             ),
-            (REG, "if why != HEARD_OF_BY_OTHERS:", "if False:", "silverglade.runtime.daemon_machine.ReplicaRegistry"),
+            (REG, "if why != HEARD_OF_BY_OTHERS:", "if False:", "silverglade.runtime.daemon_components.ReplicaRegistry"),
         ],
     ),
     (
@@ -165,7 +165,7 @@
         "work-after-emptying",
         [
             (REG, "and record.zone not in drained_zones", "", *USABLE),
-            (LEASES, "or record.zone in self._drained_zones", "", "silverglade.runtime.daemon_machine.SlotLeases"),
+            (LEASES, "or record.zone in self._drained_zones", "", "silverglade.runtime.daemon_components.SlotLeases"),
         ],
     ),
     (
@@ -176,7 +176,7 @@
                 LEASES,
                 ("or self._proved_at is None\n", 'or now - self._proved_at > self._tuning["alone"]\n'),
                 ("\n", "\n"),
-                "silverglade.runtime.daemon_machine.SlotLeases",
+                "silverglade.runtime.daemon_components.SlotLeases",
             ),
             (
                 "silverglade.tenant_shards.intake",
@@ -205,7 +205,7 @@
                     "if not newer and answer.version <= self.store_version:",
                 ),
                 ("if False:", "]", "self.store_version = answer.version", "if False:"),
-                "silverglade.runtime.daemon_machine.Updater",
+                "silverglade.runtime.daemon_components.Updater",
             ),
             (
                 "silverglade.control.replicated_state",
@@ -219,7 +219,7 @@
     (
         a_daemon_restarts_beside_a_core_that_is_behind,
         "slipped-back",
-        [(NEWS, "if not self._is_start_proved:", "if False:", "silverglade.runtime.daemon_machine.Updater")],
+        [(NEWS, "if not self._is_start_proved:", "if False:", "silverglade.runtime.daemon_components.Updater")],
     ),
     (
         power_is_lost_after_an_acknowledgement,
--- a/tests/tenant_shards/test_tenant_isolation.py
+++ b/tests/tenant_shards/test_tenant_isolation.py
@@ -24,7 +24,7 @@
         "silverglade.replicas.slot_leases",
         ("return slots.is_fair_to_lease(tenant)", "while self._free_slots(name, slots, now) and slots.waiting:"),
         ("return True", "while False:"),
-        "silverglade.runtime.daemon_machine.SlotLeases",
+        "silverglade.runtime.daemon_components.SlotLeases",
     )
     assert crowd()[1] > 0
 
