--- a/silverglade/membership/live_members.py
+++ b/silverglade/membership/live_members.py
@@ -3,13 +3,16 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
+from operator import itemgetter
 from typing import Any
 
 from ..runtime.effects import Broadcast, Effect, log_record
 from ..runtime.events import MembershipChanged
-from .records import ATTRIBUTE_ROW, Attributes, MemberRecord, MemberState, split_key
+from .records import ATTRIBUTE_ROW, Attributes, MemberRecord, MemberState
 from .replicated_table import ReplicatedTable
 
+_ATTRIBUTE_NAME = itemgetter(0)
+
 
 class LiveMembers:
     """The list of live members.
@@ -64,7 +67,7 @@
         if own_record.state != MemberState.LEFT:
             records[self._own_name] = own_record
         attributes = self._attributes(table, own_attributes)
-        members = tuple(sorted([record.with_attributes(attributes.get(name, ())) for name, record in records.items()]))
+        members = tuple([records[name].with_attributes(attributes.get(name, ())) for name in sorted(records)])
         if members == self.members or self.is_frozen:
             return []
         effects: list[Effect] = [*self._log_changes(members), Broadcast(MembershipChanged(members))]
@@ -73,13 +76,13 @@
 
     def _attributes(self, table: ReplicatedTable, own_attributes: Mapping[str, Any]) -> dict[str, Attributes]:
         """Return the attributes of each daemon in the order of their names; of this one as its components last set them."""
-        values: dict[str, dict[str, Any]] = {}
+        values: dict[str, list[tuple[str, Any]]] = {}
         for (kind, key), row in table.rows.items():
             if kind == ATTRIBUTE_ROW and row.value is not None:
-                daemon, attribute = split_key(key)
-                values.setdefault(daemon, {})[attribute] = row.value
-        values.setdefault(self._own_name, {}).update(own_attributes)
-        return {daemon: tuple(sorted(of_daemon.items(), key=lambda item: item[0])) for daemon, of_daemon in values.items()}
+                daemon, attribute = key.split(" ", 1)  # as split_key, without a call for each row
+                values.setdefault(daemon, []).append((attribute, row.value))
+        values[self._own_name] = list({**dict(values.get(self._own_name, ())), **own_attributes}.items())
+        return {daemon: tuple(sorted(of_daemon, key=_ATTRIBUTE_NAME)) for daemon, of_daemon in values.items()}
 
     def _log_changes(self, members: tuple[MemberRecord, ...]) -> list[Effect]:
         before = {member.name for member in self.members}
--- a/silverglade/membership/member.py
+++ b/silverglade/membership/member.py
@@ -369,9 +369,12 @@
 
 # --- for components that still read member records by position
 
-ID, ZONE, REGION, CORE, STATE = [MemberRecord._fields.index(field) for field in ("name", "zone", "region", "is_core", "state")]
+ID, ZONE, REGION, CORE, STATE, ATTRIBUTES = [
+    MemberRecord._fields.index(field) for field in ("name", "zone", "region", "is_core", "state", "attributes")
+]
 
 
 def extra(record: tuple[Any, ...], name: str, default: Any = None) -> Any:
     """Return the value of an attribute of a member record, or `default`."""
-    return MemberRecord.of(record).attribute(name, default)
+    attributes = record[ATTRIBUTES]
+    return next((value for key, value in attributes if key == name), default)
--- a/silverglade/membership/records.py
+++ b/silverglade/membership/records.py
@@ -89,7 +89,7 @@
         """A record from its array; fields of a later program are dropped."""
         if isinstance(row, cls):
             return row
-        return cls(*row[: len(cls._fields)])
+        return cls(*row[:MEMBER_FIELDS])
 
     def attribute(self, name: str, default: Any = None) -> Any:
         """The value of an attribute, or `default`."""
@@ -97,7 +97,7 @@
 
     def with_attributes(self, attributes: Attributes) -> MemberRecord:
         """Return the record with these attributes."""
-        return MemberRecord(*self[:-1], attributes)
+        return MemberRecord._make((*self[:-1], attributes))
 
     @property
     def is_ready(self) -> bool:
@@ -105,6 +105,9 @@
         return self.state == MemberState.READY
 
 
+MEMBER_FIELDS = len(MemberRecord._fields)
+
+
 def members_of(rows: tuple[tuple[Any, ...], ...]) -> tuple[MemberRecord, ...]:
     """Records from the arrays of a list of members."""
     return tuple([MemberRecord.of(row) for row in rows])
--- a/silverglade/membership/replicated_table.py
+++ b/silverglade/membership/replicated_table.py
@@ -135,7 +135,7 @@
     :ivar tombstones: rows without a value, and since when they are held.
     """
 
-    __slots__ = ("process_id", "rows", "vector", "tombstones", "_keys")
+    __slots__ = ("process_id", "rows", "vector", "tombstones", "_keys", "_members")
 
     def __init__(self, *, process_id: str = "") -> None:
         self.process_id = process_id
@@ -143,6 +143,7 @@
         self.vector: VersionVector = {}
         self.tombstones: dict[RowKey, timedelta] = {}
         self._keys: dict[str, dict[int, RowKey]] = {}  # origin -> number -> which row has this stamp
+        self._members: dict[str, MemberRecord | None] = {}  # the member rows, decoded; None for a tombstone
 
     def _set(self, row: SoftStateRow, now: timedelta) -> None:
         key = row.row_key
@@ -151,6 +152,8 @@
             self._keys[old.origin].pop(old.number, None)
         self.rows[key] = row
         self._keys.setdefault(row.origin, {})[row.number] = key
+        if row.kind == MEMBER_ROW:
+            self._members[row.key] = MemberRecord.of(row.value) if row.value is not None else None
         if row.value is None:
             self.tombstones[key] = now
         else:
@@ -208,6 +211,8 @@
             row = self.rows.pop(key)
             self._keys[row.origin].pop(row.number, None)
             del self.tombstones[key]
+            if row.kind == MEMBER_ROW:
+                del self._members[row.key]
 
     def drop_origins(self, live: Collection[str]) -> None:
         """Forget the origins that no row speaks of any more, but this core's own and those of `live` processes."""
@@ -230,12 +235,11 @@
 
     def members(self) -> dict[str, MemberRecord]:
         """Return the records of all daemons that the table speaks of, by name."""
-        return {key: MemberRecord.of(row.value) for (kind, key), row in self.rows.items() if kind == MEMBER_ROW and row.value is not None}
+        return {name: record for name, record in self._members.items() if record is not None}
 
     def member(self, name: str) -> MemberRecord | None:
         """Return the record of a daemon, or None."""
-        row = self.rows.get((MEMBER_ROW, name))
-        return MemberRecord.of(row.value) if row is not None and row.value is not None else None
+        return self._members.get(name)
 
 
 class DeltaServer:
