--- a/silverglade/configuration/messages.py
+++ b/silverglade/configuration/messages.py
@@ -39,7 +39,7 @@
     position: Any
 
     def encode(self) -> RawMessage:
-        """Give the array to send."""
+        """Return the array to send."""
         return (self.TAG, self.number, self.version, self.position)
 
 
@@ -83,7 +83,7 @@
     operation: RawOperation
 
     def encode(self) -> RawMessage:
-        """Give the array to send."""
+        """Return the array to send."""
         return (self.TAG, self.number, self.operation)
 
 
@@ -112,7 +112,7 @@
     digest: str
 
     def encode(self) -> RawMessage:
-        """Give the array to send."""
+        """Return the array to send."""
         return (self.TAG, self.number, self.change_id, self.operation, self.digest)
 
 
--- a/silverglade/configuration/operations.py
+++ b/silverglade/configuration/operations.py
@@ -25,7 +25,7 @@
     raw: Any
 
     def encode(self) -> RawOperation:
-        """Give the array that travels."""
+        """Return the array that travels."""
         return ("config", self.base, self.raw)
 
 
@@ -43,7 +43,7 @@
     source: str
 
     def encode(self) -> RawOperation:
-        """Give the array that travels."""
+        """Return the array that travels."""
         return (REPLACE_BY_NUMBER, self.base, self.number, self.raw, self.source)
 
 
@@ -51,7 +51,7 @@
     """Read the text in which an operator sent the configuration in force."""
 
     def encode(self) -> RawOperation:
-        """Give the array that travels."""
+        """Return the array that travels."""
         return ("read",)
 
 
@@ -62,7 +62,7 @@
     is_evacuated: bool
 
     def encode(self) -> RawOperation:
-        """Give the array that travels."""
+        """Return the array that travels."""
         return ("evac", self.zone, self.is_evacuated)
 
 
@@ -72,7 +72,7 @@
     tenant: str
 
     def encode(self) -> RawOperation:
-        """Give the array that travels."""
+        """Return the array that travels."""
         return ("reopen", self.tenant)
 
 
