--- a/silverglade/runtime/daemon_components.py
+++ b/silverglade/runtime/daemon_components.py
@@ -10,7 +10,7 @@
 from ..autoscaling.tenant_scaler import TenantScaler
 from ..configuration.operator_api import OperatorApi
 from ..configuration.updater import Updater
-from ..control.core import core
+from ..control.core import control_component
 from ..control.role_assigner import RoleAssigner
 from ..membership.core_table import CoreTable
 from ..membership.member import Membership
@@ -131,12 +131,12 @@
     may_form_first_view: bool,
 ) -> dict[str, Any]:
     """The components that only a daemon with a disk has."""
-    control = core(
-        me=identity.name,
+    control = control_component(
+        name=identity.name,
         disk=disk,
         cores=first_cores,
         saved=saved,
-        opt=tuning,
+        tuning=tuning,
         rng=rng,
         place=(identity.zone, identity.region),
         tolerance=tolerance,
