--- a/silverglade/routing/replica_selection.py
+++ b/silverglade/routing/replica_selection.py
@@ -75,10 +75,12 @@
 
 def load(replica: ReplicaState, peers: int, /) -> float:
     """Part of the slots that is taken, as far as this daemon can tell: what was probed, else its own times its peers."""
-    own = len(replica.attempts)
-    estimated = own * min(peers, MOST_PEERS) if own > 1 else own
-    probed = replica.active + replica.queued if replica.active else 0
-    return max(probed, estimated) / max(1, replica.slots)
+    taken = len(replica.attempts)
+    if taken > 1:
+        taken *= min(peers, MOST_PEERS)
+    if replica.active:
+        taken = max(taken, replica.active + replica.queued)
+    return taken / (replica.slots if replica.slots > 1 else 1)
 
 
 def by_region(replicas: Iterable[ReplicaState], context: SelectionContext) -> list[list[ReplicaState]]:
@@ -86,7 +88,8 @@
     regions: dict[str, list[ReplicaState]] = {}
     for replica in replicas:
         regions.setdefault(replica.region, []).append(replica)
-    loads = {region: sum(load(replica, context.peers) for replica in members) / len(members) for region, members in regions.items()}
+    peers = context.peers
+    loads = {region: sum([load(replica, peers) for replica in members]) / len(members) for region, members in regions.items()}
     overflows = "spill" not in context.switched_off
     full = {
         region: overflows and (loads[region] > FULL or (region in context.short_regions and loads[region] > FULL / 2)) for region in regions
@@ -101,17 +104,19 @@
     ranked = [by_id[replica_id] for replica_id in rank_nodes(key, by_id)]
     if "hot-bound" in context.switched_off:
         return ranked
-    mean = sum(replica.work for replica in ranked) / len(ranked)
-    most_work = OVERLOADED * mean + SPARE_REQUESTS * context.work
-    overloaded = [replica for replica in ranked if replica.work > most_work or load(replica, context.peers) > FULL]
+    mean = sum([replica.work for replica in ranked]) / len(ranked)
+    most_work, peers = OVERLOADED * mean + SPARE_REQUESTS * context.work, context.peers
+    overloaded = [replica for replica in ranked if replica.work > most_work or load(replica, peers) > FULL]
+    if not overloaded:
+        return ranked
     return [replica for replica in ranked if replica not in overloaded] + sorted(overloaded, key=lambda replica: replica.work)
 
 
 def order(replicas: Sequence[ReplicaState], context: SelectionContext, now: timedelta) -> list[ReplicaState]:
     """The replicas in the order in which they are to get the request."""
     ordered: list[ReplicaState] = []
-    any_health = "holds" in context.switched_off
-    preferred = [replica for replica in replicas if (replica.is_healthy(now) or any_health) and replica.id not in context.avoided]
+    any_health, avoided = "holds" in context.switched_off, context.avoided
+    preferred = [replica for replica in replicas if (replica.is_healthy(now) or any_health) and replica.id not in avoided]
     uses_prefix = context.by_prefix and "prefix" not in context.switched_off
     key = shared_prefix_key(context.prefix) if uses_prefix else ""
     peers = context.peers
@@ -120,6 +125,8 @@
             members = order_by_prefix(key, members, context)
         else:
             members = sorted(members, key=lambda replica: (load(replica, peers), replica.work, replica.last_sent_at))
-        ordered += [replica for replica in members if now >= replica.slow_start_until]
-        ordered += [replica for replica in members if now < replica.slow_start_until]
+        starting = [replica for replica in members if now < replica.slow_start_until]
+        if starting:
+            members = [replica for replica in members if now >= replica.slow_start_until] + starting
+        ordered += members
     return ordered
