--- a/silverglade/membership/failure_detector.py
+++ b/silverglade/membership/failure_detector.py
@@ -8,7 +8,7 @@
 
 from .messages import HeartbeatKind
 from .published_rows import PublishedRows
-from .records import ALL_CORES, MEMBER_ROW, SUSPICION_ROW, MemberState, joined_key
+from .records import ALL_CORES, SUSPICION_ROW, MemberState, joined_key
 from .replicated_table import ReplicatedTable
 
 
@@ -56,7 +56,7 @@
         forget_after = self._tuning["gone"] * 2
         for daemon in [daemon for daemon, at in self.last_heard.items() if daemon not in live and now - at > forget_after]:
             del self.last_heard[daemon]
-        for daemon in [daemon for daemon in self._suspected if not _is_known(daemon, table)]:
+        for daemon in [daemon for daemon in self._suspected if table.member(daemon) is None]:
             del self._suspected[daemon]
             self._published.discard(SUSPICION_ROW, joined_key(daemon, self._name))
 
@@ -73,8 +73,3 @@
         self._suspected.pop(daemon, None)
         if suspected_incarnation is not None:
             self._suspected[daemon] = suspected_incarnation
-
-
-def _is_known(daemon: str, table: ReplicatedTable) -> bool:
-    row = table.rows.get((MEMBER_ROW, daemon))
-    return row is not None and row.value is not None
--- a/silverglade/membership/records.py
+++ b/silverglade/membership/records.py
@@ -138,11 +138,6 @@
         """Under which a table holds the row."""
         return (self.kind, self.key)
 
-    @property
-    def is_tombstone(self) -> bool:
-        """Whether the row says that what it spoke of is gone."""
-        return self.value is None
-
 
 FIELD_TYPES = (str, str, int, int, str, str, str, str, bool, str, tuple, tuple)
 """Types of the fields of a `MemberRecord`."""
