--- a/tests/membership/test_zone_relay.py
+++ b/tests/membership/test_zone_relay.py
@@ -1,4 +1,4 @@
-"""The daemon that asks for its zone (design 5.7): what it holds, when it answers, and how old its proof is told to be."""
+"""The zone relay (design 5.7): which requests and rows it keeps, when it answers, and which age of its proof it states."""
 
 from silverglade.membership.records import MemberRecord
 from silverglade.membership.zone_relay import MAX_PENDING_MESSAGES, ZoneRelay, relay_of_zone
@@ -13,64 +13,72 @@
 RECORD = MemberRecord("edge", "life", 1, 1, "zone", "r", "a", "h", False, "ready", (), ())
 
 
-class Proxy:
-    """A proxy of one zone with one daemon to answer; `at` sends it an event and keeps what comes out."""
+class Relay:
+    """The relay of a zone with one daemon to answer; `at` sends it an event and returns its effects."""
 
     def __init__(self):
-        self.part = MachineComponent(ZoneRelay(zone="zone", tuning=tuning()))
+        self.component = MachineComponent(ZoneRelay(zone="zone", tuning=tuning()))
         self.at(0, "roll", (RECORD,))
 
     def at(self, now_ms, *event):
-        return self.part.send((milliseconds(now_ms), event))
+        return self.component.send((milliseconds(now_ms), event))
 
-    def get(self, milliseconds, number):
-        return self.at(milliseconds, "msg", "edge", ("get", number, (1, 1), 7))
+    def request(self, now_ms, number):
+        """The daemon of the zone asks for updates."""
+        return self.at(now_ms, "msg", "edge", ("get", number, (1, 1), 7))
 
 
 def ages(effects):
-    """Number and age of the answers among a part's effects."""
-    return [(e[2][2][1], e[2][2][4]) for e in effects if e[:2] == ("post", "membership")]
+    """Number and stated age of the answers among the relay's effects."""
+    found = []
+    for effect in effects:
+        match effect:
+            case ("post", "membership", ("answer", "edge", ("news", number, _, _, age_ms, _), _)):
+                found.append((number, age_ms))
+            case ("post", *_):
+                raise AssertionError(effect)
+    return found
 
 
 def test_an_ask_that_comes_while_no_core_is_asked_is_held_and_answered_when_one_is():
-    p = Proxy()
-    p.at(0, "items", (), (1, 1))
-    p.at(0, "core", "@10.0.0.1:1", False)
-    assert p.get(100, 5) == () and ages(p.at(150, "pulse")) == []
-    p.at(200, "core", "core", True)
-    assert ages(p.at(400, "fresh", milliseconds(300))) == [(5, 100)]
+    relay = Relay()
+    relay.at(0, "items", (), (1, 1))
+    relay.at(0, "core", "@10.0.0.1:1", False)
+    assert relay.request(100, 5) == () and ages(relay.at(150, "pulse")) == []
+    relay.at(200, "core", "core", True)
+    assert ages(relay.at(400, "fresh", milliseconds(300))) == [(5, 100)]
 
 
 def test_an_ask_that_its_asker_has_given_up_is_dropped():
-    p = Proxy()
-    p.at(0, "core", "@10.0.0.1:1", False)
-    p.get(100, 5)
-    p.at(1600, "pulse")
-    p.at(1700, "core", "core", True)
-    assert ages(p.at(1800, "fresh", milliseconds(1700))) == []
+    relay = Relay()
+    relay.at(0, "core", "@10.0.0.1:1", False)
+    relay.request(100, 5)
+    relay.at(1600, "pulse")
+    relay.at(1700, "core", "core", True)
+    assert ages(relay.at(1800, "fresh", milliseconds(1700))) == []
 
 
 def test_rows_told_while_no_core_is_asked_go_to_the_next_one_unless_they_are_old():
-    p = Proxy()
+    relay = Relay()
     for k in range(MAX_PENDING_MESSAGES + 5):
-        p.at(0, "msg", "edge", ("told", (ROW, (k,))))
-    p.at(1400, "msg", "edge", ("told", (ROW,)))
-    assert p.at(1500, "core", "@10.0.0.1:1", False) == ()
-    assert p.at(1600, "core", "core", True) == (("send", "core", ("told", (ROW,))),)
-    assert p.at(1700, "core", "core", True) == ()
+        relay.at(0, "msg", "edge", ("told", (ROW, (k,))))
+    relay.at(1400, "msg", "edge", ("told", (ROW,)))
+    assert relay.at(1500, "core", "@10.0.0.1:1", False) == ()
+    assert relay.at(1600, "core", "core", True) == (("send", "core", ("told", (ROW,))),)
+    assert relay.at(1700, "core", "core", True) == ()
 
 
 def test_an_answer_goes_out_with_the_renewed_proof_and_does_not_add_the_proxys_wait_to_its_age():
-    p = Proxy()
-    p.at(0, "items", (), (1, 1))
-    p.at(0, "core", "core", True)
-    p.at(0, "spot", 7)
-    p.at(1000, "fresh", milliseconds(100))
-    p.get(1000, 1)
-    assert ages(p.at(2020, "pulse")) == []  # the core's next answer is on its way
-    assert ages(p.at(2050, "fresh", milliseconds(1150))) == [(1, 900)]
-    p.get(2050, 2)
-    assert ages(p.at(3250, "pulse")) == [] and ages(p.at(3300, "pulse")) == [(2, 2150)]  # none came: told as old as it is
+    relay = Relay()
+    relay.at(0, "items", (), (1, 1))
+    relay.at(0, "core", "core", True)
+    relay.at(0, "spot", 7)
+    relay.at(1000, "fresh", milliseconds(100))
+    relay.request(1000, 1)
+    assert ages(relay.at(2020, "pulse")) == []  # the core's next answer is on its way
+    assert ages(relay.at(2050, "fresh", milliseconds(1150))) == [(1, 900)]
+    relay.request(2050, 2)
+    assert ages(relay.at(3250, "pulse")) == [] and ages(relay.at(3300, "pulse")) == [(2, 2150)]  # none came: told as old as it is
 
 
 def test_no_daemon_of_a_calm_fleet_leaves_its_proxy_because_of_the_proofs_age():
