--- /dev/null
+++ b/tests/membership/test_messages.py
@@ -0,0 +1,69 @@
+"""The messages of membership as they travel (design 4)."""
+
+import pytest
+
+from silverglade.membership.messages import (
+    Delta,
+    Heartbeat,
+    HeartbeatKind,
+    PublishRows,
+    SuspicionCheck,
+    SyncTables,
+    UpdateRequest,
+    decode,
+    decode_delta,
+)
+from silverglade.membership.records import SoftStateRow
+from silverglade.transport.framing import decode_frame, encode_frame
+from silverglade.transport.message_schemas import is_valid_message, known_fields
+
+ROW = ("thing", "key", (1, 2), 7, "region", "process", 3)
+MESSAGES = [
+    (Heartbeat(3, HeartbeatKind.LAST), ("alive", 3, 1)),
+    (SuspicionCheck(), ("doubted",)),
+    (PublishRows((ROW[:5],)), ("told", (ROW[:5],))),
+    (SyncTables(1, (("process", 3),), (("process", 2),), (ROW,)), ("sync", 1, (("process", 3),), (("process", 2),), (ROW,))),
+]
+
+
+@pytest.mark.parametrize(("message", "array"), MESSAGES, ids=lambda value: type(value).__name__)
+def test_a_message_travels_as_its_kind_and_its_fields(message, array):
+    frame = encode_frame(frm="a", life="process", body=message.to_array())
+    sent = decode_frame(frame[4:])[2]
+    assert sent == array and is_valid_message(sent) and decode(sent) == message
+
+
+def test_fields_of_a_later_program_are_passed_over():
+    assert decode(known_fields(("alive", 3, 0, "later"))) == Heartbeat(3, HeartbeatKind.REGULAR)
+    assert PublishRows(((*ROW[:5], "later", "later", "later"),)).readable() == [SoftStateRow(*ROW[:5])]
+    assert SyncTables(1, (), (), ((*ROW, "later"),)).readable() == [SoftStateRow(*ROW)]
+
+
+def test_a_message_of_another_kind_or_an_earlier_program_is_none_of_membership():
+    assert decode(("news", 1, (0, 0), (), 0, 0)) is None
+    assert decode(("get", 1, (0, 0))) is None
+    assert decode(("get", 1, (0, 0), 7)) == UpdateRequest(1, (0, 0), 7)
+
+
+@pytest.mark.parametrize(
+    "row",
+    [
+        ("daemon", "x", (1, 1), ("y", "process", 1, 1, "z", "r", "a", "h", True, "ready", (), ()), ""),
+        ("daemon", "x", (1, 1), ("x", "process", 0, 1, "z", "r", "a", "h", True, "ready", (), ()), ""),
+        ("daemon", "x", (1, 1), ("x", "process", 1, 1, "z", "r", "a", "h", True, "asleep", (), ()), ""),
+        ("daemon", "x", (1, 1), ("x",), ""),
+        ("extra", "x", (1, 1), 1, ""),
+        ("doubt", "x y", (1, 1), "1", ""),
+        ("via", "x", (1, 1), 1, ""),
+        ("silent", "x", (1,), (1, 2), ""),
+    ],
+    ids=lambda row: f"{row[0]}-{row[3]!r:.30}",
+)
+def test_a_row_that_has_not_the_form_of_its_kind_is_passed_over(row):
+    good = ROW[:5]
+    assert PublishRows((row, good)).readable() == [SoftStateRow(*good)]
+
+
+def test_a_delta_brings_rows_or_asks_for_the_whole_vector():
+    assert decode_delta((-1,)) is None
+    assert decode_delta((7, (("process", 3),), (ROW,), ("x",), "later")) == Delta(7, (("process", 3),), (ROW,), ("x",))
