--- a/silverglade/runtime/daemon_machine.py
+++ b/silverglade/runtime/daemon_machine.py
@@ -138,6 +138,19 @@
 class DaemonMachine:
     """A daemon without I/O.
 
+    :param me: the daemon's name.
+    :param life: the id of this process.
+    :param addr: where it listens for other daemons.
+    :param http: where it serves the product's own API.
+    :param seeds: addresses of other daemons to ask first.
+    :param cores: names of the cores that form the first view.
+    :param opt: tuning (settings.py).
+    :param disk: the id of its disk; empty: it is no core.
+    :param saved: the tables on its disk.
+    :param front: where clients' forwarded requests come in, or empty.
+    :param lists: whether it reads the platform's endpoint list.
+    :param tolerance: machines, zones, regions that may be lost at once (design 5.9).
+    :param first: whether a core with an empty disk may help to form the first view (design 5.5).
     :ivar name: the daemon's.
     :ivar components: by their names.
     :ivar queue: (component, event) each, in the order in which they will be handled.
@@ -163,22 +176,6 @@
         tolerance: tuple[int, int, int] = (1, 1, 1),
         first: bool = True,
     ) -> None:
-        """Create it.
-
-        :param me: the daemon's name.
-        :param life: the id of this process.
-        :param addr: where it listens for other daemons.
-        :param http: where it serves the product's own API.
-        :param seeds: addresses of other daemons to ask first.
-        :param cores: names of the cores that form the first view.
-        :param opt: tuning (settings.py).
-        :param disk: the id of its disk; empty: it is no core.
-        :param saved: the tables on its disk.
-        :param front: where clients' forwarded requests come in, or empty.
-        :param lists: whether it reads the platform's endpoint list.
-        :param tolerance: machines, zones, regions that may be lost at once (design 5.9).
-        :param first: whether a core with an empty disk may help to form the first view (design 5.5).
-        """
         self.name = me
         p: dict[str, Any] = {
             "membership": roster(me=me, life=life, place=(zone, region, addr, http, bool(disk)), opt=opt),
--- a/tests/system/test_platform.py
+++ b/tests/system/test_platform.py
@@ -68,7 +68,7 @@
     s, place = settings.checked(file(tmp_path))
     assert s["name"] == "10.1.0.13" and s["listen"] == "10.1.0.13:7720" and s["data"] == ""
     assert s["seeds"] == ("10.1.0.16:7720", "10.2.0.33:7720", "10.3.0.38:7720") and s["cores"][0] == "10.1.0.16"
-    assert place.front == "10.1.0.13:8161" and place.list_at == "10.200.0.79:8169"
+    assert place.client_address == "10.1.0.13:8161" and place.endpoint_list_address == "10.200.0.79:8169"
 
 
 @pytest.mark.parametrize(
@@ -225,11 +225,11 @@
 def test_the_list_is_read_whole_or_not_at_all(tmp_path):
     _, place = settings.checked(file(tmp_path))
     rows = [entry(i) for i in range(7)] + [entry(7, phase="draining", remaining_ms=1500, cold_left_ms=20)]
-    got = anyio.run(endpoint_list.read, pages(rows, 3), place)
+    got = anyio.run(endpoint_list.read, pages(rows, 3), place.endpoint_list_address, place.zones)
     assert len(got) == 8 and got[0] == ("i-0", "10.9.0.0:80", "z2", "g2", "s", 64, False, 0, -1)
     assert got[7] == ("i-7", "10.9.0.7:80", "z2", "g2", "s", 64, True, 20, 1500)
     for at in (0, 3, 6):
-        assert anyio.run(endpoint_list.read, pages(rows, 3, broken=at), place) is None
+        assert anyio.run(endpoint_list.read, pages(rows, 3, broken=at), place.endpoint_list_address, place.zones) is None
     rng = random.Random(3)
     for _ in range(200):  # cut short or spoilt: none, never half of it
         text = bytearray(json.dumps({"replicas": rows[:3], "next_token": None}).encode())
@@ -238,7 +238,7 @@
         async def get(addr, path, text=bytes(text)):
             return 200, text
 
-        assert anyio.run(endpoint_list.read, get, place) is None
+        assert anyio.run(endpoint_list.read, get, place.endpoint_list_address, place.zones) is None
 
 
 def own_words():
