--- a/silverglade/server/daemon.py
+++ b/silverglade/server/daemon.py
@@ -10,11 +10,10 @@
 from collections import Counter
 from collections.abc import Callable, Iterator, Mapping, Sequence
 from datetime import timedelta
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import anyio
 import anyio.lowlevel
-from anyio.abc import TaskGroup
 
 from ..http.dialect import OWN
 from ..http.listener import serve
@@ -61,6 +60,9 @@
 from .supervisor import supervise
 from .tenant_requests import TenantRequests
 
+if TYPE_CHECKING:
+    from anyio.abc import TaskGroup
+
 SECOND = timedelta(seconds=1)
 
 PROCESS_ID_BYTES = 6
--- a/silverglade/server/priority_queues.py
+++ b/silverglade/server/priority_queues.py
@@ -8,16 +8,18 @@
 
 import contextlib
 from enum import StrEnum
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import anyio
-from anyio.streams.memory import MemoryObjectReceiveStream, MemoryObjectSendStream
 
 from ..runtime.components import Component
 from ..runtime.daemon_machine import MESSAGE_RECEIVERS
 from ..runtime.errors import OverloadedError
 from ..runtime.events import Event, MessageReceived, TimerFired, event_to_tuple
 
+if TYPE_CHECKING:
+    from anyio.streams.memory import MemoryObjectReceiveStream, MemoryObjectSendStream
+
 RawEvent = tuple[Any, ...]
 
 
--- a/silverglade/server/tenant_requests.py
+++ b/silverglade/server/tenant_requests.py
@@ -4,12 +4,10 @@
 
 from collections import Counter
 from collections.abc import Mapping, Sequence
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import anyio
 import httpcore
-from anyio.abc import TaskGroup
-from anyio.streams.memory import MemoryObjectReceiveStream, MemoryObjectSendStream
 
 from ..runtime import result_codes
 from ..runtime.events import ClientCaughtUp, ClientDisconnected, DispatchProgressed, TenantRequestArrived
@@ -17,6 +15,10 @@
 from .priority_queues import PriorityQueues, Queue
 from .replica_calls import DispatchRequest
 
+if TYPE_CHECKING:
+    from anyio.abc import TaskGroup
+    from anyio.streams.memory import MemoryObjectReceiveStream, MemoryObjectSendStream
+
 RESULT_QUEUE_LENGTH = 256
 """Results that wait for one client. While it is half full the replica is not read on."""
 
--- a/silverglade/transport/connections.py
+++ b/silverglade/transport/connections.py
@@ -11,17 +11,20 @@
 import socket
 import time
 from collections.abc import Awaitable, Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import anyio
-from anyio.abc import AnyByteStream, ByteStream, SocketAttribute, TaskGroup
-from anyio.streams.memory import MemoryObjectReceiveStream, MemoryObjectSendStream
+from anyio.abc import SocketAttribute
 
 from ..runtime.errors import SilvergladeError
 from ..runtime.structured_logging import format_line
 from ..server.priority_queues import queue_for
 from .framing import BULK_MESSAGES, Body, FrameSplitter, decode_frame, encode_frame
 
+if TYPE_CHECKING:
+    from anyio.abc import AnyByteStream, ByteStream, TaskGroup
+    from anyio.streams.memory import MemoryObjectReceiveStream, MemoryObjectSendStream
+
 QUEUE_LENGTH = 4096
 """Messages that wait for one connection; more are dropped."""
 
--- a/tests/golden/test_golden_answers.py
+++ b/tests/golden/test_golden_answers.py
@@ -9,7 +9,7 @@
 import anyio
 import pytest
 
-from silverglade.http import app
+from silverglade.http import asgi
 from silverglade.runtime import errors as faults
 
 EXPECTED = pathlib.Path(__file__).parent / "golden_answers.json"
@@ -23,14 +23,14 @@
     async def send(message):
         sent.append(message)
 
-    await app.refuse(send, code, **settings)
+    await asgi.send_error(send, code, **settings)
     return sent
 
 
 def refusal(code, **settings):
     """A refusal as a client reads it -> status, headers and body."""
     with pytest.MonkeyPatch.context() as monkeypatch:
-        monkeypatch.setattr(app.random, "uniform", lambda low, high: 1.2)
+        monkeypatch.setattr(asgi.random, "uniform", lambda low, high: 1.2)
         head, body = anyio.run(exchange, code, settings)
     return {
         "status": head["status"],
@@ -51,7 +51,7 @@
             "error text": str(faults.RemoteError(code)),
             "error text with a detail": str(faults.RemoteError(code, DETAIL)),
             "plain refusal": refusal(code),
-            "refusal with a wait and a detail": refusal(code, ran="maybe", wait=WAIT_MS, detail=DETAIL),
+            "refusal with a wait and a detail": refusal(code, ran="maybe", wait_ms=WAIT_MS, detail=DETAIL),
         }
     return table
 
