--- a/silverglade/control/core.py
+++ b/silverglade/control/core.py
@@ -1,27 +1,44 @@
-"""A core's control part (design 5): witness, primary or backup.
+"""The control component of a core (design 5): witness, primary or backup.
 
-Safety rests on four rules: a change is answered only when all members of the view have synced it; a member seals its
-epoch on disk before it copies its store for a new view; the register lets one proposal of an epoch win; a new primary
-opens only after its backups have synced the whole store under the new epoch.
+Safety rests on four rules: a change is answered only when all members of the view have synced it; a member seals its epoch on
+disk before it copies its store for a new view; the register lets one proposal of an epoch win; a new primary opens only after
+its backups have synced the whole store under the new epoch.
 
-This module only dispatches: an event to the transition that it causes, a write that has ended to what follows it. The
-transitions are functions of the modules beside it, each over the one typed state (state.py).
+This module only dispatches: an event to the transition that it causes, the end of a write to what follows it. The transitions
+are functions of the modules beside it, each over the one typed state (state.py).
 """
 
 from __future__ import annotations
 
 import random
-from collections.abc import Generator, Iterable, Mapping
+from collections.abc import Iterable, Mapping
 from datetime import timedelta
-from typing import Any
-
-from ..membership import member as roster
+from typing import Any, ClassVar
+
+from ..membership.records import MemberState, members_of
+from ..runtime.effects import AllowExit, Effect, to_tuple
+from ..runtime.events import (
+    AssignRoles,
+    DaemonStateChanged,
+    DiskWriteCompleted,
+    DropRoles,
+    Event,
+    MembershipChanged,
+    MessageReceived,
+    ProcessPaused,
+    RawEvent,
+    TablePositionMoved,
+    TimerFired,
+    ViewChosen,
+)
+from ..runtime.state_machine import MachineComponent
 from . import liveness, plan, replication, serving, snapshots, view_change, witness
 from .context import CoreContext
 from .messages import (
     Accept,
     Accepted,
     ChosenView,
+    CommittedItems,
     Fence,
     Heartbeat,
     Message,
@@ -33,7 +50,6 @@
     Rejected,
     Replicate,
     Replicated,
-    ShownItems,
     Snapshot,
     SnapshotSynced,
     decode,
@@ -42,70 +58,93 @@
 from .state import CoreSettings, CoreState, initial_state, may_form_first_view
 from .values import copied, copied_chance, fingerprint
 from .writes import (
+    COMMITTED_TABLE,
+    META_TABLE,
+    STORE_TABLE,
     ChangeWrittenByBackup,
     ChangeWrittenByPrimary,
+    CommittedItemsWritten,
     Continuation,
-    Effect,
     EpochSealed,
-    ShownWritten,
     TellIfSynced,
     WholeStoreWritten,
     keep,
 )
 
 STAMP_ORIGIN_BITS = 48
-"""Of the random number from which a life counts its stamps: two lives hardly ever meet."""
-
-Event = tuple[Any, ...]
-Effects = tuple[Effect, ...]
+"""Of the random number from which a process counts its stamps: two processes hardly ever meet."""
 
 
 class ControlCore(CoreContext):
-    """A core as a state machine: `step` takes an event and gives the effects. Copies (copy.deepcopy) go their own ways."""
+    """A core as a state machine without I/O. Copies (`copy.deepcopy`) share no state that changes."""
 
     __slots__ = ()
 
-    def step(self, now: timedelta, event: Event) -> Effects:
-        """One event -> its effects, which are to be carried out in their order."""
-        if self.state.next_heartbeat is None:
-            self.start(now)
-        match event:
-            case ("pulse",):
-                self.on_pulse(now)
-            case ("msg", str(sender), (str(), *_) as body):
-                message = decode(body)
-                if message is not None:
-                    self.on_message(sender, message, now)
-            case ("disk", ("control", number), ok, _):
-                self.on_write_ended(number, ok, now)
-            case ("roll", records):
-                self.on_roll(records)
-            case ("state", daemon_state):
-                self.on_daemon_state(daemon_state, now)
-            case ("froze",):
-                self.on_frozen(now)
-            case ("chosen", view):
-                view_change.on_chosen(self, view, now)
-            case ("spot", position):
-                self.state.table_position = position
-                serving.serve(self, now)
-            case ("duties" | "drop", *_):
-                replication.on_duties(self, event, now)
+    handled_events: ClassVar[tuple[type[Event], ...]] = (
+        TimerFired,
+        MessageReceived,
+        DiskWriteCompleted,
+        MembershipChanged,
+        DaemonStateChanged,
+        ProcessPaused,
+        ViewChosen,
+        TablePositionMoved,
+        AssignRoles,
+        DropRoles,
+    )
+
+    def step(self, now: timedelta, event: Event) -> list[Effect]:
+        """Handle one event; return its effects in the order in which they are to be carried out."""
+        self.start_once(now)
+        self.handle(event, now)
         replication.begin_next(self, now)
-        effects = tuple(self.effects)
-        self.effects.clear()
+        return self.taken_effects()
+
+    def taken_effects(self) -> list[Effect]:
+        """Return the effects of the step under way, and have none."""
+        effects, self.effects = self.effects, []
         return effects
 
-    def start(self, now: timedelta) -> None:
-        """The first event of this life. After a blackout nobody else says who is primary."""
+    def handle(self, event: Event, now: timedelta) -> None:
+        """Dispatch an event by its class."""
+        match event:
+            case TimerFired():
+                self.on_timer(now)
+            case MessageReceived():
+                message = decode(event.body)
+                if message is not None:
+                    self.on_message(event.sender, message, now)
+            case DiskWriteCompleted():
+                _, number = event.token
+                self.on_write_ended(number, event.succeeded, now)
+            case MembershipChanged():
+                self.on_membership_changed(event)
+            case DaemonStateChanged():
+                self.on_daemon_state_changed(event, now)
+            case ProcessPaused():
+                self.on_process_paused(now)
+            case ViewChosen():
+                view_change.on_chosen(self, event.view, now)
+            case TablePositionMoved():
+                self.state.table_position = event.position
+                serving.answer_held(self, now)
+            case AssignRoles():
+                replication.on_assign_roles(self, event, now)
+            case DropRoles():
+                replication.on_drop_roles(self, event, now)
+
+    def start_once(self, now: timedelta) -> None:
+        """Begin, at the first event of this process. After a blackout nobody else says who is primary."""
         state, settings = self.state, self.settings
+        if state.next_heartbeat is not None:
+            return
         state.next_heartbeat = state.awake_since = state.listening_since = now
         if settings.may_form and state.view is None and not settings.formed_before:
             self.write(keep(first=True), None, now)
-        self.tell_view()
+        self.publish_view()
 
-    def on_pulse(self, now: timedelta) -> None:
-        """Time has passed."""
+    def on_timer(self, now: timedelta) -> None:
+        """Do what is due by now."""
         state = self.state
         self.effects.extend(state.writes.check(now))
         if state.next_heartbeat is None or now >= state.next_heartbeat:
@@ -115,13 +154,13 @@
             view_change.look_for_better_view(self, now)
         view_change.start_or_stop_seeking(self, now)
         self.release_if_free()
-        serving.serve(self, now)
+        serving.answer_held(self, now)
         view_change.seek(self, now)
 
     def lead(self, now: timedelta) -> None:
-        """What a primary sends again from time to time."""
+        """Send again, from time to time, what a primary waits for the backups to confirm."""
         view = self.led_view()
-        if view is None or not self.state.writes.fit or self.state.sealed >= view.epoch:
+        if view is None or not self.state.writes.is_able or self.state.sealed >= view.epoch:
             return
         if self.state.open_epoch != view.epoch:
             snapshots.send_opening(self, view, now)
@@ -129,21 +168,24 @@
             replication.replicate_again(self, view, now)
 
     def release_if_free(self) -> None:
-        """A core that leaves says once that it may end. Not while it is a recruit: the view that names it may be chosen by now;
-        nor while it has met nobody in this life: who has said that they leave too is not known then."""
+        """Allow the exit of a core that leaves, once, when nothing rests on it.
+
+        Not while it is a recruit, since the view that names it may be chosen by now; nor while this process has met no other core,
+        since it does not know then which of them leave too.
+        """
         state = self.state
         if state.writes.leaving and not state.released and state.recruited <= self.epoch and state.met | state.leaving:
             staying = state.met - state.leaving
             state.released = plan.may_end(
-                me=self.me, view=state.view, staying=staying, places=state.places, tolerance=self.settings.tolerance
+                me=self.name, view=state.view, staying=staying, places=state.places, tolerance=self.settings.tolerance
             )
             if state.released:
-                self.effects.append(("released",))
+                self.effects.append(AllowExit())
 
     def on_message(self, sender: str, message: Message, now: timedelta) -> None:
-        """A message of another daemon, or of this one."""
+        """Dispatch a message, of another daemon or of this one, by its class."""
         match message:
-            case Heartbeat() if sender != self.me:
+            case Heartbeat() if sender != self.name:
                 liveness.on_heartbeat(self, sender, message, now)
             case NewsRequest():
                 serving.on_news_request(self, sender, message, now)
@@ -155,11 +197,11 @@
                 replication.on_replicate(self, sender, message, now)
             case Replicated():
                 replication.on_replicated(self, sender, message, now)
-            case ShownItems():
-                serving.on_shown_items(self, message, now)
+            case CommittedItems():
+                serving.on_committed_items(self, message, now)
             case Pull():
                 serving.on_pull(self, sender, message)
-            case Snapshot() if sender != self.me:
+            case Snapshot() if sender != self.name:
                 snapshots.on_snapshot(self, sender, message, now)
             case SnapshotSynced():
                 snapshots.on_snapshot_synced(self, sender, message, now)
@@ -173,7 +215,7 @@
                 view_change.on_answer(self, sender, message, now)
 
     def on_write_ended(self, number: int, ok: bool, now: timedelta) -> None:
-        """A write has ended: what waited for it follows; a primary may open."""
+        """Go on with what waited for a write; a primary may open its view."""
         continuation, effects = self.state.writes.ended(number, ok)
         self.effects.extend(effects)
         if continuation is not None:
@@ -181,7 +223,7 @@
         snapshots.open_if_synced(self, now)
 
     def follow(self, continuation: Continuation, ok: bool, now: timedelta) -> None:
-        """What follows a write."""
+        """Carry out what follows a write."""
         match continuation:
             case TellIfSynced():
                 if ok:
@@ -194,61 +236,62 @@
                 replication.on_written_by_backup(self, continuation, ok)
             case EpochSealed():
                 view_change.on_sealed(self, continuation, ok)
-            case ShownWritten():
-                serving.on_shown_written(self, continuation, ok, now)
-
-    def on_roll(self, records: Iterable[tuple[Any, ...]]) -> None:
-        """The live daemons, as the roster has them."""
-        cores = [record for record in records if record[roster.CORE]]
-        self.state.met = {record[roster.ID] for record in cores} - {self.me}
-        self.state.leaving -= self.state.met
-        self.state.leaving |= {record[roster.ID] for record in cores if record[roster.STATE] == "leaving"} - {self.me}
-        self.state.places.update({record[roster.ID]: (record[roster.ZONE], record[roster.REGION]) for record in cores})
-
-    def on_daemon_state(self, daemon_state: str, now: timedelta) -> None:
-        """This daemon is ready, or leaves: the others are told at once, so that its places are taken."""
-        self.state.writes.leaving = daemon_state != "ready"
+            case CommittedItemsWritten():
+                serving.on_committed_items_written(self, continuation, ok, now)
+
+    def on_membership_changed(self, event: MembershipChanged) -> None:
+        """Learn which cores live, which of them leave, and where they are."""
+        state = self.state
+        cores = [member for member in members_of(event.members) if member.is_core]
+        state.met = {member.name for member in cores} - {self.name}
+        state.leaving -= state.met
+        state.leaving |= {member.name for member in cores if member.state == MemberState.LEAVING} - {self.name}
+        state.places.update({member.name: (member.zone, member.region) for member in cores})
+
+    def on_daemon_state_changed(self, event: DaemonStateChanged, now: timedelta) -> None:
+        """Tell the other cores at once that this daemon is ready or leaves, so that its places are taken."""
+        self.state.writes.leaving = event.state != MemberState.READY
         self.state.next_heartbeat = now
         for name in self.others():
             liveness.send_heartbeat(self, name, now)
 
-    def on_frozen(self, now: timedelta) -> None:
-        """This daemon was frozen: what it heard before says nothing of now."""
+    def on_process_paused(self, now: timedelta) -> None:
+        """Forget what was heard before this daemon stood still: it says nothing of now."""
         self.state.proven_at, self.state.seeking_since = None, None
         self.state.awake_since = self.state.listening_since = now
         self.state.peers.clear()
         self.state.proofs.clear()
 
     def fingerprint(self, *, with_chance: bool = True) -> bytes:
-        """Sixteen bytes that are the same for equal states of the same core, in any process.
+        """Return sixteen bytes that are the same for equal states of the same core, in any process.
 
-        with_chance: the state of the random numbers counts too; without, states that differ in nothing else are equal.
+        :param with_chance: whether the state of the random numbers counts too.
         """
         chance = self.rng.getstate() if with_chance else None
         return fingerprint(self.settings.name, self.settings.disk, self.state, chance)
 
     def __deepcopy__(self, memo: dict[int, Any]) -> ControlCore:
-        """A copy that shares what never changes: the settings, and the values of the store."""
+        """Return a copy that shares what never changes: the settings, and the values of the store."""
         return ControlCore(self.settings, copied(self.state), copied_chance(self.rng), list(self.effects))
 
 
-class ControlPart(Generator[Effects, "tuple[timedelta, Event] | None", None]):
-    """The machine as a part of a daemon (part.py): primed with None, then sent (now, event). machine: open to be looked at."""
+class ControlPart(MachineComponent):
+    """A control core in the form that the daemon machine drives."""
 
-    def __init__(self, machine: ControlCore) -> None:
-        self.machine = machine
+    machine: ControlCore
 
-    def send(self, value: tuple[timedelta, Event] | None, /) -> Effects:
-        """An event -> its effects."""
-        return self.machine.step(*value) if value is not None else ()
-
-    def throw(self, typ: Any, val: Any = None, tb: Any = None, /) -> Effects:
-        """Nothing is caught here."""
-        raise typ if val is None else val
+    def send(self, value: tuple[timedelta, RawEvent] | None, /) -> tuple[Any, ...]:
+        """Handle one event; the first of any kind starts the core, also one that it does not handle."""
+        if value is None:
+            return ()
+        now, _ = value
+        self.machine.start_once(now)
+        started = [to_tuple(effect) for effect in self.machine.taken_effects()]
+        return (*started, *super().send(value)) if started else super().send(value)
 
     @property
     def state(self) -> CoreState:
-        """The whole state, for figures, fault injection and tests: to be read alone."""
+        """The whole state, for figures, fault injection and tests; read only."""
         return self.machine.state
 
 
@@ -264,11 +307,18 @@
     tolerance: Tolerance = (1, 1, 1),
     first: bool = True,
 ) -> ControlPart:
-    """The control part of a core; see part.py. saved: tables "meta", "book" and "shown" as last synced.
-
-    cores: those that form the first view; others are met by the roll and by their heartbeats.
+    """Return the control component of a core.
+
+    :param me: the core's name.
+    :param disk: the random id of its disk.
+    :param cores: those that form the first view; others are met through membership and their heartbeats.
+    :param saved: the tables on disk as last synced.
+    :param opt: time settings and limits, shared by all components.
+    :param place: the core's zone and region.
+    :param tolerance: how many machines, zones and regions may be lost at once.
+    :param first: whether this core was started to form the first view (design 5.5).
     """
-    meta, named = saved.get("meta", {}), tuple(cores)
+    meta, named = saved.get(META_TABLE, {}), tuple(cores)
     formed_before = meta.get("first", False)
     settings = CoreSettings(
         name=me,
@@ -282,8 +332,8 @@
     state = initial_state(
         settings=settings,
         meta=meta,
-        store=saved.get("book", {}),
-        shown=saved.get("shown", {}),
+        store=saved.get(STORE_TABLE, {}),
+        shown=saved.get(COMMITTED_TABLE, {}),
         place=place,
         stamp_origin=rng.getrandbits(STAMP_ORIGIN_BITS),
     )
--- /dev/null
+++ b/silverglade/control/decisions.py
@@ -0,0 +1,256 @@
+"""What the primary makes of an operation on the store as it stands (design 5.3, 5.4).
+
+`decide` judges one operation alone; `settle` also knows operations that come again by their change id, and notes outcomes. Both
+are pure: they return the items to write, and change nothing.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+from ..configuration import schema
+from ..runtime import result_codes
+from ..runtime.errors import SilvergladeError
+from ..transport import framing
+from . import outcomes
+from .judgements import AheadOfBase, Decision, Read, Take, Values
+from .operation_results import Acknowledged, Refused, Result, SourceRead, Stale
+from .operations import (
+    AssignRole,
+    AssignRoles,
+    ConfigurationChange,
+    ControlOperation,
+    DropRoles,
+    Evacuate,
+    FencedOperation,
+    ReadSource,
+    ReopenShard,
+    TableChange,
+)
+from .replicated_state import (
+    CONFIGURATION_KEY,
+    INITIAL_VERSION,
+    SHARD_ROLE,
+    SOURCE_KEY,
+    Items,
+    RoleAssignment,
+    StoreView,
+    Version,
+    configuration_number,
+    epoch_floor,
+    epoch_floor_key,
+    evacuation_key,
+    fencing_token_of,
+    role_assignment,
+    role_key,
+    value_of,
+    version_of,
+)
+
+MAX_FAULTS_TEXT = 2000
+"""Characters of the faults of a configuration that its sender is told."""
+
+
+def settle(
+    store: StoreView,
+    *,
+    change_id: str,
+    operation: ControlOperation,
+    digest: str,
+    version: Version,
+    previous: Version,
+    aged: Version = INITIAL_VERSION,
+) -> tuple[Result, Items]:
+    """Judge an operation, or find the outcome of one whose change id was settled before.
+
+    :param change_id: the operator's own name of the change; "" for none.
+    :param digest: of the operation's text: one change id stands for one text.
+    :param version: the one that the change will carry if it is taken.
+    :param previous: the version of the store now.
+    :param aged: the newest version whose outcomes were kept long enough.
+    :returns: what the client is told, and the items that the store gets.
+    """
+    known = outcomes.find(store, change_id)
+    if known is not None:
+        return known_result(store, operation, change_id, digest, known), ()
+    decision = decide(store, operation, version)
+    match decision:
+        case Read(source):
+            return SourceRead(previous, source), ()
+        case Take(values):
+            items = tuple((key, version, value) for key, value in values)
+            if change_id:
+                number = operation.number if isinstance(operation, TableChange) else 0
+                items += (outcomes.item(change=change_id, key=digest, at=version, number=number),)
+                items += outcomes.moved(store, at=version, aged=aged)
+            return Acknowledged(version), items
+        case AheadOfBase():
+            return ahead_of_base(store, operation), refusal_items(store, change_id, digest, version, aged)
+        case Refused() | Stale():
+            return decision, ()
+
+
+def known_result(store: StoreView, operation: ControlOperation, change_id: str, digest: str, known: tuple[str, Version]) -> Result:
+    """Return the result of an operation whose change id has the outcome `known`: the digest and version of what was settled."""
+    known_digest, known_version = known
+    if known_digest != digest:
+        return Refused(result_codes.CHANGE_USED, change_id)
+    return Acknowledged(known_version) if known_version != INITIAL_VERSION else ahead_of_base(store, operation)
+
+
+def refusal_items(store: StoreView, change_id: str, digest: str, version: Version, aged: Version) -> Items:
+    """Return the note that a change was refused for good: a late copy of it must not be taken once its base has come."""
+    if not change_id:
+        return ()
+    note = outcomes.item(change=change_id, key=digest, at=version, number=0, taken=False)
+    return (note, *outcomes.moved(store, at=version, aged=aged))
+
+
+def ahead_of_base(store: StoreView, operation: ControlOperation) -> Refused:
+    """Refuse an operation on a base that is still to come, and name the one in force."""
+    if isinstance(operation, TableChange):
+        return not_in_force(configuration_number(store))
+    epoch, number = version_of(store, CONFIGURATION_KEY)
+    return not_in_force(f"{epoch}.{number}")
+
+
+def not_in_force(in_force: int | str) -> Refused:
+    """Refuse an operation whose base is not the one in force."""
+    return Refused(result_codes.CONFLICT, f"in force is {in_force}")
+
+
+def decide(store: StoreView, operation: ControlOperation, version: Version) -> Decision:
+    """Judge one operation. The primary alone calls this.
+
+    :param version: the one that the change will carry if it is taken.
+    """
+    match operation:
+        case ConfigurationChange():
+            return decide_configuration(store, operation, version)
+        case TableChange():
+            return decide_table(store, operation, version)
+        case ReadSource():
+            return Read(value_of(store, SOURCE_KEY, ""))
+        case Evacuate():
+            return decide_evacuation(store, operation)
+        case AssignRole():
+            return decide_assignment(store, operation)
+        case AssignRoles():
+            return decide_assignments(store, operation)
+        case DropRoles():
+            return decide_drop(store, operation)
+        case ReopenShard():
+            return decide_reopening(store, operation)
+    return Refused(result_codes.BAD_CALL, "unknown change")
+
+
+def decide_configuration(store: StoreView, operation: ConfigurationChange, version: Version) -> Decision:
+    """Judge a configuration that names the version which it replaces."""
+    held = version_of(store, CONFIGURATION_KEY)
+    if operation.base != held:
+        horizon, _ = outcomes.horizon(store)
+        return other_base(operation.base, held, horizon) or not_in_force(f"{held[0]}.{held[1]}")
+    configuration, faults = schema.parse_configuration(operation.raw)
+    if faults:
+        return bad_configuration(faults)
+    return take_if_store_fits(store, version, ((CONFIGURATION_KEY, configuration),))
+
+
+def decide_table(store: StoreView, operation: TableChange, version: Version) -> Decision:
+    """Judge a configuration that is told apart by the operator's own numbers (design 15.2)."""
+    held = configuration_number(store)
+    if operation.base != held:
+        _, horizon = outcomes.horizon(store)
+        return other_base(operation.base, held, horizon) or not_in_force(held)
+    configuration, faults = schema.parse_configuration(operation.raw)
+    if not faults and not operation.number == configuration["number"] > held:
+        faults = (("number", f"wants to be above {held}"),)
+    if faults:
+        return bad_configuration(faults)
+    return take_if_store_fits(store, version, ((CONFIGURATION_KEY, configuration), (SOURCE_KEY, operation.source)))
+
+
+def other_base(base: Any, held: Any, horizon: Any) -> Stale | AheadOfBase | None:
+    """Judge a change on another base than the one held; None where it is surely refused.
+
+    :param horizon: a change on a base below it may have been taken, with its outcome forgotten.
+    """
+    if base < horizon:
+        return Stale()
+    return AheadOfBase() if base > held else None
+
+
+def bad_configuration(faults: Any) -> Refused:
+    """Refuse a configuration, with the path and the sentence of each fault."""
+    text = "; ".join(f"{path}: {sentence}" for path, sentence in faults)
+    return Refused(result_codes.BAD_CONFIG, text[:MAX_FAULTS_TEXT])
+
+
+def take_if_store_fits(store: StoreView, version: Version, values: Values) -> Decision:
+    """Take a configuration only if the store with it fits a frame: it travels whole between members, and to daemons."""
+    rows = {**store, **{key: (version, value) for key, value in values}}
+    try:
+        fits = framing.fits_in_frame(tuple((key, item_version, value) for key, (item_version, value) in rows.items()))
+    except SilvergladeError as error:
+        return Refused(result_codes.BAD_CONFIG, error.detail)
+    return Take(values) if fits else Refused(result_codes.CHANGE_TOO_LARGE, "")
+
+
+def fencing_token(store: StoreView, operation: FencedOperation) -> Version:
+    """Return the version on which an operation without a base of its own rests (design 5.4).
+
+    Every change of what the operation concerns makes a new one, above all before it; so does one of the configuration for an
+    evacuation, since the configuration decides whether the zone is known.
+    """
+    if isinstance(operation, Evacuate):
+        return fencing_token_of(store, (evacuation_key(operation.zone), CONFIGURATION_KEY))
+    return fencing_token_of(store, (role_key(SHARD_ROLE, operation.name),))
+
+
+def decide_evacuation(store: StoreView, operation: Evacuate) -> Decision:
+    """Judge an evacuation. What is so already may be said again: it makes a new version, and so fences others out."""
+    configuration = value_of(store, CONFIGURATION_KEY)
+    if not configuration or operation.zone not in configuration["zones"]:
+        return Refused(result_codes.UNKNOWN_ZONE, operation.zone)
+    key = evacuation_key(operation.zone)
+    says_what_is_so = operation.base is not None and value_of(store, key, False) == operation.drained
+    if operation.base != fencing_token(store, operation) and not says_what_is_so:
+        return Stale()
+    return Take(((key, operation.drained),))
+
+
+def decide_assignment(store: StoreView, operation: AssignRole) -> Decision:
+    """Judge the naming of a role's holder, which rests on the role's epoch."""
+    held = role_assignment(store, operation.kind, operation.name)
+    if (held.epoch if held else 0) != operation.base_epoch:
+        return Refused(result_codes.CONFLICT, operation.name)
+    floor = 0 if held else epoch_floor(store, operation.kind)
+    assignment = RoleAssignment(max(operation.base_epoch, floor) + 1, operation.holder, operation.follower)
+    return Take(((role_key(operation.kind, operation.name), tuple(assignment)),))
+
+
+def decide_assignments(store: StoreView, operation: AssignRoles) -> Decision:
+    """Take those of several assignments whose base stands."""
+    decisions = [decide_assignment(store, assignment) for assignment in operation.assignments]
+    return Take(tuple(value for decision in decisions if isinstance(decision, Take) for value in decision.values))
+
+
+def decide_drop(store: StoreView, operation: DropRoles) -> Decision:
+    """Drop the roles that there are, and raise the floor of their kind to the highest epoch among them."""
+    held = {name: role_assignment(store, operation.kind, name) for name in operation.names}
+    epochs = {name: assignment.epoch for name, assignment in held.items() if assignment}
+    if not epochs:
+        return Take(())
+    floor = max(epoch_floor(store, operation.kind), *epochs.values())
+    dropped = tuple((role_key(operation.kind, name), None) for name in sorted(epochs))
+    return Take(((epoch_floor_key(operation.kind), floor), *dropped))
+
+
+def decide_reopening(store: StoreView, operation: ReopenShard) -> Decision:
+    """Judge the reopening of a shard without its follower: an operator accepts that claims are lost (design 6.4)."""
+    held = role_assignment(store, SHARD_ROLE, operation.name)
+    if operation.base != fencing_token(store, operation):
+        return Stale()
+    if held is None:
+        return Refused(result_codes.NOT_FOUND, operation.name)
+    return Take(((role_key(SHARD_ROLE, operation.name), tuple(RoleAssignment(held.epoch + 1, held.holder, ""))),))
--- a/silverglade/control/heartbeat.py
+++ b/silverglade/control/heartbeat.py
@@ -24,7 +24,7 @@
     """
 
     heard_at: timedelta
-    fit: bool
+    able: bool
     disk: str
     sealed: int
     blank: bool
@@ -49,7 +49,7 @@
         was = self.table.get(name)
         peer = Peer(
             heard_at=now,
-            fit=beat.fit,
+            able=beat.able,
             disk=beat.disk,
             sealed=beat.sealed,
             blank=beat.blank,
@@ -62,7 +62,7 @@
     def is_steady(self, peer: Peer, now: timedelta) -> bool:
         """Heard of late, hearing us, and with a disk that takes writes."""
         takeover, heartbeat = self.tuning["takeover"], self.tuning["heartbeat"]
-        return bool(peer.fit and now - peer.heard_at <= takeover and peer.echoed is not None and now - peer.echoed <= takeover + heartbeat)
+        return bool(peer.able and now - peer.heard_at <= takeover and peer.echoed is not None and now - peer.echoed <= takeover + heartbeat)
 
     def get(self, name: str) -> Peer | None:
         """What that core said last; None if nothing."""
--- /dev/null
+++ b/silverglade/control/judgements.py
@@ -0,0 +1,33 @@
+"""What `decisions.decide` makes of one operation; a refusal or a stale operation is a result of its own (operation_results.py)."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+from .operation_results import Refused, Stale
+
+Values = tuple[tuple[str, Any], ...]
+"""Keys and the values that they get."""
+
+
+@dataclass(frozen=True, slots=True)
+class Take:
+    """The operation is taken: the store gets these values."""
+
+    values: Values
+
+
+@dataclass(frozen=True, slots=True)
+class Read:
+    """The operation reads: its client is told this text, once the backups have confirmed the view."""
+
+    source: Any
+
+
+@dataclass(frozen=True, slots=True)
+class AheadOfBase:
+    """The operation rests on a base that is still to come, so it is refused."""
+
+
+Decision = Take | Read | AheadOfBase | Refused | Stale
--- a/silverglade/control/liveness.py
+++ b/silverglade/control/liveness.py
@@ -5,10 +5,10 @@
 from datetime import timedelta
 
 from ..runtime.effects import ZERO, milliseconds, to_milliseconds
-from . import replicated_state as bk
 from . import serving, view_change
 from .context import CoreContext
 from .messages import ChosenView, Heartbeat, Pull
+from .replicated_state import INITIAL_VERSION
 from .view import View
 
 
@@ -20,8 +20,8 @@
         to,
         Heartbeat(
             epoch=core.epoch,
-            shown=state.shown_version,
-            fit=state.writes.fit,
+            committed=state.committed_version,
+            able=state.writes.is_able,
             disk=core.settings.disk,
             sealed=state.sealed,
             blank=state.view is None and state.register.view is None and core.settings.may_form,
@@ -46,7 +46,7 @@
     state, view = core.state, core.state.view
     if view is None or state.seeker is not None:
         return True
-    return core.me == view.primary or name == view.primary or not state.peers.is_up(view.primary, now)
+    return core.name == view.primary or name == view.primary or not state.peers.is_up(view.primary, now)
 
 
 def send_due_heartbeats(core: CoreContext, now: timedelta) -> None:
@@ -79,8 +79,8 @@
     opened = core.open_view()
     if opened is not None and sender in opened.backups and beat.sealed < beat.epoch:
         note_proof(core, opened, sender, beat, now)
-    if beat.shown > state.shown_version:  # what any core of this view shows was acknowledged
-        pull_shown_items(core, sender, now)
+    if beat.committed > state.committed_version:  # what any core of this view shows was acknowledged
+        pull_committed_items(core, sender, now)
     elif beat.age >= 0:
         age = 0 if is_proof_itself(core, state.view, sender, beat) else beat.age
         state.proven_at = max(state.proven_at or ZERO, milliseconds(beat.echo - age))
@@ -107,12 +107,12 @@
                 send_heartbeat(core, name, now)
 
 
-def pull_shown_items(core: CoreContext, sender: str, now: timedelta) -> None:
+def pull_committed_items(core: CoreContext, sender: str, now: timedelta) -> None:
     """Ask for what the sender shows and this core does not; at first it may be on its way."""
     state, interval = core.state, core.settings.tuning["heartbeat"]
     late = state.pulled_at is not None and now - state.pulled_at >= interval / 2
-    if state.shown_version == bk.INITIAL_VERSION or late:
-        core.send(sender, Pull(state.shown_version))
+    if state.committed_version == INITIAL_VERSION or late:
+        core.send(sender, Pull(state.committed_version))
         state.pulled_at = None
     state.pulled_at = state.pulled_at or now
 
@@ -120,4 +120,4 @@
 def is_proof_itself(core: CoreContext, view: View, sender: str, beat: Heartbeat) -> bool:
     """An only backup that has not sealed is itself the proof that its primary still led when it spoke."""
     unsealed = max(beat.sealed, core.state.sealed) < beat.epoch
-    return sender == view.primary and view.backups == (core.me,) and core.backed_view() is not None and unsealed
+    return sender == view.primary and view.backups == (core.name,) and core.backed_view() is not None and unsealed
--- a/silverglade/control/messages.py
+++ b/silverglade/control/messages.py
@@ -10,29 +10,17 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from . import replicated_state as bk
+from .replicated_state import Items, Version, is_item_list, is_version
 from .view import Ballot, View, ballot_of, is_ballot, is_view, is_view_or_none, plain, view_of
 
-Version = tuple[int, int]
-"""Of an item or of a whole store: (epoch, number)."""
-
-Item = tuple[str, Version, Any]
-"""A key, the version of the change that set it, its value."""
-
-Items = tuple[Item, ...]
-
-Result = tuple[Any, ...]
-"""What a client is told: ("ok", version[, value]), ("refuse", code, detail), ("elsewhere", primary), ("unknown",), or
-("stale",): it can't be judged on its base, and this copy of it changed nothing."""
-
 
 class Heartbeat(NamedTuple):
     """What a core says of itself; `stamp` is its clock, `echo` the newest stamp it has seen of ours, `age` that of its proof
     that the primary is still primary (all in ms; -1: none)."""
 
     epoch: int
-    shown: Version
-    fit: bool
+    committed: Version
+    able: bool
     disk: str
     sealed: int
     blank: bool
@@ -120,7 +108,7 @@
     nonce: int
 
 
-class ShownItems(NamedTuple):
+class CommittedItems(NamedTuple):
     """What was acknowledged after `previous`, up to `version`; a backup holds the items already when none come."""
 
     epoch: int
@@ -167,10 +155,10 @@
 
 
 class OperationResult(NamedTuple):
-    """The answer to a client's operation."""
+    """The answer to a client's operation; `result` is the array of one of operation_results.py."""
 
     number: int
-    result: Result
+    result: tuple[Any, ...]
 
 
 Message = (
@@ -185,7 +173,7 @@
     | SnapshotSynced
     | Replicate
     | Replicated
-    | ShownItems
+    | CommittedItems
     | Pull
     | NewsRequest
     | Operation
@@ -204,7 +192,7 @@
 
 
 INT, TEXT, FLAG, ARRAY = _is(int), _is(str), _is(bool), _is(tuple)
-VERSION, ITEMS = bk.is_version, bk.is_item_list
+VERSION, ITEMS = is_version, is_item_list
 
 Fields = tuple[Callable[[Any], bool], ...]
 
@@ -220,7 +208,7 @@
     "snapok": (SnapshotSynced, (INT, INT, TEXT)),
     "repl": (Replicate, (INT, INT, VERSION, VERSION, ITEMS)),
     "repd": (Replicated, (INT, INT)),
-    "items": (ShownItems, (INT, VERSION, VERSION, ITEMS)),
+    "items": (CommittedItems, (INT, VERSION, VERSION, ITEMS)),
     "pull": (Pull, (VERSION,)),
     "get": (NewsRequest, (INT, VERSION, _anything)),
     "op": (Operation, (INT, TEXT, ARRAY, TEXT)),
--- /dev/null
+++ b/silverglade/control/operation_results.py
@@ -0,0 +1,97 @@
+"""What a client is told of its operation, one class a kind (design 5.4).
+
+A result travels within an `OperationResult` message as an array of its tag and its fields.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+from .operations import Version
+
+
+@dataclass(frozen=True, slots=True)
+class Acknowledged:
+    """The change is synced by all members; the store has this version."""
+
+    version: Version
+
+    def encode(self) -> tuple[Any, ...]:
+        """Return the array that travels."""
+        return ("ok", self.version)
+
+
+@dataclass(frozen=True, slots=True)
+class SourceRead:
+    """The text of the configuration in force, in a store of this version."""
+
+    version: Version
+    source: Any
+
+    def encode(self) -> tuple[Any, ...]:
+        """Return the array that travels."""
+        return ("ok", self.version, self.source)
+
+
+@dataclass(frozen=True, slots=True)
+class Refused:
+    """The operation was not taken and will not be.
+
+    :ivar code: one of runtime/result_codes.py.
+    """
+
+    code: int
+    detail: str
+
+    def encode(self) -> tuple[Any, ...]:
+        """Return the array that travels."""
+        return ("refuse", self.code, self.detail)
+
+
+@dataclass(frozen=True, slots=True)
+class Redirected:
+    """This core is not the primary; as far as it knows `primary` is ("" where it knows none)."""
+
+    primary: str
+
+    def encode(self) -> tuple[Any, ...]:
+        """Return the array that travels."""
+        return ("elsewhere", self.primary)
+
+
+@dataclass(frozen=True, slots=True)
+class OutcomeUnknown:
+    """The operation may have been taken, or may be under a later view."""
+
+    def encode(self) -> tuple[Any, ...]:
+        """Return the array that travels."""
+        return ("unknown",)
+
+
+@dataclass(frozen=True, slots=True)
+class Stale:
+    """The operation can't be judged on its base; this copy of it changed nothing."""
+
+    def encode(self) -> tuple[Any, ...]:
+        """Return the array that travels."""
+        return ("stale",)
+
+
+Result = Acknowledged | SourceRead | Refused | Redirected | OutcomeUnknown | Stale
+
+
+def decode_result(raw: tuple[Any, ...]) -> Result:
+    """Return the typed result of an array; one of no known shape says nothing, so it is `OutcomeUnknown`."""
+    match raw:
+        case ("ok", version):
+            return Acknowledged(version)
+        case ("ok", version, source):
+            return SourceRead(version, source)
+        case ("refuse", code, detail):
+            return Refused(code, detail)
+        case ("elsewhere", primary):
+            return Redirected(primary)
+        case ("stale",):
+            return Stale()
+    return OutcomeUnknown()
--- a/silverglade/control/plan.py
+++ b/silverglade/control/plan.py
@@ -5,23 +5,23 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from datetime import timedelta
 
-from . import register as rg
-from . import spread
+from . import register, spread
 from .heartbeat import Peers
 from .spread import Places, Tolerance
-from .view import View
+from .view import View, members
+from .view import disks as disks_of
 
 
 def why(
-    *, me: str, disk: str, view: View | None, peers: Peers, sealed: int, fit: bool, torn: bool, fair: bool, now: timedelta
+    *, me: str, disk: str, view: View | None, peers: Peers, sealed: int, able: bool, torn: bool, fair: bool, now: timedelta
 ) -> str | None:
     """What is wrong with the view, as one of its members sees it; None if nothing is.
 
     fair: have the others had the time to be heard?
     """
-    if view is None or me not in rg.members(view) or not fit:
+    if view is None or me not in members(view) or not able:
         return None
-    disks = rg.disks(view)
+    disks = disks_of(view)
     if disks.get(me) != disk:
         return None
     for name in view.backups if me == view.primary else (view.primary,):  # backups watch the primary alone
@@ -59,14 +59,14 @@
 
     names: the witnesses wanted; by default those there are, each with the disk that it has now.
     """
-    was = rg.disks(view)
+    was = disks_of(view)
     disks = {name: here[name] if name in here else was[name] for name in names or was}
     backups = spread.backups(
         me=me,
         names=[name for name in here if name in disks],
         places=places,
         tolerance=tolerance,
-        was=[name for name in rg.members(view) if here.get(name) == was.get(name)],
+        was=[name for name in members(view) if here.get(name) == was.get(name)],
     )
     if backups is None or len(backups) < min(spread.count(tolerance), len(disks) // 2):
         return None
@@ -90,7 +90,7 @@
     listening_since: from when on a core would have been heard. leaving: the cores that said that they leave: nobody waits
     for them. forget: one silent for so long goes also where no live core takes its place.
     """
-    was = rg.disks(view)
+    was = disks_of(view)
     away = [name for name in was if name not in here]
     if any(name not in leaving and not peers.is_lost(name, now, listening_since(name)) for name in away):
         return None
@@ -102,8 +102,8 @@
     *, me: str, view: View, here: Mapping[str, str], places: Places, tolerance: Tolerance, wanted: tuple[str, ...] | None
 ) -> View | None:
     """What the primary of a view that works would rather have; None where it is content. wanted: the witnesses."""
-    was = rg.disks(view)
-    if wanted is None or sum(here.get(name) == held for name, held in was.items()) < rg.majority(len(was)):
+    was = disks_of(view)
+    if wanted is None or sum(here.get(name) == held for name, held in was.items()) < register.majority(len(was)):
         return None
     new = after(me=me, view=view, here=here, places=places, tolerance=tolerance, names=wanted)
     if new is None:
@@ -123,7 +123,7 @@
     """
     if view is None or not staying:
         return True
-    if me in rg.members(view):
+    if me in members(view):
         return False
-    was = tuple(rg.disks(view))
+    was = tuple(disks_of(view))
     return me not in was or me in spread.witnesses(was=was, live=staying, gone=(), leaving=(me,), places=places, tolerance=tolerance)
--- a/silverglade/control/replicated_state.py
+++ b/silverglade/control/replicated_state.py
@@ -1,153 +1,148 @@
-"""The book (design 5.3): what control holds, key to (version, value).
+"""The store: what control holds, key to (version, value) (design 5.3).
 
-Keys: "config"; "evac/ZONE"; "duty/KIND/NAME"; "floor/KIND"; "change/ID" and "forgotten" (outcomes.py); "source", the text
-in which an operator sent the configuration. The last three are not delivered as news.
-A duty that nobody needs any more has the value None for a while (so that daemons drop it); its
-epoch is kept in the kind's floor, above which every new duty begins (5.6).
-A version is (epoch, number); (0, 0) is before everything.
+Keys are "config"; "source", the text in which an operator sent the configuration; "evac/ZONE"; "duty/KIND/NAME" and
+"floor/KIND" for singleton roles; "change/ID" and "forgotten" for outcomes of changes (outcomes.py). Daemons are not told of
+"source" and of outcomes.
+
+A role that nobody needs any more has the value None for a while, so that daemons drop it; its epoch is kept in the floor of its
+kind, above which every new role begins (design 5.6). A version is (epoch, number); `INITIAL_VERSION` is before every other.
 """
 
-from ..configuration import schema as config
-from ..runtime.errors import SilvergladeError
-from ..transport import framing as wire
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from typing import Any, NamedTuple
+
 from . import outcomes
 
-INITIAL_VERSION = outcomes.START
-MAX_DROPPED_ROLES = 256  # dropped duties kept
-STALE = ("stale",)  # an answer: it can't be judged on that base; nothing was changed by this copy of it
+Version = tuple[int, int]
+"""(epoch, number) of a change, or of a whole store."""
+
+StoreView = Mapping[str, tuple[Version, Any]]
+"""The store, to be read alone: key to (version, value)."""
 
+Item = tuple[str, Version, Any]
+"""An item as it travels: its key, the version of the change that set it, its value."""
 
-def newest_version(book):
-    return max((v for v, _ in book.values()), default=INITIAL_VERSION)
+Items = tuple[Item, ...]
 
+INITIAL_VERSION: Version = outcomes.START
 
-def items_since(book, v):
-    """The items that news brings to someone who holds version v."""
-    return tuple(sorted((k, iv, x) for k, (iv, x) in book.items() if iv > v and not outcomes.private(k) and k != "source"))
+MAX_DROPPED_ROLES = 256
+"""Dropped roles that are kept, so that daemons which were away learn of them."""
 
+CONFIGURATION_KEY = "config"
+SOURCE_KEY = "source"
+EVACUATION_PREFIX = "evac/"
+ROLE_PREFIX = "duty/"
+EPOCH_FLOOR_PREFIX = "floor/"
 
-def value_of(book, key, d=None):
-    return book.get(key, (INITIAL_VERSION, d))[1]
+SHARD_ROLE = "shard"
+"""Kind of role: owner of a tenant's shard; its name is the tenant's."""
 
+LEDGER_ROLE = "ledger"
+"""Kind of role: holder of a replica's slot leases; its name is the replica's."""
 
-def pruned_keys(book):
-    """Keys of outcomes that were forgotten, and of duties dropped beyond those kept."""
-    ds = sorted((v, k) for k, (v, x) in book.items() if x is None)
-    return (*outcomes.forgotten(book), *(k for _, k in ds[: -MAX_DROPPED_ROLES if len(ds) > MAX_DROPPED_ROLES else 0]))
 
+class RoleAssignment(NamedTuple):
+    """Who holds a singleton role (design 5.6).
 
-def fence(book, op):
-    """The version on which an op without a base of its own rests (design 5.4). Every change of what it concerns makes a new
-    one, above all before it; of the configuration too, which decides whether its zone is known."""
-    keys = (f"evac/{op[1]}", "config") if op[0] == "evac" else (f"duty/shard/{op[1]}",)
-    return max(book.get(k, (INITIAL_VERSION,))[0] for k in keys)
+    :ivar epoch: rises by one with each assignment.
+    :ivar holder: name of the daemon.
+    :ivar follower: the daemon that keeps a copy for it; "" for none.
+    """
 
+    epoch: int
+    holder: str
+    follower: str
 
-def outcome(book, *, change, op, key, at, prev, aged=INITIAL_VERSION):
-    """An op, or one whose change id was settled before -> (answer, items)."""
-    old = outcomes.find(book, change)
-    if old and old[0] != key:
-        return ("refuse", 514, change), ()
-    if old:
-        return ("ok", old[1]) if old[1] != INITIAL_VERSION else ahead(book, op), ()
-    number = op[2] if op[0] == "table" else 0
-    match decide(book, op, at):
-        case ("say", value):  # told once the backups have confirmed it
-            return ("ok", prev, value), ()
-        case ("take", pairs):
-            items = tuple((k, at, x) for k, x in pairs)
-            if change:
-                items += (outcomes.item(change=change, key=key, at=at, number=number), *outcomes.moved(book, at=at, aged=aged))
-            return ("ok", at), items
-        case ("ahead",):  # a late copy of it must not be taken once its base has come
-            note = (outcomes.item(change=change, key=key, at=at, number=0, taken=False),) if change else ()
-            return ahead(book, op), note + outcomes.moved(book, at=at, aged=aged) if note else ()
-        case refused:
-            return refused, ()
 
+def evacuation_key(zone: str) -> str:
+    """Return the key that says whether a zone is drained."""
+    return f"{EVACUATION_PREFIX}{zone}"
 
-def ahead(book, op):
-    held = (value_of(book, "config") or {}).get("number", 0) if op[0] == "table" else "%d.%d" % book.get("config", (INITIAL_VERSION,))[0]
-    return ("refuse", 501, f"in force is {held}")
 
+def role_key(kind: str, name: str) -> str:
+    """Return the key of a singleton role."""
+    return f"{ROLE_PREFIX}{kind}/{name}"
 
-def unlike(base, held, floor):
-    """What is said of a change on another base than the one held; below the floor its outcome may be forgotten."""
-    return STALE if base < floor else ("ahead",) if base > held else None
 
+def epoch_floor_key(kind: str) -> str:
+    """Return the key of the highest epoch among the dropped roles of a kind."""
+    return f"{EPOCH_FLOOR_PREFIX}{kind}"
 
-def decide(book, op, at):
-    """An operator's or the duty keeper's op -> ("take", items) | ("refuse", code, detail).
 
-    at = the version the change will carry. Pure: called by the primary alone.
-    """
-    match op:
-        case ("config", base, raw):
-            held = book.get("config", (INITIAL_VERSION, None))[0]
-            if base != held:
-                return unlike(base, held, outcomes.horizon(book)[0]) or ("refuse", 501, f"in force is {held[0]}.{held[1]}")
-            cfg, bad = config.parse_configuration(raw)
-            if bad:
-                return ("refuse", 502, "; ".join(f"{p}: {s}" for p, s in bad)[:2000])
-            return fitting(book, at, (("config", cfg),))
-        case ("table", base, number, raw, source):  # told apart by the operator's own numbers (15.2)
-            held = (value_of(book, "config") or {}).get("number", 0)
-            if base != held:
-                return unlike(base, held, outcomes.horizon(book)[1]) or ("refuse", 501, f"in force is {held}")
-            cfg, bad = config.parse_configuration(raw)
-            if not bad and not number == cfg["number"] > held:
-                bad = (("number", f"wants to be above {held}"),)
-            if bad:
-                return ("refuse", 502, "; ".join(f"{p}: {s}" for p, s in bad)[:2000])
-            return fitting(book, at, (("config", cfg), ("source", source)))
-        case ("read",):
-            return ("say", value_of(book, "source", ""))
-        case ("evac", zone, bool(on), *base):
-            cfg = value_of(book, "config")
-            if not cfg or zone not in cfg["zones"]:
-                return ("refuse", 505, zone)
-            if base != [fence(book, op)] and (not base or value_of(book, f"evac/{zone}", False) != on):
-                return STALE  # what is so already may be said again: it makes a new version, and so fences others out
-            return ("take", ((f"evac/{zone}", on),))
-        case ("duty", kind, name, base, holder, follower):
-            old = value_of(book, f"duty/{kind}/{name}")
-            if (old[0] if old else 0) != base:
-                return ("refuse", 501, name)
-            e = max(base, 0 if old else value_of(book, f"floor/{kind}", 0)) + 1
-            return ("take", ((f"duty/{kind}/{name}", (e, holder, follower)),))
-        case ("drop", kind, names):
-            olds = {n: value_of(book, f"duty/{kind}/{n}") for n in names}
-            olds = {n: d for n, d in olds.items() if d}
-            floor = max([value_of(book, f"floor/{kind}", 0)] + [d[0] for d in olds.values()])
-            return ("take", ((f"floor/{kind}", floor), *((f"duty/{kind}/{n}", None) for n in sorted(olds))) if olds else ())
-        case ("reopen", name, *base):  # an operator accepts that its claims are lost (6.4)
-            old = value_of(book, f"duty/shard/{name}")
-            if base != [fence(book, op)]:
-                return STALE
-            if old is None:
-                return ("refuse", 507, name)
-            return ("take", ((f"duty/shard/{name}", (old[0] + 1, old[1], "")),))
-        case ("duties", todo):
-            got = [decide(book, ("duty", *d), at) for d in todo]
-            return ("take", tuple(i for g in got if g[0] == "take" for i in g[1]))
-    return ("refuse", 506, "unknown change")
-
-
-def fitting(book, at, pairs):
-    """A configuration is taken only if the store with it travels in one frame: between members, and to daemons as news."""
-    rows = {**book, **{k: (at, x) for k, x in pairs}}
-    try:
-        fits = wire.fits_in_frame(tuple((k, v, x) for k, (v, x) in rows.items()))
-    except SilvergladeError as e:
-        return ("refuse", 502, e.detail)
-    return ("take", pairs) if fits else ("refuse", 513, "")
-
-
-def is_version(v):
-    return isinstance(v, tuple) and len(v) == 2 and all(type(n) is int and n >= 0 for n in v)
-
-
-def is_item_list(items):
-    return isinstance(items, tuple) and all(
-        isinstance(i, tuple) and len(i) == 3 and isinstance(i[0], str) and is_version(i[1]) for i in items
+def newest_version(store: StoreView) -> Version:
+    """Return the version of the whole store: that of its newest item."""
+    return max((version for version, _ in store.values()), default=INITIAL_VERSION)
+
+
+def version_of(store: StoreView, key: str) -> Version:
+    """Return the version of the change that set an item, or `INITIAL_VERSION`."""
+    held = store.get(key)
+    return INITIAL_VERSION if held is None else held[0]
+
+
+def value_of(store: StoreView, key: str, default: Any = None) -> Any:
+    """Return the value of an item, or `default`."""
+    held = store.get(key)
+    return default if held is None else held[1]
+
+
+def items_since(store: StoreView, version: Version) -> Items:
+    """Return the items that an update brings to a daemon which holds `version`, sorted by key."""
+    return tuple(
+        sorted(
+            (key, item_version, value)
+            for key, (item_version, value) in store.items()
+            if item_version > version and not outcomes.private(key) and key != SOURCE_KEY
+        )
+    )
+
+
+def pruned_keys(store: StoreView) -> tuple[str, ...]:
+    """Return the keys that go: outcomes that are forgotten, and dropped roles beyond those kept. Every member gets the same."""
+    dropped = sorted((version, key) for key, (version, value) in store.items() if value is None)
+    surplus = dropped[: max(0, len(dropped) - MAX_DROPPED_ROLES)]
+    return (*outcomes.forgotten(store), *(key for _, key in surplus))
+
+
+def role_assignment(store: StoreView, kind: str, name: str) -> RoleAssignment | None:
+    """Return who holds a singleton role; None where nobody was named, or the role was dropped."""
+    row = value_of(store, role_key(kind, name))
+    return None if row is None else RoleAssignment(*row)
+
+
+def epoch_floor(store: StoreView, kind: str) -> int:
+    """Return the highest epoch among the dropped roles of a kind; 0 for none."""
+    floor: int = value_of(store, epoch_floor_key(kind), 0)
+    return floor
+
+
+def evacuated_zones(store: StoreView) -> frozenset[str]:
+    """Return the zones that are drained."""
+    drained_keys = [key for key, (_, value) in store.items() if key.startswith(EVACUATION_PREFIX) and value]
+    return frozenset(key.removeprefix(EVACUATION_PREFIX) for key in drained_keys)
+
+
+def configuration_number(store: StoreView) -> int:
+    """Return the operator's own number of the configuration in force; 0 for none."""
+    number: int = (value_of(store, CONFIGURATION_KEY) or {}).get("number", 0)
+    return number
+
+
+def fencing_token_of(store: StoreView, keys: Iterable[str]) -> Version:
+    """Return the newest version among these keys: it stands until one of them changes."""
+    return max(version_of(store, key) for key in keys)
+
+
+def is_version(value: Any) -> bool:
+    """Tell whether a value from outside is a version."""
+    return isinstance(value, tuple) and len(value) == 2 and all(type(n) is int and n >= 0 for n in value)
+
+
+def is_item_list(value: Any) -> bool:
+    """Tell whether a value from outside is a tuple of items, whatever their values are."""
+    return isinstance(value, tuple) and all(
+        isinstance(item, tuple) and len(item) == 3 and isinstance(item[0], str) and is_version(item[1]) for item in value
     )
--- a/silverglade/control/replication.py
+++ b/silverglade/control/replication.py
@@ -1,75 +1,101 @@
-"""Replication of changes (design 5.4): one in flight, of what waited, synced by the primary, then by all backups, then answered."""
+"""Replication of changes (design 5.4): one in flight, synced by the primary, then by all backups, then answered."""
 
 from __future__ import annotations
 
 from datetime import timedelta
-from typing import Any
 
-from . import replicated_state as bk
-from . import serving, store
+from ..runtime.events import AssignRoles, DropRoles
+from . import decisions, operations, serving, store
 from .context import CoreContext
-from .messages import Fence, Fenced, Item, Items, Operation, OperationResult, Replicate, Replicated, Result, ShownItems, Version
+from .messages import CommittedItems, Fence, Fenced, Operation, OperationResult, Replicate, Replicated
+from .operation_results import OutcomeUnknown, Redirected, Result, Stale
+from .operations import AssignRole, Evacuate, ReopenShard, decode_operation
+from .replicated_state import CONFIGURATION_KEY, Item, Items, Version, newest_version
 from .state import Answer, Client, PendingChange, QueuedOperation, StoreOnDisk
 from .view import View
 from .writes import ChangeWrittenByBackup, ChangeWrittenByPrimary, Outgoing
 
-MOST_QUEUED = 256
-UNKNOWN: Result = ("unknown",)
+MAX_QUEUED = 256
+"""Operations that wait at the primary; beyond it they are dropped, and their clients ask again."""
+
+NONCE_BITS = 48
 
 
 def answer(core: CoreContext, client: Client | None, result: Result) -> None:
-    """Tell a client, if there is one."""
+    """Send an operation's result to its client, if there is one."""
     if client:
-        core.send(client[0], OperationResult(client[1], result))
+        daemon, number = client
+        core.send(daemon, OperationResult(number, result.encode()))
 
 
 def abandon(core: CoreContext) -> None:
-    """What waits may be settled under another view, or not: nobody here can know."""
+    """Answer all pending and queued operations by "unknown": a later view may have taken them or not."""
     state = core.state
     if state.pending:
-        for waiting_for_it in state.pending.answers:
-            answer(core, waiting_for_it.client, UNKNOWN)
-    for waiting in state.queue:
-        answer(core, waiting.client, UNKNOWN)
+        for pending_answer in state.pending.answers:
+            answer(core, pending_answer.client, OutcomeUnknown())
+    for queued in state.queue:
+        answer(core, queued.client, OutcomeUnknown())
     state.pending = None
     state.queue.clear()
 
 
-def on_operation(core: CoreContext, sender: str, operation: Operation) -> None:
-    """A client asks for an operation. One asked again while it waits counts once; without room there is no answer, so that
-    it is asked again."""
-    state, client = core.state, (sender, operation.number)
-    if core.led_view() is None or not state.writes.fit:
-        point_to_primary(core, sender, operation.number)
-    elif len(state.queue) < MOST_QUEUED and not is_waiting(core, client):
-        state.queue.append(QueuedOperation(client, operation.change, operation.operation, operation.digest))
+def on_operation(core: CoreContext, sender: str, message: Operation) -> None:
+    """Queue a client's operation.
+
+    One that is sent again while it waits counts once. With a full queue there is no answer, so that the client asks again.
+    """
+    state, client = core.state, (sender, message.number)
+    if core.led_view() is None or not state.writes.is_able:
+        redirect(core, sender, message.number)
+    elif len(state.queue) < MAX_QUEUED and not is_waiting(core, client):
+        state.queue.append(QueuedOperation(client, message.change, decode_operation(message.operation), message.digest))
 
 
-def point_to_primary(core: CoreContext, sender: str, number: int) -> None:
-    """This core takes no operations."""
+def redirect(core: CoreContext, sender: str, number: int) -> None:
+    """Name the primary to a client, since this core takes no operations."""
     primary = core.state.view.primary if core.state.view else ""
-    core.send(sender, OperationResult(number, ("elsewhere", primary)))
+    answer(core, (sender, number), Redirected(primary))
+
 
+def on_fence(core: CoreContext, sender: str, message: Fence) -> None:
+    """Tell a client the version on which its operation would rest.
 
-def on_fence(core: CoreContext, sender: str, fence: Fence) -> None:
-    """A client asks for the version on which its operation would rest. It is told from memory: a version that is too old, or
-    that will not last, makes the operation stale; none that is still to come can be told."""
+    It is told from memory, without asking the backups: a version that is too old, or that will not last, makes the operation
+    stale, and none that is still to come can be told.
+    """
     state, view = core.state, core.open_view()
-    if core.led_view() is None or not state.writes.fit:
-        point_to_primary(core, sender, fence.number)
+    if core.led_view() is None or not state.writes.is_able:
+        redirect(core, sender, message.number)
     elif view is not None and state.sealed < view.epoch:
-        core.send(sender, Fenced(fence.number, bk.fence(state.store, fence.operation)))
+        operation = decode_operation(message.operation)
+        if isinstance(operation, Evacuate | ReopenShard):
+            core.send(sender, Fenced(message.number, decisions.fencing_token(state.store, operation)))
 
 
 def is_waiting(core: CoreContext, client: Client) -> bool:
-    """Is the operation of this client queued or in flight?"""
+    """Tell whether the operation of this client is queued or in flight."""
     state = core.state
-    in_flight = state.pending is not None and any(told.client == client for told in state.pending.answers)
-    return in_flight or any(waiting.client == client for waiting in state.queue)
+    in_flight = state.pending is not None and any(pending.client == client for pending in state.pending.answers)
+    return in_flight or any(queued.client == client for queued in state.queue)
+
+
+def on_assign_roles(core: CoreContext, event: AssignRoles, now: timedelta) -> None:
+    """Queue the assignments that the role assigner wants."""
+    assignments = tuple([AssignRole(*assignment) for assignment in event.assignments])
+    queue_own(core, operations.AssignRoles(assignments), now)
+
 
+def on_drop_roles(core: CoreContext, event: DropRoles, now: timedelta) -> None:
+    """Queue the dropping of roles that the role assigner found unneeded."""
+    queue_own(core, operations.DropRoles(event.kind, event.names), now)
 
-def on_duties(core: CoreContext, operation: tuple[Any, ...], now: timedelta) -> None:
-    """The keeper of duties asks for a change. Only what was decided in touch with the backups: a cut-off roll is no ground."""
+
+def queue_own(core: CoreContext, operation: operations.AssignRoles | operations.DropRoles, now: timedelta) -> None:
+    """Queue an operation of this primary itself; it is dropped while others wait, since the role assigner decides again.
+
+    It is taken only in touch with the backups: a primary that is cut off knows too little of which daemons live.
+    """
     state, takeover = core.state, core.settings.tuning["takeover"]
     in_touch = state.proven_at is not None and now - state.proven_at <= takeover
     if core.open_view() and in_touch and not state.queue and not state.pending:
@@ -77,7 +103,7 @@
 
 
 def begin_next(core: CoreContext, now: timedelta) -> None:
-    """What waits, if the primary may begin something: one change in flight (design 5.4)."""
+    """Begin the next change if operations wait, none is in flight, and this primary's view is open (design 5.4)."""
     state = core.state
     if not state.queue or state.pending:
         return
@@ -89,21 +115,23 @@
 
 
 def begin(core: CoreContext, view: View, now: timedelta) -> None:
-    """Work out the outcomes of what waits, each on what the one before left, as one change: so that a round with the backups
-    serves many, and those who come at once need not wait for each other's. It is written here first. Reads and refusals are
-    confirmed by the backups."""
+    """Settle the operations that wait, each on the store that the one before left, as one change.
+
+    So one round with the backups serves many clients. The change is written to the primary's own disk first. Without items the
+    backups are asked at once to confirm the view, since reads and refusals rest on it too.
+    """
     state = core.state
-    previous = bk.newest_version(state.store)
-    answers, items, gone = work_out(core, view, now)
+    previous = newest_version(state.store)
+    answers, items, gone = settle_queue(core, view, now)
     if not answers:
         return
     state.pending = pending = PendingChange(
         answers=answers,
         items=items,
-        version=bk.newest_version(state.store),
+        version=newest_version(state.store),
         previous=previous,
         synced_here=not items,
-        nonce=core.rng.getrandbits(48),
+        nonce=core.rng.getrandbits(NONCE_BITS),
         sent=now,
     )
     if items:
@@ -112,56 +140,59 @@
         replicate(core, view, pending)
 
 
-def work_out(core: CoreContext, view: View, now: timedelta) -> tuple[tuple[Answer, ...], Items, set[str]]:
-    """Take from the queue what goes together -> the answers, the items of their changes, the keys that go. It ends with a
-    configuration, since two may not fit one frame."""
+def settle_queue(core: CoreContext, view: View, now: timedelta) -> tuple[tuple[Answer, ...], Items, set[str]]:
+    """Take the operations from the queue that go together, and change the store by them.
+
+    A group ends with a configuration, since two may not fit one frame.
+
+    :returns: the answers, the items of the changes, the keys that were pruned.
+    """
     state = core.state
     answers: list[Answer] = []
     items: list[Item] = []
-    gone: set[str] = set()
+    pruned: set[str] = set()
     while state.queue:
         operation = state.queue.pop(0)
-        result, more = outcome(core, view, operation, now)
-        if result == bk.STALE:  # says nothing of the store, so the backups need not confirm it
+        result, new_items = settle(core, view, operation, now)
+        if isinstance(result, Stale):  # says nothing of the store, so the backups need not confirm it
             answer(core, operation.client, result)
             continue
         answers.append(Answer(operation.client, result))
-        items.extend(more)
-        gone.update(store.take(state.store, more))
-        if any(key == "config" for key, _, _ in more):
+        items.extend(new_items)
+        pruned.update(store.take(state.store, new_items))
+        if any(key == CONFIGURATION_KEY for key, _, _ in new_items):
             break
-    return tuple(answers), tuple(items), gone - state.store.keys()
+    return tuple(answers), tuple(items), pruned - state.store.keys()
 
 
-def outcome(core: CoreContext, view: View, operation: QueuedOperation, now: timedelta) -> tuple[Result, Items]:
-    """Of one operation on the store as it stands."""
+def settle(core: CoreContext, view: View, operation: QueuedOperation, now: timedelta) -> tuple[Result, Items]:
+    """Judge one operation on the store as it stands; return its result and the items of its change."""
     state = core.state
-    previous = bk.newest_version(state.store)
-    result: tuple[Result, Items] = bk.outcome(
+    previous = newest_version(state.store)
+    return decisions.settle(
         state.store,
-        change=operation.change,
-        op=operation.operation,
-        key=operation.digest,
-        at=next_version(view, previous),
-        prev=previous,
+        change_id=operation.change,
+        operation=operation.operation,
+        digest=operation.digest,
+        version=next_version(view, previous),
+        previous=previous,
         aged=state.outcome_ages.newest_aged(now, state.awake_since, previous, core.settings.tuning["outcome_keep"]),
     )
-    return result
 
 
 def next_version(view: View, previous: Version) -> Version:
-    """That of the first change of a view, or of the one after `previous`."""
+    """Return the version of the change that follows `previous` in this view; the numbers of a view begin at 1."""
     return (view.epoch, previous[1] + 1 if previous[0] == view.epoch else 1)
 
 
 def note_change_written(core: CoreContext, ok: bool) -> None:
-    """A failed write of a change tears the store on disk; nothing but a whole write mends it."""
+    """Note a failed write of a change: the store on disk is incomplete until it is written whole."""
     if not ok and core.state.store_on_disk is StoreOnDisk.WHOLE:
         core.state.store_on_disk = StoreOnDisk.TORN
 
 
 def on_written_by_primary(core: CoreContext, written: ChangeWrittenByPrimary, ok: bool) -> None:
-    """The primary has synced the change, or failed to."""
+    """Send the change to the backups once the primary's own disk has synced it."""
     note_change_written(core, ok)
     view, pending = core.state.view, core.state.pending
     if view is not None and pending is not None and pending.nonce == written.nonce:
@@ -171,7 +202,7 @@
 
 
 def replicate(core: CoreContext, view: View, pending: PendingChange) -> None:
-    """To every backup that has not synced it."""
+    """Send the change in flight to every backup that has not synced it."""
     message = Replicate(view.epoch, pending.nonce, pending.previous, pending.version, pending.items)
     for name in view.backups:
         if name not in pending.synced_by:
@@ -179,7 +210,7 @@
 
 
 def replicate_again(core: CoreContext, view: View, now: timedelta) -> None:
-    """A backup's answer is late. Synced here first: the primary is never behind."""
+    """Send the change in flight again when a backup's answer is late; only what the primary itself has synced."""
     pending = core.state.pending
     if pending and pending.synced_here and now - pending.sent >= core.settings.tuning["takeover"] / 2:
         pending.sent = now
@@ -187,13 +218,13 @@
 
 
 def on_replicate(core: CoreContext, sender: str, change: Replicate, now: timedelta) -> None:
-    """A backup is sent a change, or asked whether the view still holds."""
+    """Take a change as a backup, or confirm that the view still holds where it has no items."""
     state, view = core.state, core.backed_view()
     if view is None or change.epoch != view.epoch or sender != view.primary:
         return
     if state.served != change.epoch or state.sealed >= change.epoch:
         return
-    if bk.newest_version(state.store) not in (change.previous, change.version):
+    if newest_version(state.store) not in (change.previous, change.version):
         return  # the primary will copy afresh on its next opening
     confirmation = Outgoing(sender, Replicated(change.epoch, change.nonce))
     if not change.items:
@@ -204,14 +235,14 @@
 
 
 def on_written_by_backup(core: CoreContext, written: ChangeWrittenByBackup, ok: bool) -> None:
-    """A backup has synced the change, or failed to."""
+    """Confirm a change to the primary once this backup's disk has synced it."""
     note_change_written(core, ok)
     if ok:
         core.send_outgoing(written.outgoing)
 
 
 def on_replicated(core: CoreContext, sender: str, done: Replicated, now: timedelta) -> None:
-    """A backup has synced the change in flight; when all have, it is acknowledged."""
+    """Note that a backup has synced the change in flight, and commit it when all members have."""
     pending, led = core.state.pending, core.led_view()
     if pending is None or led is None or done.epoch != led.epoch or done.nonce != pending.nonce:
         return
@@ -222,14 +253,14 @@
 
 
 def commit(core: CoreContext, view: View, pending: PendingChange, now: timedelta) -> None:
-    """All members have synced: show it, answer, tell the others."""
+    """Commit the change that all members have synced: answer its clients, and tell the other cores."""
     state = core.state
     state.pending = None
     if pending.items:
-        serving.show(core, pending.items, pending.version, now)
+        serving.commit(core, pending.items, pending.version, now)
         for name in core.others():
             items = () if name in view.backups else pending.items  # backups hold the items already
-            core.send(name, ShownItems(view.epoch, pending.previous, state.shown_version, items))
-    for told in pending.answers:
-        answer(core, told.client, told.result)
-    serving.serve(core, now)
+            core.send(name, CommittedItems(view.epoch, pending.previous, state.committed_version, items))
+    for pending_answer in pending.answers:
+        answer(core, pending_answer.client, pending_answer.result)
+    serving.answer_held(core, now)
--- a/silverglade/control/seek.py
+++ b/silverglade/control/seek.py
@@ -14,10 +14,9 @@
 from typing import Any, NamedTuple
 
 from ..runtime.effects import milliseconds
-from . import register as rg
 from .messages import Accept, Accepted, Prepare, Promise, Rejected
 from .register import Behind, Chosen, Lost, Round
-from .view import NO_BALLOT, Ballot, View
+from .view import NO_BALLOT, Ballot, View, disks
 
 PAUSE = milliseconds(50)
 """The least wait after an attempt that failed."""
@@ -151,8 +150,8 @@
         self, goal: Goal, now: timedelta, recruits_synced: Mapping[tuple[str, int, int], str], tuning: Mapping[str, Any]
     ) -> list[Action]:
         """The store to those recruits who have not synced it, from time to time; then on to the round."""
-        epoch, disks = goal.view.epoch, rg.disks(goal.view)
-        missing = tuple(name for name in goal.recruits if recruits_synced.get((name, epoch, self.nonce)) != disks[name])
+        epoch, wanted_disks = goal.view.epoch, disks(goal.view)
+        missing = tuple(name for name in goal.recruits if recruits_synced.get((name, epoch, self.nonce)) != wanted_disks[name])
         if not missing:
             self.step = Step.ROUND
         elif self.copied_at is None or now - self.copied_at >= tuning["takeover"] / 2:
@@ -185,4 +184,4 @@
     @staticmethod
     def ask(goal: Goal, message: Prepare | Accept) -> Ask:
         """The witnesses who decide are those of the base; of the view itself where there is none."""
-        return Ask(tuple(sorted(rg.disks(goal.base or goal.view))), message)
+        return Ask(tuple(sorted(disks(goal.base or goal.view))), message)
--- a/silverglade/control/serving.py
+++ b/silverglade/control/serving.py
@@ -1,68 +1,75 @@
-"""What was acknowledged, and telling it: to daemons as news, to other cores that are behind (design 5.7)."""
+"""Committed items, and telling them: to daemons that ask for updates, and to other cores that are behind (design 5.7)."""
 
 from __future__ import annotations
 
 from datetime import timedelta
 
+from ..runtime.components import Component
 from ..runtime.effects import to_milliseconds
-from . import replicated_state as bk
+from ..runtime.events import AnswerRequested, DaemonAskedHere
 from . import store
 from .context import CoreContext
-from .messages import Items, NewsRequest, Pull, ShownItems, Version
+from .messages import CommittedItems, NewsRequest, Pull
+from .replicated_state import Items, Version, items_since, newest_version
 from .state import HeldRequest
-from .writes import DiskOperation, ShownWritten, keep
+from .writes import CommittedItemsWritten, DiskOperation, keep
 
 
-def show(core: CoreContext, items: Items, version: Version, now: timedelta) -> None:
-    """Acknowledged. Kept on disk by and by: a core that starts again tells it at once (5.7)."""
+def commit(core: CoreContext, items: Items, version: Version, now: timedelta) -> None:
+    """Commit items that were acknowledged. They are written to disk without haste, so that a core that starts again has them."""
     state = core.state
-    operations, state.pulled_at = store.show(state.shown_items, items), None
-    if version > state.shown_version or operations:
-        state.shown_version = max(state.shown_version, version)
-        state.shown_unwritten.update((key_of(operation), operation) for operation in operations)
-        write_shown(core, now)
+    operations, state.pulled_at = store.commit(state.committed_items, items), None
+    if version > state.committed_version or operations:
+        state.committed_version = max(state.committed_version, version)
+        state.committed_unwritten.update((key_of(operation), operation) for operation in operations)
+        write_committed(core, now)
 
 
 def key_of(operation: DiskOperation) -> str:
-    """The key that a disk operation puts or deletes."""
+    """Return the key that a disk operation puts or deletes."""
     return str(operation[2])
 
 
-def write_shown(core: CoreContext, now: timedelta) -> None:
-    """One write at a time: on disk nothing may be missing below the version there, also when a write of some failed."""
+def write_committed(core: CoreContext, now: timedelta) -> None:
+    """Write committed items to disk, one write at a time.
+
+    On disk no item may be missing below the version that stands there, also when a write of some failed.
+    """
     state = core.state
-    if state.shown_write_under_way:
+    if state.committed_write_under_way:
         return
-    operations, state.shown_unwritten, state.shown_write_under_way = state.shown_unwritten, {}, True
-    written = ShownWritten(state.shown_version, tuple(operations.values()))
-    core.write([*operations.values(), *keep(shown=state.shown_version)], written, now)
+    operations, state.committed_unwritten, state.committed_write_under_way = state.committed_unwritten, {}, True
+    written = CommittedItemsWritten(state.committed_version, tuple(operations.values()))
+    core.write([*operations.values(), *keep(shown=state.committed_version)], written, now)
 
 
-def on_shown_written(core: CoreContext, written: ShownWritten, ok: bool, now: timedelta) -> None:
-    """A write of shown items has ended. What it did not bring to disk goes with the next."""
+def on_committed_items_written(core: CoreContext, written: CommittedItemsWritten, ok: bool, now: timedelta) -> None:
+    """Go on after a write of committed items. What it did not bring to disk goes with the next."""
     state = core.state
-    state.shown_write_under_way = False
+    state.committed_write_under_way = False
     if not ok:
         failed = {key_of(operation): operation for operation in written.operations}
-        state.shown_unwritten = {**failed, **state.shown_unwritten}
-    elif state.shown_unwritten or state.shown_version > written.version:
-        write_shown(core, now)
+        state.committed_unwritten = {**failed, **state.committed_unwritten}
+    elif state.committed_unwritten or state.committed_version > written.version:
+        write_committed(core, now)
 
 
 def proof_age(core: CoreContext, now: timedelta) -> int:
-    """How old the last proof is that the primary was still primary, in ms; -1: there is none."""
+    """Return how old the last proof is that the primary was still primary, in ms; -1 for none."""
     return -1 if core.state.proven_at is None else to_milliseconds(now - core.state.proven_at)
 
 
-def serve(core: CoreContext, now: timedelta) -> None:
-    """Answer held requests that have news, or have been held long enough (design 5.7)."""
+def answer_held(core: CoreContext, now: timedelta) -> None:
+    """Answer the held requests for which there is an update, or that have been held long enough (design 5.7)."""
     state = core.state
     if not state.held:
         return
-    age, longest, waiting = proof_age(core, now), core.settings.tuning["ask_wait"], []
+    age = proof_age(core, now)
+    longest_wait = core.settings.tuning["ask_wait"]
+    waiting = []
     for request in state.held:
         moved = state.table_position not in (None, request.position)
-        if state.shown_version > request.version or now - request.received >= longest or moved:
+        if state.committed_version > request.version or now - request.received >= longest_wait or moved:
             answer_news(core, request, age, now)
         else:
             waiting.append(request)
@@ -70,36 +77,36 @@
 
 
 def answer_news(core: CoreContext, request: HeldRequest, age: int, now: timedelta) -> None:
-    """The table sends the answer, with what is new of soft state (4.3)."""
+    """Answer a request for updates; the core table appends what is new of soft state (design 4.3)."""
     state = core.state
-    items = bk.items_since(state.shown_items, request.version)
-    news = ("news", request.number, state.shown_version, items, age, to_milliseconds(now - request.received))
-    core.post("core_table", "answer", request.sender, news, request.position)
+    items = items_since(state.committed_items, request.version)
+    update = ("news", request.number, state.committed_version, items, age, to_milliseconds(now - request.received))
+    core.post(Component.CORE_TABLE, AnswerRequested(request.sender, update, request.position))
 
 
 def on_news_request(core: CoreContext, sender: str, request: NewsRequest, now: timedelta) -> None:
-    """A daemon asks for news."""
+    """Hold a daemon's request for updates until there is one."""
     core.state.held.append(HeldRequest(now, sender, request.number, request.version, request.position))
-    core.post("core_table", "asked", sender)
-    serve(core, now)
+    core.post(Component.CORE_TABLE, DaemonAskedHere(sender))
+    answer_held(core, now)
 
 
-def on_shown_items(core: CoreContext, shown: ShownItems, now: timedelta) -> None:
-    """Another core of this view tells what was acknowledged."""
-    state, items = core.state, shown.items
-    if state.view is None or shown.epoch != state.view.epoch:
+def on_committed_items(core: CoreContext, message: CommittedItems, now: timedelta) -> None:
+    """Take in what another core of this view has committed."""
+    state, items = core.state, message.items
+    if state.view is None or message.epoch != state.view.epoch:
         return
-    if not items and core.backed_view() and bk.newest_version(state.store) == shown.version:
-        items = store.rows(state.store, shown.previous)  # a backup holds them already
-    if items and state.shown_version >= shown.previous:
-        show(core, items, shown.version, now)
-        serve(core, now)
+    if not items and core.backed_view() and newest_version(state.store) == message.version:
+        items = store.rows(state.store, message.previous)  # a backup holds them already
+    if items and state.committed_version >= message.previous:
+        commit(core, items, message.version, now)
+        answer_held(core, now)
 
 
 def on_pull(core: CoreContext, sender: str, pull: Pull) -> None:
-    """Another core asks for what was acknowledged."""
+    """Send another core what it lacks of the committed items."""
     state = core.state
     if state.view is None or core.led_view() and not core.open_view():
         return
-    items = store.rows(state.shown_items, pull.version)
-    core.send(sender, ShownItems(state.view.epoch, pull.version, state.shown_version, items))
+    items = store.rows(state.committed_items, pull.version)
+    core.send(sender, CommittedItems(state.view.epoch, pull.version, state.committed_version, items))
--- a/silverglade/control/snapshots.py
+++ b/silverglade/control/snapshots.py
@@ -5,17 +5,16 @@
 from datetime import timedelta
 
 from . import liveness, replication, serving, store, view_change
-from . import register as rg
-from . import replicated_state as bk
 from .context import CoreContext
 from .messages import Snapshot, SnapshotSynced
+from .replicated_state import INITIAL_VERSION, newest_version
 from .state import OpeningSnapshot, StoreOnDisk
-from .view import View
+from .view import View, disks, members
 from .writes import Outgoing, WholeStoreWritten, keep
 
 
 def send_opening(core: CoreContext, view: View, now: timedelta) -> None:
-    """The new primary's whole store, synced by itself and its backups, before anything else."""
+    """Send a new primary's whole store to the backups that have not synced it; nothing else is done before."""
     state = core.state
     if state.store_on_disk is StoreOnDisk.TORN:
         core.write_whole_store(now)
@@ -30,7 +29,7 @@
 
 
 def open_if_synced(core: CoreContext, now: timedelta) -> None:
-    """A primary opens its view when it and all backups have synced its store."""
+    """Open the view of which this core is primary, when it and all backups have synced its store."""
     state, view = core.state, core.led_view()
     if view is None or state.open_epoch == view.epoch or state.sealed >= view.epoch:
         return
@@ -38,16 +37,16 @@
         return
     state.open_epoch = view.epoch
     core.log("primary-open", epoch=view.epoch)
-    serving.show(core, store.rows(state.store), bk.newest_version(state.store), now)
+    serving.commit(core, store.rows(state.store), newest_version(state.store), now)
     if state.pending:  # now part of the synced store
         replication.commit(core, view, state.pending, now)
     for name in core.others():
         liveness.send_heartbeat(core, name, now)
-    serving.serve(core, now)
+    serving.answer_held(core, now)
 
 
 def on_whole_store_written(core: CoreContext, written: WholeStoreWritten, ok: bool) -> None:
-    """A write of the whole store has ended; it says something of the disk only within the view in which it began."""
+    """Go on after a write of the whole store; it tells the state of the disk only within the view in which it began."""
     if written.epoch == core.epoch:
         core.state.store_on_disk = StoreOnDisk.WHOLE if ok else StoreOnDisk.TORN
     if ok and written.outgoing:
@@ -55,7 +54,7 @@
 
 
 def on_snapshot(core: CoreContext, sender: str, snapshot: Snapshot, now: timedelta) -> None:
-    """A whole store comes from one who opens its view, or who seeks a later one."""
+    """Take in a whole store from a primary that opens its view, or from a member that seeks a later one."""
     if snapshot.view is not None:
         accepted = accept_opening(core, sender, snapshot, snapshot.view, now)
     else:
@@ -65,38 +64,38 @@
 
 
 def accept_opening(core: CoreContext, sender: str, snapshot: Snapshot, view: View, now: timedelta) -> bool:
-    """Is this the snapshot that opens a view of which this core is a backup? A late one never undoes synced changes."""
+    """Tell whether a snapshot opens a view of which this core is a backup. A late one must not undo synced changes."""
     state = core.state
-    if snapshot.epoch != view.epoch or sender != view.primary or core.me not in view.backups:
+    if snapshot.epoch != view.epoch or sender != view.primary or core.name not in view.backups:
         return False
     if not core.is_named_in(view) or view.epoch < core.epoch or state.sealed >= view.epoch:
         return False
     view_change.adopt(core, view, now)
-    newest = max((version for _, version, _ in snapshot.items), default=bk.INITIAL_VERSION)
-    if state.served == view.epoch and newest < bk.newest_version(state.store):
+    newest = max((version for _, version, _ in snapshot.items), default=INITIAL_VERSION)
+    if state.served == view.epoch and newest < newest_version(state.store):
         return False
     state.served = view.epoch
     return True
 
 
 def accept_recruiting(core: CoreContext, snapshot: Snapshot) -> bool:
-    """Is this the snapshot of one who seeks a later view? A member that is recruited takes no more changes in this one.
+    """Tell whether a snapshot recruits this core for a later view; a member that is recruited takes no more changes in this one.
 
-    A core that leaves is none: it may end before that view is chosen, which would rest on it.
+    A core that leaves can't be recruited: it may end before that view, which would rest on it, is chosen.
     """
     state = core.state
     if snapshot.epoch <= core.epoch or snapshot.epoch < state.recruited:
         return False
     if state.writes.leaving:
         return False
-    if core.me in rg.members(state.view):
+    if core.name in members(state.view):
         state.sealed = max(state.sealed, core.epoch)
     replication.abandon(core)
     return True
 
 
 def take_snapshot(core: CoreContext, sender: str, snapshot: Snapshot, now: timedelta) -> None:
-    """The snapshot in place of the store; its sender is told when it is on disk."""
+    """Replace the store by a snapshot; its sender is told when it is on disk."""
     state = core.state
     state.recruited = max(state.recruited, snapshot.epoch)
     state.store = {key: (version, value) for key, version, value in snapshot.items}
@@ -106,12 +105,12 @@
 
 
 def on_snapshot_synced(core: CoreContext, sender: str, synced: SnapshotSynced, now: timedelta) -> None:
-    """A recruit, or a backup of the view that opens, has synced a snapshot."""
+    """Note that a recruit, or a backup of the view that opens, has synced a snapshot."""
     state, led = core.state, core.led_view()
     if state.seeker is not None and state.seeker.awaits(synced.epoch, synced.nonce):
         state.recruits_synced[sender, synced.epoch, synced.nonce] = synced.disk
     if led is None or state.opening is None or synced.nonce != state.opening.nonce or synced.epoch != led.epoch:
         return
-    if sender in led.backups and synced.disk == rg.disks(led)[sender]:
+    if sender in led.backups and synced.disk == disks(led)[sender]:
         state.snapshot_synced_by.add(sender)
         open_if_synced(core, now)
--- a/silverglade/control/spread.py
+++ b/silverglade/control/spread.py
@@ -10,7 +10,7 @@
 from functools import lru_cache
 from itertools import combinations
 
-from . import register as rg
+from . import register
 from .view import LEAST_WITNESSES, MOST_WITNESSES
 
 Place = tuple[str, str]
@@ -95,7 +95,7 @@
 
     def borne(names: tuple[str, ...]) -> int:
         here = [name for name in names if name in live]
-        return sum(bears(here, need=rg.majority(len(names)), places=places, tolerance=tolerance))
+        return sum(bears(here, need=register.majority(len(names)), places=places, tolerance=tolerance))
 
     def worth(names: tuple[str, ...]) -> tuple[int, int, int, int]:
         return borne(names), sum(name in live for name in names), -len(names), sum(name in was for name in names)
--- a/silverglade/control/state.py
+++ b/silverglade/control/state.py
@@ -9,12 +9,13 @@
 from typing import Any, NamedTuple
 
 from ..runtime.effects import ZERO
-from . import register as rg
-from . import replicated_state as bk
 from .heartbeat import Peers
-from .messages import Items, Result, Version
+from .operation_results import Result
+from .operations import ControlOperation
 from .outcomes import Ages
 from .register import Register
+from .register import read as read_register
+from .replicated_state import INITIAL_VERSION, Items, Version
 from .seek import Seeker
 from .spread import Place, Tolerance
 from .store import Store
@@ -55,7 +56,7 @@
 
     client: Client | None
     change: str
-    operation: tuple[Any, ...]
+    operation: ControlOperation
     digest: str
 
 
@@ -114,17 +115,17 @@
 class CoreState:
     """All that a core's control part knows. One step changes it at a time; nothing else does.
 
-    On disk before anything is said that rests on it: `register`, `sealed`, `recruited`, `served` and `store`; `shown_items` and
-    `shown_version` follow by and by, and may be behind on disk.
+    On disk before anything is said that rests on it: `register`, `sealed`, `recruited`, `served` and `store`; `committed_items` and
+    `committed_version` follow by and by, and may be behind on disk.
 
     Invariants:
-    - `view.epoch` never falls; `sealed`, `recruited`, `served`, `shown_version` and the register's promise never fall.
+    - `view.epoch` never falls; `sealed`, `recruited`, `served`, `committed_version` and the register's promise never fall.
     - `register.base == view`: what is known to be chosen is what the witness holds as its base.
     - `open_epoch` is 0 or `view.epoch`, and is not 0 only on the primary, after all backups have synced its whole store.
     - A backup takes changes of `view` only while `served == view.epoch > sealed`.
     - On disk, the shown items lack nothing up to the shown version there.
     - `pending` is None but on the primary of `view`: begun in it, or, until the view is open, part of `store`.
-    - Every version in `shown_items` is at most `shown_version`, and was acknowledged or synced by all members of a view.
+    - Every version in `committed_items` is at most `committed_version`, and was acknowledged or synced by all members of a view.
     - `proofs` and `snapshot_synced_by` name backups of `view` alone.
     """
 
@@ -137,8 +138,8 @@
     served: int
     # what control holds, and what of it may be told to others (design 5.7)
     store: Store
-    shown_items: Store
-    shown_version: Version
+    committed_items: Store
+    committed_version: Version
     store_on_disk: StoreOnDisk
     writes: Writes
     # the other cores
@@ -147,8 +148,8 @@
     # what this life adds to its clock in the stamps of its heartbeats, so that no other life's stamp is taken for one of ours
     stamp_origin: int
     # of the shown items: what is not on disk yet, by key, and whether a write of some is under way
-    shown_unwritten: dict[str, DiskOperation] = field(default_factory=dict)
-    shown_write_under_way: bool = False
+    committed_unwritten: dict[str, DiskOperation] = field(default_factory=dict)
+    committed_write_under_way: bool = False
     met: set[str] = field(default_factory=set)  # by the roll, or by a heartbeat
     leaving: set[str] = field(default_factory=set)  # those that said that they leave, and are not back
     live: dict[str, str] = field(default_factory=dict)  # those that may be named in a view, and since when they are the same
@@ -197,7 +198,7 @@
     stamp_origin: int = 0,
 ) -> CoreState:
     """The state after a start, from what was last synced."""
-    register = rg.read(meta)
+    register = read_register(meta)
     return CoreState(
         register=register,
         view=register.base,
@@ -205,8 +206,8 @@
         recruited=meta.get("recruited", 0),
         served=meta.get("served", 0),
         store=dict(store),
-        shown_items=dict(shown),
-        shown_version=meta.get("shown", bk.INITIAL_VERSION),
+        committed_items=dict(shown),
+        committed_version=meta.get("shown", INITIAL_VERSION),
         store_on_disk=StoreOnDisk.WHOLE,
         writes=Writes(settings.tuning),
         peers=Peers(settings.tuning),
--- a/silverglade/control/view_change.py
+++ b/silverglade/control/view_change.py
@@ -6,24 +6,25 @@
 from datetime import timedelta
 from functools import partial
 
-from . import plan, replication, store
-from . import register as rg
+from ..runtime.components import Component
+from ..runtime.events import ViewChosen
+from . import plan, register, replication, store
 from .context import CoreContext
 from .messages import Accepted, ChosenView, Promise, Rejected, Snapshot
 from .seek import Action, Ask, CopyTo, Goal, Learn, Seal, Seeker
 from .state import BetterView, StoreOnDisk
-from .view import View
+from .view import View, disks
 from .writes import EpochSealed, keep
 
 
 def adopt(core: CoreContext, view: View | None, now: timedelta) -> None:
-    """Take a chosen view; lower epochs are refused from here on."""
+    """Take a view that is known to be chosen; lower epochs are refused from here on."""
     state = core.state
     if view is None or view.epoch <= core.epoch:
         return
-    state.register, state.view = rg.based(state.register, view), view
+    state.register, state.view = register.based(state.register, view), view
     core.log("view", epoch=view.epoch, primary=view.primary, backups=",".join(view.backups))
-    core.tell_view()
+    core.publish_view()
     core.write(keep(reg=state.register.stored()), None, now)
     state.seeker, state.opening, state.open_epoch, state.better = None, None, 0, None
     state.next_heartbeat = state.awake_since = now
@@ -38,22 +39,22 @@
 
 
 def on_chosen(core: CoreContext, view: View, now: timedelta) -> None:
-    """The seeker's round has ended with a view that is chosen: all are told."""
+    """Take the view that this core's own round chose, and tell it to all other cores."""
     adopt(core, view, now)
     for name in core.others():
         core.send(name, ChosenView(view))
 
 
 def why_seek(core: CoreContext, now: timedelta) -> str | None:
-    """Why a member should seek a new view, or None (design 5.4)."""
+    """Return why a member should seek a new view, or None (design 5.4)."""
     state, tuning = core.state, core.settings.tuning
     wrong = plan.why(
-        me=core.me,
+        me=core.name,
         disk=core.settings.disk,
         view=state.view,
         peers=state.peers,
         sealed=state.sealed,
-        fit=state.writes.fit,
+        able=state.writes.is_able,
         torn=state.store_on_disk is StoreOnDisk.TORN and core.open_view() is not None,
         fair=now - state.awake_since > tuning["takeover"],
         now=now,
@@ -64,7 +65,10 @@
 
 
 def listening_since(core: CoreContext, name: str) -> timedelta:
-    """From when on a core would have been heard: all beat to the primary; to a backup the primary alone, unless it seeks."""
+    """Return from when on a core would have been heard.
+
+    All cores send heartbeats to the primary; to a backup only the primary does, unless the backup seeks a view.
+    """
     state = core.state
     if core.led_view():
         return state.listening_since
@@ -74,14 +78,17 @@
 
 
 def live_cores(core: CoreContext, now: timedelta) -> dict[str, str]:
-    """Those that may be named now. Of one that the roll has not placed nobody knows what would be lost together with it."""
-    state, known = core.state, rg.disks(core.state.view)
+    """Return the cores that may be named in a view now, with their disks.
+
+    A core whose zone is unknown is left out, since nobody knows what would be lost together with it.
+    """
+    state, known = core.state, disks(core.state.view)
     names = [name for name in core.others() if name in state.places or name in known]
-    return plan.live(me=core.me, disk=core.settings.disk, peers=state.peers, now=now, names=names)
+    return plan.live(me=core.name, disk=core.settings.disk, peers=state.peers, now=now, names=names)
 
 
 def wanted_witnesses(core: CoreContext, view: View, here: Mapping[str, str], now: timedelta) -> tuple[str, ...] | None:
-    """The witnesses that the next view should have; None where that is not to be said now."""
+    """Return the witnesses that the next view should have; None while one that is away may be back in a moment."""
     state, settings = core.state, core.settings
     return plan.witnesses(
         view=view,
@@ -97,20 +104,20 @@
 
 
 def look_for_better_view(core: CoreContext, now: timedelta) -> None:
-    """The primary of a view that works looks for a better spread (design 5.9)."""
+    """Look, as the primary of a view that works, for one that bears more losses (design 5.9)."""
     state, view = core.state, core.open_view()
     here = live_cores(core, now)
     if here != state.live:
         state.live, state.live_since = here, now
     new = None
-    if view is not None and state.writes.fit:
+    if view is not None and state.writes.is_able:
         wanted = wanted_witnesses(core, view, here, now)
-        new = plan.better(me=core.me, view=view, here=here, places=state.places, tolerance=core.settings.tolerance, wanted=wanted)
+        new = plan.better(me=core.name, view=view, here=here, places=state.places, tolerance=core.settings.tolerance, wanted=wanted)
     state.better = BetterView(state.live_since, new) if new else None
 
 
 def goal(core: CoreContext, now: timedelta) -> Goal | None:
-    """What a seeker should seek now, if anything."""
+    """Return what should be sought now, or None."""
     state, settings = core.state, core.settings
     if state.view is None:
         return first_goal(core, now)
@@ -119,19 +126,19 @@
     else:
         here = live_cores(core, now)
         wanted = wanted_witnesses(core, state.view, here, now)
-        new = plan.after(me=core.me, view=state.view, places=state.places, tolerance=settings.tolerance, here=here, names=wanted)
+        new = plan.after(me=core.name, view=state.view, places=state.places, tolerance=settings.tolerance, here=here, names=wanted)
     return Goal(state.view, new, new.backups) if new else None
 
 
 def first_goal(core: CoreContext, now: timedelta) -> Goal | None:
-    """The first view of all: a forming that was broken off is completed."""
+    """Return the first view of all as the goal; an agreement on it that was broken off is completed."""
     state, settings = core.state, core.settings
     if state.register.view is not None:
         return Goal(None, state.register.view, ())
     if not settings.may_form:
         return None
     new = plan.first(
-        me=core.me,
+        me=core.name,
         disk=settings.disk,
         cores=settings.named,
         peers=state.peers,
@@ -143,7 +150,7 @@
 
 
 def start_or_stop_seeking(core: CoreContext, now: timedelta) -> None:
-    """A member whose view does not work begins to seek another; one whose view works again stops."""
+    """Begin to seek another view where this one does not work; stop where it works again."""
     state, why = core.state, why_seek(core, now)
     if state.seeker is None:
         if why or state.view is None:
@@ -155,7 +162,10 @@
 
 
 def patience(core: CoreContext, why: str | None) -> float:
-    """How long to wait before the first attempt, in times of `settle`: one sealed by another is sought for already."""
+    """Return how long to wait before the first attempt, in times of `settle`.
+
+    Where another member has sealed the epoch it seeks a view already, so this one waits longer.
+    """
     if why == "better":
         return 0
     sealed_by_other = why == "sealed" and core.state.sealed_by_me != core.epoch
@@ -163,7 +173,7 @@
 
 
 def seek(core: CoreContext, now: timedelta) -> None:
-    """A pulse of the seeker."""
+    """Begin an attempt that is due, and go on with the one under way."""
     state, seeker = core.state, core.state.seeker
     if seeker is None:
         return
@@ -175,7 +185,7 @@
             return
         carry_out(core, seeker.begin(wanted, now, core.rng), now)
     actions = seeker.advance(
-        me=core.me,
+        me=core.name,
         now=now,
         recruits_synced=state.recruits_synced,
         is_up=lambda name: state.peers.is_up(name, now),
@@ -186,7 +196,7 @@
 
 
 def on_answer(core: CoreContext, sender: str, message: Promise | Accepted | Rejected, now: timedelta) -> None:
-    """A witness answers the seeker's round."""
+    """Give a witness's answer to the round under way."""
     seeker = core.state.seeker
     if seeker is not None:
         seeker.highest = max(seeker.highest, core.state.register.promised)
@@ -194,7 +204,7 @@
 
 
 def carry_out(core: CoreContext, actions: list[Action], now: timedelta) -> None:
-    """Do what the seeker wants."""
+    """Carry out the actions of the seeker."""
     for action in actions:
         match action:
             case Seal(wanted, nonce):
@@ -208,17 +218,17 @@
                 for name in witnesses:
                     core.send(name, message)
             case Learn(view):
-                core.post("control", "chosen", view)
+                core.post(Component.CONTROL, ViewChosen(view))
 
 
 def seal(core: CoreContext, nonce: int, now: timedelta) -> None:
-    """Take no more changes in this epoch; the seeker goes on when that is on disk."""
+    """Seal the epoch: take no more changes under it. The seeker goes on when that is on disk."""
     state = core.state
     state.sealed = state.sealed_by_me = core.epoch
     core.write(keep(sealed=state.sealed), EpochSealed(nonce), now)
 
 
 def on_sealed(core: CoreContext, written: EpochSealed, ok: bool) -> None:
-    """The seal is on disk, or failed."""
+    """Tell the seeker that the seal is on disk."""
     if ok and core.state.seeker is not None:
         core.state.seeker.seal_written(written.nonce)
--- a/silverglade/control/witness.py
+++ b/silverglade/control/witness.py
@@ -1,11 +1,10 @@
-"""A core as a witness: its part in the view register (design 5.2). What it says is on its disk first."""
+"""A core as a witness: it votes on which view follows which (design 5.2). Each vote is on its disk before it is sent."""
 
 from __future__ import annotations
 
 from datetime import timedelta
 
-from . import register as rg
-from . import view_change
+from . import register, view_change
 from .context import CoreContext
 from .messages import Accept, Accepted, Prepare, Promise, Rejected
 from .register import Register
@@ -13,22 +12,22 @@
 
 
 def on_prepare(core: CoreContext, sender: str, message: Prepare, now: timedelta) -> None:
-    """A proposer asks for a promise."""
+    """Answer a proposer that asks for a promise."""
     if message.ballot.proposer == sender:
-        vote(core, sender, *rg.prepare(core.state.register, message, disk=core.settings.disk), now)
+        vote(core, sender, *register.prepare(core.state.register, message, disk=core.settings.disk), now)
 
 
 def on_accept(core: CoreContext, sender: str, message: Accept, now: timedelta) -> None:
-    """A proposer asks to accept a view; the base that it names is chosen."""
+    """Answer a proposer that asks to accept a view. The base that it names is chosen, so it is taken first."""
     if message.ballot.proposer == sender:
         view_change.adopt(core, message.base, now)
-        vote(core, sender, *rg.accept(core.state.register, message, disk=core.settings.disk), now)
+        vote(core, sender, *register.accept(core.state.register, message, disk=core.settings.disk), now)
 
 
-def vote(core: CoreContext, to: str, register: Register, answer: Promise | Accepted | Rejected, now: timedelta) -> None:
-    """Keep the register, then answer; at once where it is as it was."""
-    if register is core.state.register:
+def vote(core: CoreContext, to: str, new_register: Register, answer: Promise | Accepted | Rejected, now: timedelta) -> None:
+    """Write the register to disk, then send the answer; at once where the register has not changed."""
+    if new_register is core.state.register:
         core.send(to, answer)
         return
-    core.state.register = register
-    core.write(keep(reg=register.stored()), TellIfSynced(Outgoing(to, answer)), now)
+    core.state.register = new_register
+    core.write(keep(reg=new_register.stored()), TellIfSynced(Outgoing(to, answer)), now)
--- a/silverglade/control/writes.py
+++ b/silverglade/control/writes.py
@@ -1,4 +1,4 @@
-"""A core's writes under way, and what follows each of them (design 5.4).
+"""The writes to disk under way, and what follows each of them (design 5.4).
 
 What follows is a typed record, not a closure, so that a state with writes under way can be copied and compared. core.py
 carries each of them out when its write has ended.
@@ -11,11 +11,36 @@
 from datetime import timedelta
 from typing import Any, NamedTuple
 
-from ..runtime.effects import ZERO, log, to_milliseconds
-from .messages import Message, Version
-
-Effect = tuple[Any, ...]
-DiskOperation = tuple[Any, ...]
+from ..runtime.components import Component
+from ..runtime.effects import ZERO, DiskOperation, Effect, WriteToDisk, log_record, to_milliseconds
+from .messages import Message
+from .replicated_state import Version
+
+META_TABLE = "meta"
+"""Table on disk: values of this core alone."""
+
+STORE_TABLE = "book"
+"""Table on disk: the store."""
+
+COMMITTED_TABLE = "shown"
+"""Table on disk: the committed items, which may be told to others."""
+
+__all__ = [
+    "COMMITTED_TABLE",
+    "META_TABLE",
+    "STORE_TABLE",
+    "ChangeWrittenByBackup",
+    "ChangeWrittenByPrimary",
+    "CommittedItemsWritten",
+    "Continuation",
+    "DiskOperation",
+    "EpochSealed",
+    "Outgoing",
+    "TellIfSynced",
+    "WholeStoreWritten",
+    "Writes",
+    "keep",
+]
 
 
 class Outgoing(NamedTuple):
@@ -62,14 +87,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ShownWritten:
+class CommittedItemsWritten:
     """Shown items up to this version were written; what failed goes with the next write."""
 
     version: Version
     operations: tuple[DiskOperation, ...]
 
 
-Continuation = ShownWritten | TellIfSynced | WholeStoreWritten | ChangeWrittenByPrimary | ChangeWrittenByBackup | EpochSealed
+Continuation = CommittedItemsWritten | TellIfSynced | WholeStoreWritten | ChangeWrittenByPrimary | ChangeWrittenByBackup | EpochSealed
 
 
 class WriteUnderWay(NamedTuple):
@@ -84,6 +109,12 @@
     """The writes under way by number, and whether the disk takes them: slow, full or failing it does not.
 
     A core that leaves (SIGTERM) says the same of itself, so that it is replaced before it is gone.
+
+    :ivar tuning: time settings, shared by all components and never written here.
+    :ivar last: number of the newest write.
+    :ivar disk_able: whether the disk takes writes in time.
+    :ivar leaving: whether this daemon is about to end.
+    :ivar tried_at: when a disk that took none was last tried.
     """
 
     tuning: Mapping[str, Any]
@@ -94,38 +125,38 @@
     tried_at: timedelta = ZERO
 
     @property
-    def fit(self) -> bool:
-        """May this core be a member of a view, as far as its disk goes?"""
+    def is_able(self) -> bool:
+        """Tell whether this core may be a member of a view: its disk takes writes, and it does not leave."""
         return self.disk_able and not self.leaving
 
     def begin(self, operations: Iterable[DiskOperation], continuation: Continuation | None, now: timedelta) -> Effect:
-        """-> the effect that starts a write."""
+        """Return the effect that starts a write."""
         self.last += 1
         self.under_way[self.last] = WriteUnderWay(now, continuation)
-        return ("disk", ("control", self.last), tuple(operations))
+        return WriteToDisk((Component.CONTROL.value, self.last), tuple(operations))
 
     def check(self, now: timedelta) -> list[Effect]:
-        """-> effects: a log line when a write has taken too long, a trial write of a disk that was unfit."""
+        """Return a log line when a write has taken too long, and a trial write to a disk that took none."""
         stall = self.tuning["disk_stall"]
-        effects = []
+        effects: list[Effect] = []
         if self.disk_able and any(now - write.begun > stall for write in self.under_way.values()):
             self.disk_able = False
-            effects.append(log("disk-stalled"))
+            effects.append(log_record("disk-stalled"))
         if not self.disk_able and not self.under_way and now - self.tried_at > stall:
             self.tried_at = now
             effects.append(self.begin(keep(alive=to_milliseconds(now)), None, now))
         return effects
 
     def ended(self, number: int, ok: bool) -> tuple[Continuation | None, list[Effect]]:
-        """-> what follows the write, and effects."""
+        """Take in the end of a write; return what follows it, and effects."""
         write = self.under_way.pop(number, None)
         continuation = write.continuation if write else None
         if self.disk_able == ok or ok and self.under_way:
             return continuation, []
         self.disk_able = ok
-        return continuation, [log("disk-fit" if ok else "disk-fault")]
+        return continuation, [log_record("disk-fit" if ok else "disk-fault")]
 
 
 def keep(**values: Any) -> list[DiskOperation]:
-    """The disk operations that keep these values of the table "meta"."""
-    return [("put", "meta", key, value) for key, value in values.items()]
+    """Return the disk operations that keep these values of this core."""
+    return [("put", META_TABLE, key, value) for key, value in values.items()]
--- a/silverglade/runtime/daemon_machine.py
+++ b/silverglade/runtime/daemon_machine.py
@@ -10,8 +10,9 @@
 from ..autoscaling.scaler import scaler
 from ..autoscaling.unordered_scaler import need
 from ..configuration.operator_api import desk
-from ..configuration.updates import keeper, news
+from ..configuration.updates import news
 from ..control.core import core
+from ..control.role_assigner import RoleAssigner
 from ..membership.core_table import table
 from ..membership.member import roster
 from ..membership.zone_relay import proxy
@@ -24,6 +25,7 @@
 from ..tenant_shards.owner import owner
 from ..transport.message_schemas import is_valid_message, known_fields
 from .effects import ZERO, log, start
+from .state_machine import MachineComponent
 
 # which part hears which message between daemons
 MESSAGE_RECEIVERS = {
@@ -107,7 +109,7 @@
                 me=me, disk=disk, cores=cores, saved=saved, opt=opt, rng=rng, place=(zone, region), tolerance=tolerance, first=first
             )
             p["core_table"] = table(me=me, life=life, addr=addr, seeds=tuple(seeds), opt=opt)
-            p["role_assigner"] = keeper(cores=cores, opt=opt)
+            p["role_assigner"] = MachineComponent(RoleAssigner(tuning=opt))
             p["claim_follower"] = follower(me=me, saved=saved, opt=opt)
         else:
             p["zone_relay"] = proxy(zone=zone, opt=opt)
--- a/silverglade/testbed/experiments/change_backlog.py
+++ b/silverglade/testbed/experiments/change_backlog.py
@@ -27,19 +27,19 @@
 
 def number_shown(x):
     """The operator's number of the configuration that a core tells daemons."""
-    _, cfg = x.state.shown_items.get("config", (None, None))
+    _, cfg = x.state.committed_items.get("config", (None, None))
     return cfg["number"] if cfg else 0
 
 
 def store_bytes(x):
     """What the whole store would weigh as one message."""
-    return len(ormsgpack.packb(tuple(x.state.shown_items.items())))
+    return len(ormsgpack.packb(tuple(x.state.committed_items.items())))
 
 
 def rows(x):
     """How much a core keeps: rows on its disk, and in the tables of its memory."""
     state = x.state
-    held = (state.store, state.shown_items, state.peers.table, state.heartbeat_sent, state.recruits_synced, state.writes.under_way)
+    held = (state.store, state.committed_items, state.peers.table, state.heartbeat_sent, state.recruits_synced, state.writes.under_way)
     return sum(map(len, x.disk.data.values())) + sum(map(len, held))
 
 
--- a/silverglade/testbed/model_checker/machine.py
+++ b/silverglade/testbed/model_checker/machine.py
@@ -159,7 +159,7 @@
         origin, held = self.parts[number]
         part, todo, out = copy.deepcopy(held), [event], []
         while todo:
-            for effect in part.step(now, todo.pop(0)):
+            for effect in control.ControlPart(part).send((now, todo.pop(0))):
                 match effect:
                     case ("send", to, body) if to == origin.name:
                         todo.append(("msg", to, body))
@@ -190,9 +190,10 @@
         """The effects of an operator's read, asked of a copy, when every backup confirms it at once."""
         origin, held = self.parts[number]
         part, out = copy.deepcopy(held), []
-        questions = part.step(now, event)
+        shell = control.ControlPart(part)
+        questions = shell.send((now, event))
         for effect in questions:
             match effect:
                 case ("send", backup, ("repl", epoch, nonce, _, _, ())):
-                    out += part.step(now, ("msg", backup, ("repd", epoch, nonce)))
+                    out += shell.send((now, ("msg", backup, ("repd", epoch, nonce))))
         return self.compact(origin.name, tuple(out))
--- a/silverglade/testbed/simulator/operators.py
+++ b/silverglade/testbed/simulator/operators.py
@@ -298,7 +298,7 @@
     def watch(self):
         """Often: what control acknowledges of the zones. A primary that is open shows all that was ever acknowledged."""
         if self.c.sound():
-            shown = self.c.cores[self.c.primary()].state.shown_items
+            shown = self.c.cores[self.c.primary()].state.committed_items
             for zone in self.zones:
                 self.saw("seen", zone, bool(shown.get(f"evac/{zone}", (None, False))[1]))
         self.c.after(SEC * 0.1, self.watch)
--- a/tests/configuration/test_bad_input.py
+++ b/tests/configuration/test_bad_input.py
@@ -12,6 +12,9 @@
 from silverglade.configuration.operator_calls import Calls
 from silverglade.control import replicated_state as bk
 from silverglade.control import store as stores
+from silverglade.control.decisions import settle
+from silverglade.control.operation_results import Acknowledged, Refused
+from silverglade.control.operations import TableChange
 from silverglade.http.app import app
 from silverglade.runtime.effects import milliseconds
 from silverglade.runtime.errors import RESULT_CODES
@@ -179,8 +182,14 @@
     return dict(spread(1), services={"s": {}}, routes=[route(i, x) for i, x in enumerate(names)])
 
 
+def change(store, change_id, operation, *, number):
+    """What the primary makes of a change in its first view: (result, items)."""
+    previous = (1, number - 1) if number > 1 else (0, 0)
+    return settle(store, change_id=change_id, operation=operation, digest="k", version=(1, number), previous=previous)
+
+
 def put(store, raw, text=""):
-    got, items = bk.outcome(store, change="c", op=("table", 0, 1, raw, text or json.dumps(raw)), key="k", at=(1, 1), prev=(0, 0))
+    got, items = change(store, "c", TableChange(0, 1, raw, text or json.dumps(raw)), number=1)
     stores.take(store, items)
     return got, items
 
@@ -209,9 +218,9 @@
     store = {}
     got, items = put(store, raw)
     if not fits:
-        assert got[:2] == ("refuse", 513) and not items and not store
+        assert got == Refused(513, "") and not items and not store
         return
-    assert got == ("ok", (1, 1))
+    assert got == Acknowledged((1, 1))
     for body in frames(store, items):
         assert wire.decode_frame(wire.encode_frame(frm="a", life="l", body=body)[4:])[2] == wire.lists_to_tuples(body)
 
@@ -221,13 +230,13 @@
     raw = dict(letters(0, 1), routes=rows)
     assert 3.8e6 < len(json.dumps(raw)) < 4 << 20
     store = {}
-    assert put(store, raw)[0][0] == "ok"
-    got, _ = bk.outcome(store, change="d", op=("table", 1, 2, dict(raw, number=2), "t"), key="k", at=(1, 2), prev=(1, 1))
-    assert got == ("ok", (1, 2))
+    assert isinstance(put(store, raw)[0], Acknowledged)
+    got, _ = change(store, "d", TableChange(1, 2, dict(raw, number=2), "t"), number=2)
+    assert got == Acknowledged((1, 2))
     monkeypatch.setattr(wire, "MAX_FRAME_BYTES", 3 << 20)  # smaller frames: refused, with the one in force untouched
     monkeypatch.setattr(wire, "WIDE", 6 << 20)
-    got, items = bk.outcome(store, change="e", op=("table", 1, 3, dict(raw, number=3), "t"), key="k", at=(1, 3), prev=(1, 2))
-    assert got[:2] == ("refuse", 513) and not items
+    got, items = change(store, "e", TableChange(1, 3, dict(raw, number=3), "t"), number=3)
+    assert got == Refused(513, "") and not items
 
 
 def test_what_fits_no_frame_is_refused_at_the_door_with_413(monkeypatch):
--- a/tests/control/test_change_backlog.py
+++ b/tests/control/test_change_backlog.py
@@ -40,6 +40,6 @@
     def pull(core, sender, now):
         pass
 
-    monkeypatch.setattr(LIVENESS + ".pull_shown_items", pull)
+    monkeypatch.setattr(LIVENESS + ".pull_committed_items", pull)
     c, *_ = backlog.play("witness", "cut off", seed=1, changes=40, **SMALL)
     assert {fault[1] for fault in c.faults} & {"never-caught-up", "left-behind"}
--- a/tests/control/test_control_growth.py
+++ b/tests/control/test_control_growth.py
@@ -47,7 +47,7 @@
 
 
 def test_without_pruning_it_would(monkeypatch):
-    monkeypatch.setattr("silverglade.control.replicated_state.pruned_keys", lambda store: ())
+    monkeypatch.setattr("silverglade.control.store.pruned_keys", lambda store: ())
     with pytest.raises(AssertionError):
         test_nothing_grows_with_the_number_of_changes()
 
--- a/tests/control/test_control_guards.py
+++ b/tests/control/test_control_guards.py
@@ -13,7 +13,7 @@
         "a late copy of the opening snapshot is taken",
         safety.test_a_late_copy_never_undoes_a_synced_change,
         "snapshots",
-        "if state.served == view.epoch and newest < bk.newest_version(state.store):",
+        "if state.served == view.epoch and newest < newest_version(state.store):",
         "if False:",
         "accept_opening",
     ),
@@ -61,8 +61,8 @@
         "a witness tells before its disk",
         safety.test_a_backup_says_nothing_before_its_disk,
         "witness",
-        "    core.state.register = register\n",
-        "    core.state.register = register\n    core.send(to, answer)\n",
+        "    core.state.register = new_register\n",
+        "    core.state.register = new_register\n    core.send(to, answer)\n",
         "vote",
     ),
     (
@@ -117,9 +117,9 @@
         "what a failed write did not bring to disk is dropped",
         safety.test_a_core_whose_disk_refused_one_of_two_changes_tells_both_or_neither_after_a_restart,
         "serving",
-        "state.shown_unwritten = {**failed, **state.shown_unwritten}",
+        "state.committed_unwritten = {**failed, **state.committed_unwritten}",
         "pass",
-        "on_shown_written",
+        "on_committed_items_written",
     ),
 ]
 
--- a/tests/control/test_control_late.py
+++ b/tests/control/test_control_late.py
@@ -74,7 +74,7 @@
     (
         "a change is taken on any version",
         "replication",
-        "if bk.newest_version(state.store) not in (change.previous, change.version):",
+        "if newest_version(state.store) not in (change.previous, change.version):",
         "if False:",
         "on_replicate",
     ),
--- a/tests/control/test_core_state.py
+++ b/tests/control/test_core_state.py
@@ -11,7 +11,7 @@
 
 from silverglade.control import messages as control_messages
 from silverglade.control import values, writes
-from silverglade.control.core import ControlCore, core
+from silverglade.control.core import ControlCore, ControlPart, core
 from silverglade.control.messages import decode, encode
 from silverglade.control.view import Ballot, View
 from silverglade.runtime import daemon_machine as hub
@@ -108,7 +108,7 @@
         before = self.machine.fingerprint()
         twin = copy.deepcopy(self.machine)
         assert twin.fingerprint() == before
-        effects = twin.step(*value)
+        effects = ControlPart(twin).send(value)
         assert self.machine.fingerprint() == before  # a step of the copy is not felt
         assert self.shell.send(value) == effects
         assert self.machine.fingerprint() == twin.fingerprint()
@@ -146,12 +146,12 @@
         s, view = self.state, self.state.view
         assert s.register.base == view and s.register.accepted <= s.register.promised
         assert s.register.view is None or s.register.view.epoch == (view.epoch if view else 0) + 1
-        assert s.open_epoch == 0 or s.open_epoch == view.epoch and view.primary == self.shell.machine.me
-        assert all(version <= s.shown_version for version, _ in s.shown_items.values())
+        assert s.open_epoch == 0 or s.open_epoch == view.epoch and view.primary == self.shell.machine.name
+        assert all(version <= s.committed_version for version, _ in s.committed_items.values())
         assert s.proofs.keys() | s.snapshot_synced_by <= set(view.backups if view else ())
-        assert s.pending is None or view.primary == self.shell.machine.me
+        assert s.pending is None or view.primary == self.shell.machine.name
         assert not self.shell.machine.effects
-        risen = (view.epoch if view else 0, s.sealed, s.recruited, s.served, s.shown_version, s.register.promised)
+        risen = (view.epoch if view else 0, s.sealed, s.recruited, s.served, s.committed_version, s.register.promised)
         assert all(now >= was for now, was in zip(risen, self.risen))
         self.risen = risen
         return effects
--- a/tests/control/test_evacuations_in_partitions.py
+++ b/tests/control/test_evacuations_in_partitions.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from silverglade.control import replicated_state as bk
+from silverglade.control.decisions import fencing_token
+from silverglade.control.operations import Evacuate
 from silverglade.testbed.simulator import control_cluster as council
 
 from ..support.source_mutation import without
@@ -25,7 +26,12 @@
             if self.job is None:
                 self.n += 1
                 op = ("evac", "za", self.on)
-                self.job = (c.rng.getrandbits(40), (*op, bk.fence(x.state.shown_items, op)), f"{self.name}.{self.n}")
+                token = fencing_token(x.state.committed_items, Evacuate(*op[1:]))
+                self.job = (
+                    c.rng.getrandbits(40),
+                    (*op, token),
+                    f"{self.name}.{self.n}",
+                )
             number, op, change = self.job
             c.after(council.SEC * 0.02, x.feed, ("msg", self.name, ("op", number, change, op, str(op))))
         c.after(council.SEC / 4, self.push)
--- a/tests/control/test_grouped_operations.py
+++ b/tests/control/test_grouped_operations.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from silverglade.control import outcomes, store
-from silverglade.control import replicated_state as bk
-from silverglade.control import replication as rp
+from silverglade.control import outcomes, replication, store
+from silverglade.control.decisions import fencing_token
 from silverglade.control.messages import Operation
+from silverglade.control.operations import Evacuate
 from silverglade.control.view import View
 from silverglade.runtime.effects import milliseconds
 from silverglade.testbed.simulator import control_cluster as council
@@ -21,7 +21,7 @@
 
 
 def ask(machine, number, op, change=""):
-    rp.on_operation(machine, "edge", Operation(number, change or f"c{number}", op, str(op[:3])))
+    replication.on_operation(machine, "edge", Operation(number, change or f"c{number}", op, str(op[:3])))
 
 
 def table(base, number):
@@ -29,7 +29,7 @@
 
 
 def zone(machine, name, on):
-    return ("evac", name, on, bk.fence(machine.state.store, ("evac", name, on)))
+    return ("evac", name, on, fencing_token(machine.state.store, Evacuate(name, on)))
 
 
 def answered(c):
@@ -101,7 +101,7 @@
             else:
                 ask(machine, n, zone(machine, rng.choice(["za", "zb"]), rng.random() < 0.5))
         while machine.state.queue:
-            _, items, gone = rp.work_out(machine, view, milliseconds(n))
+            _, items, gone = replication.settle_queue(machine, view, milliseconds(n))
             assert not gone & machine.state.store.keys()
             store.take(backup, items)
             assert backup == machine.state.store
--- a/tests/control/test_outcomes.py
+++ b/tests/control/test_outcomes.py
@@ -5,7 +5,9 @@
 import pytest
 
 from silverglade.control import outcomes, store
-from silverglade.control import replicated_state as bk
+from silverglade.control.decisions import fencing_token, settle
+from silverglade.control.operations import Evacuate, decode_operation
+from silverglade.control.replicated_state import pruned_keys
 from silverglade.runtime.effects import milliseconds
 from silverglade.runtime.settings import tuning
 from silverglade.testbed.simulator.scenario import SEC
@@ -106,24 +108,32 @@
 
 
 class Store:
-    """A member's store: the primary's own outcome() and take()."""
+    """A member's store: the primary's own settle() and take()."""
 
     def __init__(self):
         self.rows, self.n = {}, 0
 
     def say(self, change, op, key="", aged=(0, 0)):
         at = (1, self.n + 1)
-        got, items = bk.outcome(self.rows, change=change, op=op, key=key or repr(op), at=at, prev=(1, self.n), aged=aged)
+        result, items = settle(
+            self.rows,
+            change_id=change,
+            operation=decode_operation(op),
+            digest=key or repr(op),
+            version=at,
+            previous=(1, self.n),
+            aged=aged,
+        )
         if items:
             self.n += 1
             store.take(self.rows, items)
-        return got
+        return result.encode()
 
     def table(self, base, number, tag=""):
         return self.say(f"{base}/{number}{tag}", ("table", base, number, dict(RAW, number=number), f"{number}{tag}"))
 
     def zone(self, name, on, change):
-        return self.say(change, ("evac", name, on, bk.fence(self.rows, ("evac", name, on))), key=f"{name} {on}")
+        return self.say(change, ("evac", name, on, fencing_token(self.rows, Evacuate(name, on))), key=f"{name} {on}")
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -174,7 +184,7 @@
     for i in range(10):
         s.table(i, i + 1)
     assert sum(k.startswith(outcomes.PREFIX) for k in s.rows) == 10
-    s.say("e", ("evac", "north", True, bk.fence(s.rows, ("evac", "north", True))), aged=(1, 6))
+    s.say("e", ("evac", "north", True, fencing_token(s.rows, Evacuate("north", True))), aged=(1, 6))
     assert sum(k.startswith(outcomes.PREFIX) for k in s.rows) == 5 and s.rows[outcomes.HORIZON][1] == ((1, 6), 6)
     assert s.table(5, 6) == ("stale",) and s.table(6, 7)[0] == "ok" and s.table(6, 8)[0] == "refuse"
 
@@ -205,7 +215,7 @@
         s.rows.update({k: (v, x) for k, v, x in (outcomes.item(change=f"{i:0100d}", key=key, at=(1, i + 2), number=1),)})
         if i % 64 == 0:
             s.rows.update({k: (v, x) for k, v, x in outcomes.moved(s.rows, at=(1, i + 2), aged=(0, 0))})
-            for k in bk.pruned_keys(s.rows):
+            for k in pruned_keys(s.rows):
                 del s.rows[k]
     rows = [(k, *v) for k, v in s.rows.items() if outcomes.private(k)]
     assert len(rows) <= outcomes.MOST + 65 and len(wire.encode_frame(frm="", life="", body=("snap", rows))) < wire.MAX_FRAME_BYTES / 10
--- a/tests/control/test_view_register.py
+++ b/tests/control/test_view_register.py
@@ -3,8 +3,11 @@
 import random
 
 from silverglade.control import register as rg
-from silverglade.control import replicated_state as bk
+from silverglade.control.decisions import decide
+from silverglade.control.judgements import Take
 from silverglade.control.messages import Accept, Accepted, Prepare, Rejected
+from silverglade.control.operation_results import Refused
+from silverglade.control.operations import AssignRole, ConfigurationChange, Evacuate
 from silverglade.control.view import Ballot, View, is_view
 
 NAMES = tuple("abcdefghi")
@@ -213,12 +216,17 @@
     assert done.base.epoch == 4 and done.view is None and done.promised == (7, "b")
 
 
-def test_the_book_takes_one_of_two_changes_over_the_same_version():
+def refusal_code(decision):
+    assert isinstance(decision, Refused)
+    return decision.code
+
+
+def test_the_store_takes_one_of_two_changes_over_the_same_version():
     raw = {"zones": {"z": {"region": "r"}}, "tenants": {}}
-    got = bk.decide({}, ("config", (0, 0), raw), (1, 1))
-    assert got[0] == "take"
-    book = {k: ((1, 1), v) for k, v in got[1]}
-    assert bk.decide(book, ("config", (0, 0), raw), (1, 2))[:2] == ("refuse", 501)
-    assert bk.decide(book, ("config", (1, 1), {"zones": 3}), (1, 2))[:2] == ("refuse", 502)
-    assert bk.decide(book, ("evac", "nowhere", True), (1, 2))[:2] == ("refuse", 505)
-    assert bk.decide(book, ("duty", "shard", "t", 1, "a", ""), (1, 2))[:2] == ("refuse", 501)
+    first = decide({}, ConfigurationChange((0, 0), raw), (1, 1))
+    assert isinstance(first, Take)
+    store = {key: ((1, 1), value) for key, value in first.values}
+    assert refusal_code(decide(store, ConfigurationChange((0, 0), raw), (1, 2))) == 501
+    assert refusal_code(decide(store, ConfigurationChange((1, 1), {"zones": 3}), (1, 2))) == 502
+    assert refusal_code(decide(store, Evacuate("nowhere", True), (1, 2))) == 505
+    assert refusal_code(decide(store, AssignRole("shard", "t", 1, "a", ""), (1, 2))) == 501
--- a/tests/golden/core_store.py
+++ b/tests/golden/core_store.py
@@ -63,8 +63,8 @@
         "epoch recruited for": state.recruited,
         "epoch served": state.served,
         "stored items": state.store,
-        "items that may be told": state.shown_items,
-        "version up to which they may be told": state.shown_version,
+        "items that may be told": state.committed_items,
+        "version up to which they may be told": state.committed_version,
     }
 
 
--- a/tests/system/test_safety_rules.py
+++ b/tests/system/test_safety_rules.py
@@ -174,7 +174,13 @@
                 ("if False:", "]", "held = v", "if True:"),
                 "silverglade.runtime.daemon_machine.news",
             ),
-            ("silverglade.control.replicated_state", "if iv > v and not", "if not", "silverglade.control.replicated_state.items_since"),
+            (
+                "silverglade.control.replicated_state",
+                "if item_version > version and not",
+                "if not",
+                "silverglade.control.replicated_state.items_since",
+                "silverglade.control.serving.items_since",
+            ),
         ],
     ),
     (
@@ -200,7 +206,15 @@
     (
         two_operators_race,
         "both-won",
-        [("silverglade.control.replicated_state", "if base != held:", "if False:", "silverglade.control.replicated_state.decide")],
+        [
+            (
+                "silverglade.control.decisions",
+                "if operation.base != held:",
+                "if False:",
+                "silverglade.control.decisions.decide_configuration",
+                "silverglade.control.decisions.decide_table",
+            )
+        ],
     ),
     (
         a_replica_returns_cold_into_a_crowd,
--- a/tests/testbed/test_check_model.py
+++ b/tests/testbed/test_check_model.py
@@ -17,10 +17,13 @@
 from ..support.source_mutation import without
 
 PACKAGE = "silverglade.control."
-NUMBER_IN_FORCE = """            if base != held:
-                return unlike(base, held, outcomes.horizon(book)[1]) or ("refuse", 501, f"in force is {held}")
-            cfg, bad = config.parse_configuration(raw)
-            if not bad and not number == cfg["number"] > held:"""
+NUMBER_IN_FORCE = """    if operation.base != held:
+        _, horizon = outcomes.horizon(store)
+        return other_base(operation.base, held, horizon) or not_in_force(held)
+    configuration, faults = schema.parse_configuration(operation.raw)
+    if not faults and not operation.number == configuration["number"] > held:"""
+ANY_NUMBER = """    configuration, faults = schema.parse_configuration(operation.raw)
+    if False:"""
 CONFIRMED = "    else:\n        replicate(core, view, pending)\n"
 
 
@@ -63,7 +66,7 @@
     return cut(
         "replication",
         CONFIRMED,
-        f"    elif all(told.result[0] == '{kind}' for told in answers):\n        commit(core, view, pending, now)\n{CONFIRMED}",
+        f"    elif all(told.result.encode()[0] == '{kind}' for told in answers):\n        commit(core, view, pending, now)\n{CONFIRMED}",
         "replication.begin",
     )
 
@@ -89,7 +92,7 @@
         {"acknowledged-lost"},
         cut(
             "snapshots",
-            "if state.served == view.epoch and newest < bk.newest_version(state.store):",
+            "if state.served == view.epoch and newest < newest_version(state.store):",
             "if False:",
             "snapshots.accept_opening",
         ),
@@ -132,10 +135,10 @@
         1,
         {"both-won"},
         cut(
-            "replicated_state",
+            "decisions",
             NUMBER_IN_FORCE,
-            "            cfg, bad = config.parse_configuration(raw)\n            if False:",
-            "replicated_state.decide",
+            ANY_NUMBER,
+            "decisions.decide_table",
         ),
     ),
 ]
--- a/tests/testbed/test_control_cluster.py
+++ b/tests/testbed/test_control_cluster.py
@@ -103,7 +103,7 @@
     return c
 
 
-BOOK, REG = "silverglade.control.replicated_state", "silverglade.control.register"
+DECISIONS, REG = "silverglade.control.decisions", "silverglade.control.register"
 BREACHES = [
     (
         "answered before the backups have synced",
@@ -168,21 +168,24 @@
         "a change on a number that is not in force",
         storm(),
         {"same-base", "both-won"},
-        BOOK,
-        'if base != held:\n                return unlike(base, held, outcomes.horizon(book)[1]) or ("refuse", 501, f"in force is {held}")'
-        "\n            cfg, bad = config.parse_configuration(raw)"
-        '\n            if not bad and not number == cfg["number"] > held:',
-        "cfg, bad = config.parse_configuration(raw)\n            if False:",
-        BOOK + ".decide",
+        DECISIONS,
+        """    if operation.base != held:
+        _, horizon = outcomes.horizon(store)
+        return other_base(operation.base, held, horizon) or not_in_force(held)
+    configuration, faults = schema.parse_configuration(operation.raw)
+    if not faults and not operation.number == configuration["number"] > held:""",
+        """    configuration, faults = schema.parse_configuration(operation.raw)
+    if False:""",
+        DECISIONS + ".decide_table",
     ),
     (
         "another text is read than was sent",
         last(),
         {"read-foreign"},
-        BOOK,
-        '("source", source)',
-        '("source", source + "?")',
-        BOOK + ".decide",
+        DECISIONS,
+        "(SOURCE_KEY, operation.source)",
+        '(SOURCE_KEY, operation.source + "?")',
+        DECISIONS + ".decide_table",
     ),
     (
         "nobody takes over",
@@ -198,7 +201,7 @@
         one(trials.all_leave_in_turn),
         {"not-back"},
         CONTROL + ".core",
-        'self.state.writes.leaving = daemon_state != "ready"',
+        "self.state.writes.leaving = event.state != MemberState.READY",
         "",
         CONTROL + ".core.ControlCore",
     ),
--- a/tests/testbed/test_linearizability.py
+++ b/tests/testbed/test_linearizability.py
@@ -167,7 +167,7 @@
     assert broken([crowd(seed) for seed in range(4)]) == []
 
 
-BOOK, REPLICATION = "silverglade.control.replicated_state", "silverglade.control.replication"
+DECISIONS, REPLICATION = "silverglade.control.decisions", "silverglade.control.replication"
 CALLS = "silverglade.testbed.simulator.operators.Calls"
 
 
@@ -188,10 +188,10 @@
     (
         "a change is taken on a version that stands no more",
         zone,
-        BOOK,
-        'if base != [fence(book, op)] and (not base or value_of(book, f"evac/{zone}", False) != on):',
+        DECISIONS,
+        "if operation.base != fencing_token(store, operation) and not says_what_is_so:",
         "if False:",
-        BOOK + ".decide",
+        DECISIONS + ".decide_evacuation",
     ),
     (
         "a change is fenced when its caller may have gone",
@@ -201,7 +201,7 @@
         ("if False:", ""),
         CALLS,
     ),
-    ("what was forgotten is judged anew", crowd, BOOK, "return STALE if base < floor else", "return", BOOK + ".unlike"),
+    ("what was forgotten is judged anew", crowd, DECISIONS, "if base < horizon:", "if False:", DECISIONS + ".other_base"),
     (
         "a read that nobody confirmed",
         a_cut_off_primary_is_read,
