--- a/silverglade/control/liveness.py
+++ b/silverglade/control/liveness.py
@@ -13,7 +13,7 @@
 
 
 def send_heartbeat(core: CoreContext, to: str, now: timedelta) -> None:
-    """Say to another core how this one is."""
+    """Send a heartbeat to another core."""
     state = core.state
     state.heartbeat_sent[to] = now
     core.send(
@@ -33,16 +33,19 @@
 
 
 def own_echo(core: CoreContext, echo: int, now: timedelta) -> int:
-    """When this life sent the stamp that came back, in ms of its clock; -1: it did not.
+    """Return when this process sent the stamp that came back, in ms of its clock; -1 where it did not send it.
 
-    It may be a stamp of an earlier life, whose clock stood elsewhere, or of another core that had this address before.
+    It may be a stamp of an earlier process, whose clock stood elsewhere, or of another core that had this address before.
     """
     sent = echo - core.state.stamp_origin
     return sent if 0 <= sent <= to_milliseconds(now) else -1
 
 
 def is_told_regularly(core: CoreContext, name: str, now: timedelta) -> bool:
-    """All by the primary, it by all; by one who misses it, or seeks, all (design 5.10)."""
+    """Tell whether this core sends heartbeats to that one regularly (design 5.10).
+
+    The primary does to all, all do to the primary; one that misses the primary, or seeks a view, does to all.
+    """
     state, view = core.state, core.state.view
     if view is None or state.seeker is not None:
         return True
@@ -50,7 +53,7 @@
 
 
 def send_due_heartbeats(core: CoreContext, now: timedelta) -> None:
-    """The round of every half a second."""
+    """Send the heartbeats that are due in this round."""
     interval, sent = core.settings.tuning["heartbeat"], core.state.heartbeat_sent
     backed, opened = core.backed_view(), core.open_view()
     for name in core.others():
@@ -62,7 +65,7 @@
 
 
 def on_heartbeat(core: CoreContext, sender: str, beat: Heartbeat, now: timedelta) -> None:
-    """Another core says how it is."""
+    """Take in the heartbeat of another core; answer it, and draw the proof from it, where that applies."""
     state = core.state
     beat = beat._replace(echo=own_echo(core, beat.echo, now))
     is_new, was_up = state.peers.disk(sender) != beat.disk, state.peers.is_up(sender, now)
@@ -87,8 +90,11 @@
 
 
 def wants_answer(core: CoreContext, sender: str, beat: Heartbeat, now: timedelta) -> bool:
-    """The primary's heartbeat is answered at once: that is the proof; so is one who has not heard this core yet (or in this
-    life of its own), and one who asks, but not too often."""
+    """Tell whether a heartbeat is answered at once.
+
+    That of the primary is, since the answer is the proof that it leads; so is that of a core which has not heard this process
+    yet. One that expects an answer for another reason gets it, but not too often.
+    """
     backed, interval = core.backed_view(), core.settings.tuning["heartbeat"]
     if backed is not None and sender == backed.primary or beat.echo < 0:
         return True
@@ -97,7 +103,7 @@
 
 
 def note_proof(core: CoreContext, view: View, backup: str, beat: Heartbeat, now: timedelta) -> None:
-    """A backup that has not sealed its epoch has heard the primary; when all have, the others are told of it."""
+    """Note that a backup which has not sealed its epoch has heard the primary; when all have, tell the other cores."""
     state, interval = core.state, core.settings.tuning["heartbeat"]
     state.proofs[backup] = max(state.proofs.get(backup, ZERO), milliseconds(beat.echo))
     if len(state.proofs) == len(view.backups):
@@ -108,7 +114,7 @@
 
 
 def pull_committed_items(core: CoreContext, sender: str, now: timedelta) -> None:
-    """Ask for what the sender shows and this core does not; at first it may be on its way."""
+    """Ask the sender for committed items that this core lacks; not at once, since they may be on their way."""
     state, interval = core.state, core.settings.tuning["heartbeat"]
     late = state.pulled_at is not None and now - state.pulled_at >= interval / 2
     if state.committed_version == INITIAL_VERSION or late:
@@ -118,6 +124,9 @@
 
 
 def is_proof_itself(core: CoreContext, view: View, sender: str, beat: Heartbeat) -> bool:
-    """An only backup that has not sealed is itself the proof that its primary still led when it spoke."""
+    """Tell whether this core, as the only backup, is itself the proof that the primary led when it sent this heartbeat.
+
+    Without this backup's seal no later view can have begun.
+    """
     unsealed = max(beat.sealed, core.state.sealed) < beat.epoch
     return sender == view.primary and view.backups == (core.name,) and core.backed_view() is not None and unsealed
--- a/silverglade/control/messages.py
+++ b/silverglade/control/messages.py
@@ -1,8 +1,8 @@
 """The messages between cores, one class a kind (design 5).
 
 On the wire each is an array of its kind and its fields in the order given here (transport/message_schemas.py checks the shapes of
-all kinds before any part sees them; wire.py packs them). `decode` checks a body once, at the door of the control part;
-behind it messages are matched by class.
+all kinds before any component sees them; transport/framing.py packs them). `decode` checks a body once, where it enters
+control; from there on messages are matched by class.
 """
 
 from __future__ import annotations
@@ -15,8 +15,17 @@
 
 
 class Heartbeat(NamedTuple):
-    """What a core says of itself; `stamp` is its clock, `echo` the newest stamp it has seen of ours, `age` that of its proof
-    that the primary is still primary (all in ms; -1: none)."""
+    """What a core says of itself.
+
+    :ivar committed: the newest version that it may tell to others.
+    :ivar able: whether its disk takes writes, and it does not leave.
+    :ivar disk: the id of its disk.
+    :ivar sealed: the newest epoch that it sealed.
+    :ivar blank: whether its disk is empty and it may form the first view.
+    :ivar stamp: its clock, in ms.
+    :ivar echo: the newest stamp of the receiver that it has seen; -1 for none.
+    :ivar age: of its proof that the primary is still primary, in ms; -1 for none.
+    """
 
     epoch: int
     committed: Version
@@ -92,7 +101,7 @@
 
 
 class Replicate(NamedTuple):
-    """One change for a backup to sync; without items the question whether the view still holds."""
+    """A change for a backup to sync; without items it only asks whether the view still holds."""
 
     epoch: int
     nonce: int
@@ -109,7 +118,7 @@
 
 
 class CommittedItems(NamedTuple):
-    """What was acknowledged after `previous`, up to `version`; a backup holds the items already when none come."""
+    """The items acknowledged after `previous`, up to `version`; none are sent to a backup, which holds them already."""
 
     epoch: int
     previous: Version
@@ -124,7 +133,7 @@
 
 
 class NewsRequest(NamedTuple):
-    """A daemon asks for news after a version; `position` is where it stands in soft state."""
+    """A daemon asks for an update after a version; `position` is where its table of soft state stands."""
 
     number: int
     version: Version
@@ -222,7 +231,7 @@
 
 
 def encode(message: Message) -> tuple[Any, ...]:
-    """The array that travels."""
+    """Return the array that travels."""
     name = NAMES[type(message)]
     if name in HOLD_VIEWS_OR_BALLOTS:
         return (name, *[plain(field) for field in message])
@@ -230,7 +239,7 @@
 
 
 def decode(body: tuple[Any, ...]) -> Message | None:
-    """The message of a body; None for a kind that control does not hear, or one that is not well formed."""
+    """Return the message of a body; None for a kind that control does not handle, or one that is not well formed."""
     known = KINDS.get(body[0])
     if known is None:
         return None
--- a/silverglade/control/outcomes.py
+++ b/silverglade/control/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of operators' changes (design 5.3): what was taken is acknowledged again, whenever it is sent again.
+"""Outcomes of operators' changes (design 5.3): a change that was taken is acknowledged again whenever it is sent again.
 
 An outcome stands in the store under its change's id: (digest of the call, version, number). The version START says that
 the change was refused for good, since it named a base that was still to come. `number` is the operator's own, 0 for none.
@@ -20,46 +20,54 @@
 Held = Mapping[str, tuple[Version, Any]]
 
 START: Version = (0, 0)
-PREFIX, HORIZON = "change/", "forgotten"
+PREFIX = "change/"
+"""Of the keys of outcomes; the change id follows."""
+
+HORIZON = "forgotten"
+"""Key of the horizon."""
+
 MOST = 4096
 """Outcomes kept, of some 200 bytes at most."""
 CHUNK = MOST // 4
-"""Forgotten at once when there are that many."""
+"""Outcomes that are forgotten at once when there are `MOST`."""
 MARKS = 8
-"""Steps in which the time of keeping passes."""
+"""Steps in which the time for which outcomes are kept is counted."""
 
 
 def private(key: str) -> bool:
-    """Is it the members' own, which no daemon is told?"""
+    """Tell whether a key is for members alone, so that no daemon is told of it."""
     return key.startswith(PREFIX) or key == HORIZON
 
 
 def horizon(store: Held) -> tuple[Version, int]:
-    """Up to which version, and which number of the operator's, outcomes may be forgotten."""
+    """Return up to which version, and which operator's number, outcomes may be forgotten."""
     held: tuple[Version, int] = store[HORIZON][1] if HORIZON in store else (START, 0)
     return held
 
 
 def find(store: Held, change: str) -> tuple[str, Version] | None:
-    """The outcome of a change -> its digest, its version; None where there is none."""
+    """Return the outcome of a change as (digest, version); None where there is none."""
     found = store.get(PREFIX + change) if change else None
     return (found[1][0], found[1][1]) if found is not None else None
 
 
 def item(*, change: str, key: str, at: Version, number: int, taken: bool = True) -> tuple[str, Version, Any]:
-    """An outcome as an item of the change at `at`."""
+    """Return an outcome as an item of the change at version `at`."""
     return (PREFIX + change, at, (key, at if taken else START, number))
 
 
 def forgotten(store: Held) -> list[str]:
-    """Keys of outcomes behind the horizon. Pure, so that every member drops the same."""
+    """Return the keys of outcomes behind the horizon. Every member drops the same, since the horizon is in the store."""
     cut, _ = horizon(store)
     in_force = store["config"][0] if "config" in store else START
     return [key for key, (version, _) in store.items() if version <= cut and key.startswith(PREFIX) and version != in_force]
 
 
 def moved(store: Held, *, at: Version, aged: Version) -> tuple[tuple[str, Version, Any], ...]:
-    """The horizon's item, if it is to move with the change at `at`. aged: the newest version that was kept long enough."""
+    """Return the horizon as an item, if it is to move with the change at version `at`.
+
+    :param aged: the newest version whose outcomes were kept long enough.
+    """
     kept = sorted((version, value) for key, (version, value) in store.items() if key.startswith(PREFIX))
     cut, number = horizon(store)
     by_count = kept[len(kept) - MOST + CHUNK - 1][0] if len(kept) >= MOST else START
@@ -71,7 +79,7 @@
 
 
 def number_of(store: Held, outcome: tuple[Any, ...]) -> int:
-    """The operator's number of an outcome; an earlier program kept none: then at most the one in force."""
+    """Return the operator's number of an outcome; where an earlier program kept none, the one in force bounds it."""
     in_force = store["config"][1].get("number", 0) if "config" in store else 0
     number: int = outcome[2] if len(outcome) > 2 else in_force
     return number
@@ -79,13 +87,20 @@
 
 @dataclass(slots=True)
 class Ages:
-    """Which versions are how old, in this primary's awake time; a new primary begins anew. marks: when a version was newest."""
+    """How old versions are, in the time that this primary was awake; a new primary begins anew.
+
+    :ivar marks: (time, version that was the newest then), oldest first.
+    :ivar aged: the newest version that is old enough to be forgotten.
+    """
 
     marks: list[tuple[timedelta, Version]] = field(default_factory=list)
     aged: Version = START
 
     def newest_aged(self, now: timedelta, awake_since: timedelta, version: Version, keep: timedelta) -> Version:
-        """The newest version that is older than `keep`. awake_since: from then on no time was lost (no freeze, same view)."""
+        """Return the newest version that is older than `keep`.
+
+        :param awake_since: since when this process has not paused, nor the view changed.
+        """
         if not self.marks or now - self.marks[-1][0] >= keep / MARKS:
             self.marks.append((now, version))
         while self.marks and now - max(self.marks[0][0], awake_since) >= keep:
--- a/silverglade/control/plan.py
+++ b/silverglade/control/plan.py
@@ -1,4 +1,4 @@
-"""When a member seeks a new view, and which (design 5.4, 5.9). Pure: what is known comes in."""
+"""When a member seeks a new view, and which one (design 5.4, 5.9). Pure functions of what a core knows."""
 
 from __future__ import annotations
 
@@ -15,9 +15,11 @@
 def why(
     *, me: str, disk: str, view: View | None, peers: Peers, sealed: int, able: bool, torn: bool, fair: bool, now: timedelta
 ) -> str | None:
-    """What is wrong with the view, as one of its members sees it; None if nothing is.
+    """Return what is wrong with the view, as one of its members sees it; None if nothing is.
 
-    fair: have the others had the time to be heard?
+    :param able: whether this core's disk takes writes, and it does not leave.
+    :param torn: whether the store on this core's disk is incomplete.
+    :param fair: whether the others have had the time to be heard.
     """
     if view is None or me not in members(view) or not able:
         return None
@@ -38,12 +40,12 @@
 
 
 def live(*, me: str, disk: str, peers: Peers, now: timedelta, names: Iterable[str]) -> dict[str, str]:
-    """Cores that may be named in a view now: name -> disk."""
+    """Return the cores that may be named in a view now, with their disks."""
     return {me: disk, **{name: peers.table[name].disk for name in names if peers.is_up(name, now)}}
 
 
 def first(*, me: str, disk: str, cores: Collection[str], peers: Peers, places: Places, tolerance: Tolerance, now: timedelta) -> View | None:
-    """The first view, when every core of the settings says that it is empty (design 5.5)."""
+    """Return the first view, when every core of the settings says that its disk is empty (design 5.5); else None."""
     others = [name for name in cores if name != me]
     if me != min(cores) or not all(peers.is_up(name, now) and peers.is_blank(name) for name in others):
         return None
@@ -55,9 +57,10 @@
 def after(
     *, me: str, view: View, here: Mapping[str, str], places: Places, tolerance: Tolerance, names: Iterable[str] | None = None
 ) -> View | None:
-    """The view that member `me` wants after `view`, with the live cores `here`; None where it cannot be.
+    """Return the view that member `me` wants after `view`; None where there are too few live cores for it.
 
-    names: the witnesses wanted; by default those there are, each with the disk that it has now.
+    :param here: the live cores, with their disks.
+    :param names: the witnesses wanted; by default those there are, each with the disk that it has now.
     """
     was = disks_of(view)
     disks = {name: here[name] if name in here else was[name] for name in names or was}
@@ -85,10 +88,12 @@
     forget: timedelta,
     now: timedelta,
 ) -> tuple[str, ...] | None:
-    """The witnesses wanted after `view`, with the live cores `here`; None while one that is away may be back in a moment.
+    """Return the witnesses wanted after `view`; None while one that is away may be back in a moment.
 
-    listening_since: from when on a core would have been heard. leaving: the cores that said that they leave: nobody waits
-    for them. forget: one silent for so long goes also where no live core takes its place.
+    :param here: the live cores, with their disks.
+    :param listening_since: from when on a core would have been heard.
+    :param leaving: the cores that said that they leave: nobody waits for them.
+    :param forget: one that is silent for so long goes also where no live core takes its place.
     """
     was = disks_of(view)
     away = [name for name in was if name not in here]
@@ -101,7 +106,10 @@
 def better(
     *, me: str, view: View, here: Mapping[str, str], places: Places, tolerance: Tolerance, wanted: tuple[str, ...] | None
 ) -> View | None:
-    """What the primary of a view that works would rather have; None where it is content. wanted: the witnesses."""
+    """Return the view that the primary of a view that works would rather have; None where there is no better one.
+
+    :param wanted: the witnesses that it should have, or None while that is not known.
+    """
     was = disks_of(view)
     if wanted is None or sum(here.get(name) == held for name, held in was.items()) < register.majority(len(was)):
         return None
@@ -116,10 +124,12 @@
 
 
 def may_end(*, me: str, view: View | None, staying: Collection[str], places: Places, tolerance: Tolerance) -> bool:
-    """May a core that leaves end? Not while its view rests on it, and others can still do without it.
+    """Tell whether a core that leaves may end: not while its view rests on it.
+
+    A member's place is taken once a later view is chosen, whose members hold all that this one holds; a witness's once it is
+    named no more.
 
-    A member's place is taken once a later view is chosen, whose members hold all that this one holds; a witness's once it
-    is named no more. staying: the other cores that are there and do not leave; where all leave, nobody waits for anybody.
+    :param staying: the other cores that are there and do not leave; where all leave, none waits for another.
     """
     if view is None or not staying:
         return True
--- a/silverglade/control/register.py
+++ b/silverglade/control/register.py
@@ -2,7 +2,7 @@
 
 Each view is chosen by the witnesses that the view before it names, its base: an instance of single-value agreement for
 every epoch. A witness holds the newest base it knows to be chosen and what it has accepted to follow that one. A vote
-counts only while the base names its disk, so that an emptied disk cannot vote twice and a new core cannot vote itself in.
+counts only while the base names its disk, so an emptied disk cannot vote twice and a new core cannot vote itself in.
 """
 
 from __future__ import annotations
@@ -34,10 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Register:
-    """What a witness holds, on disk before it says so.
+    """What a witness holds, on disk before it answers.
 
-    promised: no lower ballot is taken any more. base: the newest view known to be chosen. accepted, view: the ballot and
-    the view last accepted to follow the base. `accepted <= promised`, and `view` has the epoch after `base`'s, or is None.
+    `accepted <= promised`, and `view` has the epoch after that of `base`, or is None.
+
+    :ivar promised: no lower ballot is taken any more.
+    :ivar base: the newest view known to be chosen.
+    :ivar accepted: the ballot last accepted.
+    :ivar view: the view that was accepted under it to follow the base.
     """
 
     promised: Ballot = NO_BALLOT
@@ -46,7 +50,7 @@
     view: View | None = None
 
     def stored(self) -> dict[str, Any]:
-        """As it lies on disk."""
+        """Return the register as it is stored on disk."""
         return {
             "promised": plain(self.promised),
             "base": plain(self.base),
@@ -56,7 +60,7 @@
 
 
 def read(meta: Mapping[str, Any]) -> Register:
-    """The register on disk; one written before views had several backups is understood."""
+    """Return the register on disk, also one written before views had several backups."""
     stored = meta.get("reg")
     if not stored:
         return Register()
@@ -75,7 +79,7 @@
 
 
 def based(register: Register, base: View | None) -> Register:
-    """The register of one who learns that `base` is chosen."""
+    """Return the register of a witness that learns that `base` is chosen."""
     if epoch(base) <= epoch(register.base):
         return register
     if epoch(register.view) == epoch(base) + 1:
@@ -84,7 +88,7 @@
 
 
 def prepare(register: Register, message: Prepare, /, *, disk: str) -> tuple[Register, Promise | Rejected]:
-    """A witness with this disk is asked for a promise -> (its register, its answer)."""
+    """Ask a witness with this disk for a promise; return its register and its answer."""
     ballot = message.ballot
     if ballot <= register.promised:
         return register, Rejected(ballot, disk, register.promised)
@@ -93,7 +97,7 @@
 
 
 def accept(register: Register, message: Accept, /, *, disk: str) -> tuple[Register, Accepted | Rejected]:
-    """A witness with this disk is asked to accept a view -> (its register, its answer)."""
+    """Ask a witness with this disk to accept a view; return its register and its answer."""
     ballot, base, view = message
     if ballot < register.promised or epoch(base) < epoch(register.base):
         return register, Rejected(ballot, disk, register.promised)
@@ -101,7 +105,7 @@
 
 
 def majority(n: int) -> int:
-    """How many of n are more than half."""
+    """Return the least number that is more than half of n."""
     return n // 2 + 1
 
 
@@ -127,9 +131,14 @@
 class Round:
     """One proposer's round: prepare, then accept (design 5.2).
 
-    `base` is the chosen view that `want` would follow; what another had accepted to follow it is completed instead. First
-    forming (no base): every witness of `want` must promise. value: the view proposed, once enough have promised, until then
-    None. promises: by core. accepts: the witnesses who accepted, each with the disk that the base names.
+    A view that was accepted to follow the base under another ballot is completed in place of `want`. For the first view of all
+    there is no base: every witness of `want` must promise.
+
+    :ivar base: the chosen view that `want` would follow.
+    :ivar want: the view wanted.
+    :ivar value: the view proposed; None until enough witnesses have promised.
+    :ivar promises: by core.
+    :ivar accepts: the witnesses who accepted, each with the disk that the base names.
     """
 
     ballot: Ballot
@@ -140,11 +149,14 @@
     accepts: set[str] = field(default_factory=set)
 
     def begin(self) -> Prepare:
-        """What to ask the witnesses first."""
+        """Return what to ask the witnesses first."""
         return Prepare(self.ballot)
 
     def answer(self, sender: str, message: Promise | Accepted | Rejected) -> Accept | Chosen | Behind | Lost | None:
-        """A witness's answer -> what to ask the witnesses now, or how the round ended; None: nothing yet."""
+        """Take in a witness's answer.
+
+        :returns: what to ask the witnesses now, or how the round ended; None while answers are missing.
+        """
         if message.ballot != self.ballot:
             return None
         match message:
@@ -157,7 +169,7 @@
         return None
 
     def promised(self, sender: str, promise: Promise) -> Accept | Behind | None:
-        """The first half: enough promises let the round go on to a value."""
+        """Count a promise; with enough of them propose a value."""
         if promise.base is not None and epoch(promise.base) > epoch(self.base):
             return Behind(promise.base)
         self.promises[sender] = promise
@@ -170,12 +182,12 @@
         return Accept(self.ballot, self.base, self.value)
 
     def found(self) -> View | None:
-        """What was accepted to follow the base under the highest ballot, among those who promised."""
+        """Return the view accepted under the highest ballot to follow the base, among the promises; None if there is none."""
         follows = [p for p in self.promises.values() if epoch(p.view) == epoch(self.base) + 1]
         return max(follows, key=lambda p: p.accepted).view if follows else None
 
     def accepted(self, sender: str, message: Accepted, value: View) -> Chosen | None:
-        """The second half: a majority of the voters makes the value chosen."""
+        """Count an acceptance; with a majority of the voters the value is chosen."""
         voters = disks(self.base or value)
         if voters.get(sender) == message.disk:
             self.accepts.add(sender)
--- a/silverglade/control/seek.py
+++ b/silverglade/control/seek.py
@@ -1,7 +1,7 @@
 """Seeking a new view (design 5.4): seal, copy to the recruits, then the register's round.
 
-The seeker is a machine of its own: it is asked at each pulse and given each answer, and says in typed actions what the
-core is to do. It never writes or sends itself.
+The seeker is a state machine of its own: it is advanced at each timer event and given each answer, and returns typed actions
+for the core to carry out. It never writes or sends itself.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 """The least wait after an attempt that failed."""
 
 LONGEST_COPY = 8
-"""Times `takeover`: so long an attempt waits for recruits that are heard to sync their copy."""
+"""For so many times `takeover` an attempt waits for recruits that are heard to sync their copy."""
 
 BALLOT_SPREAD_BITS = 20
-"""Ballots rise by a random step: two lives of a core, of which the first left nothing on disk, must not use the same one, or
-a late acceptance of the first would count for the second."""
+"""Ballots rise by a random step: two processes of a core, of which the first left nothing on disk, must not use the same ballot,
+or a late acceptance of the first would count for the second."""
 
 
 class Goal(NamedTuple):
-    """What is sought: `view` after `base`, with a copy of the store to `recruits` first."""
+    """The view sought after `base`; its recruits get a copy of the store first."""
 
     base: View | None
     view: View
@@ -47,14 +47,14 @@
 
 
 class Seal(NamedTuple):
-    """To do: note on disk that no more changes are taken in this epoch, then tell the seeker by this nonce."""
+    """Action: seal the epoch on disk, then confirm it to the seeker by this nonce."""
 
     goal: Goal
     nonce: int
 
 
 class CopyTo(NamedTuple):
-    """To do: send the store to these recruits."""
+    """Action: send the whole store to these recruits."""
 
     recruits: tuple[str, ...]
     epoch: int
@@ -62,14 +62,14 @@
 
 
 class Ask(NamedTuple):
-    """To do: send this to these witnesses."""
+    """Action: send this message to these witnesses."""
 
     witnesses: tuple[str, ...]
     message: Prepare | Accept
 
 
 class Learn(NamedTuple):
-    """To do: take this view, which is chosen."""
+    """Action: take this view, which is chosen."""
 
     view: View
 
@@ -81,9 +81,14 @@
 class Seeker:
     """One member's attempts to have a new view chosen.
 
-    due: when the next attempt begins. begun: when this one did, or its round. nonce: of this attempt's seal and copies; sealed: that the
-    seal with it is on disk. highest: the highest ballot seen. `goal` is set in every step but REST, `round` in ROUND once
-    the witnesses were asked.
+    `goal` is set in every step but REST, `round` in ROUND once the witnesses were asked.
+
+    :ivar due: when the next attempt may begin.
+    :ivar begun: when this attempt began, or its round.
+    :ivar nonce: of the seal and the copies of this attempt.
+    :ivar sealed: whether the seal with that nonce is on disk.
+    :ivar copied_at: when the store was last sent to the recruits.
+    :ivar highest: the highest ballot seen.
     """
 
     due: timedelta
@@ -97,11 +102,11 @@
     highest: Ballot = NO_BALLOT
 
     def is_due(self, now: timedelta) -> bool:
-        """May a new attempt begin?"""
+        """Tell whether a new attempt may begin."""
         return self.step is Step.REST and now >= self.due
 
     def begin(self, goal: Goal, now: timedelta, rng: random.Random) -> list[Action]:
-        """A new attempt."""
+        """Begin an attempt; return what is to be done first."""
         self.goal, self.begun, self.nonce, self.round, self.sealed = goal, now, rng.getrandbits(48), None, False
         if not goal.recruits:
             self.step = Step.ROUND
@@ -110,11 +115,11 @@
         return [Seal(goal, self.nonce)]
 
     def awaits(self, epoch: int, nonce: int) -> bool:
-        """Is this word of a synced copy for the present attempt? Others are late, and not kept."""
+        """Tell whether a confirmation of a synced copy belongs to the attempt under way; late ones are dropped."""
         return self.goal is not None and (epoch, nonce) == (self.goal.view.epoch, self.nonce)
 
     def seal_written(self, nonce: int) -> None:
-        """A seal is on disk; only that of this attempt counts."""
+        """Note that a seal is on disk; only that of the attempt under way counts."""
         self.sealed = self.sealed or nonce == self.nonce
 
     def advance(
@@ -127,7 +132,11 @@
         tuning: Mapping[str, Any],
         rng: random.Random,
     ) -> list[Action]:
-        """A pulse: go on with the attempt as far as it can; end it when it has taken too long. is_up: is that core heard?"""
+        """Go on with the attempt as far as possible; end it when it has taken too long.
+
+        :param recruits_synced: (core, epoch, nonce) of each copy that was synced, and on which disk.
+        :param is_up: whether a core is heard.
+        """
         if self.goal is None or self.begun is None:
             return []
         actions: list[Action] = []
@@ -149,7 +158,7 @@
     def copy(
         self, goal: Goal, now: timedelta, recruits_synced: Mapping[tuple[str, int, int], str], tuning: Mapping[str, Any]
     ) -> list[Action]:
-        """The store to those recruits who have not synced it, from time to time; then on to the round."""
+        """Copy the store, again from time to time, to the recruits that have not synced it; when all have, go on to the round."""
         epoch, wanted_disks = goal.view.epoch, disks(goal.view)
         missing = tuple(name for name in goal.recruits if recruits_synced.get((name, epoch, self.nonce)) != wanted_disks[name])
         if not missing:
@@ -162,7 +171,7 @@
     def answer(
         self, sender: str, message: Promise | Accepted | Rejected, now: timedelta, tuning: Mapping[str, Any], rng: random.Random
     ) -> list[Action]:
-        """A witness has answered."""
+        """Take in a witness's answer to the round; return what follows."""
         if self.step is not Step.ROUND or self.round is None or self.goal is None:
             return []
         if isinstance(message, Rejected):
@@ -178,10 +187,10 @@
         return []
 
     def retry_later(self, now: timedelta, tuning: Mapping[str, Any], rng: random.Random) -> None:
-        """Rest for a random time, so that two seekers do not overtake each other for ever."""
+        """End the attempt and wait for a random time, so that two seekers do not overtake each other for ever."""
         self.step, self.due = Step.REST, now + tuning["settle"] * rng.random() + PAUSE
 
     @staticmethod
     def ask(goal: Goal, message: Prepare | Accept) -> Ask:
-        """The witnesses who decide are those of the base; of the view itself where there is none."""
+        """Return the action that asks the witnesses who decide: those of the base, or of the view itself where there is none."""
         return Ask(tuple(sorted(disks(goal.base or goal.view))), message)
--- a/silverglade/control/spread.py
+++ b/silverglade/control/spread.py
@@ -23,9 +23,9 @@
 
 
 def bears(names: Collection[str], *, need: int, places: Places, tolerance: Tolerance) -> tuple[int, int, int]:
-    """-> how many machines, zones, regions may go, up to the tolerance, with `need` names left.
+    """Return how many machines, zones and regions may be lost, up to the tolerance, with `need` of the names left.
 
-    -1: even without a loss there are too few.
+    -1 stands for too few even without a loss.
     """
 
     def most(sizes: Sequence[int], top: int) -> int:
@@ -41,14 +41,15 @@
 
 
 def count(tolerance: Tolerance) -> int:
-    """Backups wanted: one member is left whatever of the tolerance is lost."""
+    """Return how many backups are wanted: one member is left whatever of the tolerance is lost."""
     return max(1, *tolerance)
 
 
 def backups(*, me: str, names: Iterable[str], was: Collection[str], places: Places, tolerance: Tolerance) -> tuple[str, ...] | None:
-    """The best backups for primary `me` among `names` (live witnesses), those of `was` by preference.
+    """Return the best backups for primary `me`; None where there is no candidate.
 
-    -> a tuple, or None where there is nobody.
+    :param names: the live witnesses.
+    :param was: the members there are, which are preferred.
     """
     pool = sorted(set(names) - {me}, key=lambda name: (name not in was, name))
     wanted = min(count(tolerance), len(pool))
@@ -70,7 +71,7 @@
     places: Places,
     tolerance: Tolerance,
 ) -> tuple[str, ...]:
-    """The best set of witnesses out of those there were and the live cores.
+    """Return the best set of witnesses out of those there were and the live cores.
 
     Nobody who is silent leaves unless a live core takes its place, or it is `gone` for long, or the live ones bear the
     whole tolerance without it and not with it. A live core comes in where that makes the set bear no less, and leaves only
@@ -90,7 +91,7 @@
     known_places: tuple[tuple[str, Place], ...],
     tolerance: Tolerance,
 ) -> tuple[str, ...]:
-    """See `witnesses`. Weighs hundreds of sets, so the answer is kept: it is asked for again and again while nothing changes."""
+    """Return what `witnesses` does; hundreds of sets are weighed, so the result is cached while nothing changes."""
     places = dict(known_places)
 
     def borne(names: tuple[str, ...]) -> int:
--- a/silverglade/control/state.py
+++ b/silverglade/control/state.py
@@ -1,4 +1,4 @@
-"""The state of a core's control part (design 5): plain typed values, which values.py copies and compares."""
+"""The state of a control core (design 5): plain typed values, which values.py copies and compares."""
 
 from __future__ import annotations
 
@@ -28,8 +28,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CoreSettings:
-    """What a core is told when it starts, and never changes. named: the cores that form the first view; tuning: the time
-    settings, shared by all parts of the daemon and never written here."""
+    """What a core is given when it starts, and never changes.
+
+    :ivar named: the cores that form the first view.
+    :ivar may_form: whether this core may form the first view (design 5.5).
+    :ivar formed_before: whether its disk says so from an earlier start.
+    :ivar tuning: time settings and limits, shared by all components and never written here.
+    """
 
     name: str
     disk: str
@@ -44,7 +49,7 @@
 
 
 class StoreOnDisk(Enum):
-    """Is the store on this core's disk as it is held in memory?"""
+    """Whether the store on this core's disk is as it is held in memory."""
 
     WHOLE = "whole"
     WRITING = "writing"  # it is being written anew
@@ -52,7 +57,12 @@
 
 
 class QueuedOperation(NamedTuple):
-    """An operation that waits for its turn; nobody is told of it where `client` is None."""
+    """An operation that waits for its turn.
+
+    :ivar client: who is told the result; None for nobody.
+    :ivar change: the operator's own id of the change; "" for none.
+    :ivar digest: of the operation's text.
+    """
 
     client: Client | None
     change: str
@@ -61,7 +71,7 @@
 
 
 class Answer(NamedTuple):
-    """What a client will be told."""
+    """The result of an operation, for its client."""
 
     client: Client | None
     result: Result
@@ -69,10 +79,16 @@
 
 @dataclass(slots=True)
 class PendingChange:
-    """The one change in flight: of all operations that were worked out together, in their order. Without items it is but the
-    question of reads and refusals whether the view still holds.
+    """The one change in flight: of all operations that were settled together, in their order.
+
+    They are answered when `synced_here` and `synced_by` holds every backup. Without items it only asks the backups whether the
+    view still holds, for reads and refusals.
 
-    They are answered when `synced_here` and `synced_by` holds every backup. version: that of the store with it; previous: before.
+    :ivar version: of the store with the change.
+    :ivar previous: of the store before it.
+    :ivar synced_here: whether the primary's own disk has synced it.
+    :ivar nonce: names the change among those of the epoch.
+    :ivar sent: when it was last sent to the backups.
     """
 
     answers: tuple[Answer, ...]
@@ -102,7 +118,7 @@
 
 
 class HeldRequest(NamedTuple):
-    """A daemon's request for news that is held until there is some."""
+    """A daemon's request for updates that is held until there is one."""
 
     received: timedelta
     sender: str
@@ -113,7 +129,7 @@
 
 @dataclass(slots=True)
 class CoreState:
-    """All that a core's control part knows. One step changes it at a time; nothing else does.
+    """All that a control core knows. Only a step changes it.
 
     On disk before anything is said that rests on it: `register`, `sealed`, `recruited`, `served` and `store`; `committed_items` and
     `committed_version` follow by and by, and may be behind on disk.
@@ -184,7 +200,7 @@
 
 
 def may_form_first_view(*, name: str, named: Iterable[str], first: bool, formed_before: bool) -> bool:
-    """May this core form the first view (design 5.5)? It started with `first`, now or, by its own note on disk, before."""
+    """Tell whether this core may form the first view (design 5.5): it was started for that, now or, by its disk, before."""
     return name in named and (first or formed_before)
 
 
@@ -197,7 +213,7 @@
     place: Place,
     stamp_origin: int = 0,
 ) -> CoreState:
-    """The state after a start, from what was last synced."""
+    """Return the state after a start, from the tables on disk as last synced."""
     register = read_register(meta)
     return CoreState(
         register=register,
--- a/silverglade/control/values.py
+++ b/silverglade/control/values.py
@@ -1,4 +1,4 @@
-"""Copies and fingerprints of a core's state, for those who try out many ways from one state."""
+"""Copies and fingerprints of a core's state, for the model checker, which plays many steps from one state."""
 
 from __future__ import annotations
 
@@ -23,21 +23,23 @@
 
 @functools.cache
 def field_names(kind: type) -> tuple[str, ...]:
-    """The fields of a dataclass that are part of the state."""
+    """Return the fields of a dataclass that are part of the state."""
     return tuple(f.name for f in dataclasses.fields(kind) if f.name != SHARED)
 
 
 @functools.cache
 def changed_fields(kind: type) -> tuple[str, ...]:
-    """The fields of a record that is changed in place; none of a value that is not."""
+    """Return the fields of a record that is changed in place; none of a value that is not."""
     if not dataclasses.is_dataclass(kind) or kind.__dataclass_params__.frozen:  # type: ignore[attr-defined]
         return ()
     return tuple(f.name for f in dataclasses.fields(kind))
 
 
 def copied(value: Any) -> Any:
-    """A copy of a state, or of a field of one. Only maps, sets, lists and the records that hold them are changed in place:
-    these are copied, all else is shared."""
+    """Return a copy of a state, or of a field of one.
+
+    Only maps, sets, lists and the records that hold them are changed in place: these are copied, all else is shared.
+    """
     kind: type = type(value)
     if kind in PLAIN:
         return value
@@ -54,7 +56,7 @@
 
 
 def copied_chance(rng: random.Random) -> random.Random:
-    """A source of random numbers that goes on as this one does."""
+    """Return a source of random numbers that goes on as this one does."""
     if type(rng) is not random.Random:
         return copy.deepcopy(rng)
     twin = random.Random(0)
@@ -63,7 +65,7 @@
 
 
 def canonical(value: Any) -> Any:
-    """A value as nested tuples whose text is the same for equal values, whatever the order of sets and maps."""
+    """Return a value as nested tuples whose text is the same for equal values, whatever the order of sets and maps."""
     kind: type = type(value)
     if kind in PLAIN:
         return value
@@ -79,5 +81,5 @@
 
 
 def fingerprint(*values: Any) -> bytes:
-    """Sixteen bytes that are the same for equal values, in any process."""
+    """Return sixteen bytes that are the same for equal values, in any process."""
     return hashlib.blake2b(repr(canonical(values)).encode(), digest_size=16).digest()
--- a/silverglade/control/view.py
+++ b/silverglade/control/view.py
@@ -34,32 +34,32 @@
 
 
 def epoch(view: View | None) -> int:
-    """The epoch of a view; 0 before the first."""
+    """Return the epoch of a view; 0 before the first."""
     return view[0] if view else 0
 
 
 def members(view: View | None) -> tuple[str, ...]:
-    """The primary, then the backups."""
+    """Return the primary, then the backups; none before the first view."""
     return (view[1], *view[2]) if view else ()
 
 
 def disks(view: View | None) -> dict[str, str]:
-    """Each witness with its disk."""
+    """Return the disk of each witness."""
     return dict(view[3]) if view else {}
 
 
 def is_text_tuple(value: Any, least: int, most: int) -> bool:
-    """Is this a tuple of texts, of a length within the bounds?"""
+    """Tell whether a value is a tuple of texts, of a length within the bounds."""
     return isinstance(value, tuple) and least <= len(value) <= most and all(isinstance(x, str) for x in value)
 
 
 def is_ballot(value: Any) -> bool:
-    """Is this a ballot, as far as its shape says?"""
+    """Tell whether a value has the shape of a ballot."""
     return isinstance(value, tuple) and len(value) == 2 and type(value[0]) is int and isinstance(value[1], str)
 
 
 def is_view(value: Any) -> bool:
-    """Is this a view: at least one backup, three to nine witnesses, all members among them?"""
+    """Tell whether a value is a view: at least one backup, three to nine witnesses, all members among them."""
     return (
         isinstance(value, tuple)
         and len(value) == 4
@@ -77,20 +77,20 @@
 
 
 def is_view_or_none(value: Any) -> bool:
-    """Is this a view, or None for the time before the first?"""
+    """Tell whether a value is a view, or None for the time before the first."""
     return value is None or is_view(value)
 
 
 def view_of(value: Any) -> View | None:
-    """A checked array as a view; None stays None."""
+    """Return the view of a checked array; None stays None."""
     return None if value is None else View(*value)
 
 
 def ballot_of(value: Any) -> Ballot:
-    """A checked array as a ballot."""
+    """Return the ballot of a checked array."""
     return Ballot(*value)
 
 
 def plain(value: Any) -> Any:
-    """A view or a ballot as the array that travels and is stored; anything else as it is."""
+    """Return a view or a ballot as the array that travels and is stored; anything else as it is."""
     return tuple(value) if isinstance(value, View | Ballot) else value
--- a/silverglade/control/writes.py
+++ b/silverglade/control/writes.py
@@ -1,7 +1,7 @@
 """The writes to disk under way, and what follows each of them (design 5.4).
 
 What follows is a typed record, not a closure, so that a state with writes under way can be copied and compared. core.py
-carries each of them out when its write has ended.
+carries it out when the write has ended.
 """
 
 from __future__ import annotations
