--- a/silverglade/control/core.py
+++ b/silverglade/control/core.py
@@ -42,7 +42,6 @@
     Fence,
     Heartbeat,
     Message,
-    NewsRequest,
     Operation,
     Prepare,
     Promise,
@@ -52,6 +51,7 @@
     Replicated,
     Snapshot,
     SnapshotSynced,
+    UpdateRequest,
     decode,
 )
 from .spread import Place, Tolerance
@@ -66,7 +66,7 @@
     CommittedItemsWritten,
     Continuation,
     EpochSealed,
-    TellIfSynced,
+    SendIfSynced,
     WholeStoreWritten,
     keep,
 )
@@ -149,7 +149,7 @@
         self.effects.extend(state.writes.check(now))
         if state.next_heartbeat is None or now >= state.next_heartbeat:
             state.next_heartbeat = now + self.settings.tuning["heartbeat"]
-            liveness.send_due_heartbeats(self, now)
+            liveness.send_regular_heartbeats(self, now)
             self.lead(now)
             view_change.look_for_better_view(self, now)
         view_change.start_or_stop_seeking(self, now)
@@ -187,8 +187,8 @@
         match message:
             case Heartbeat() if sender != self.name:
                 liveness.on_heartbeat(self, sender, message, now)
-            case NewsRequest():
-                serving.on_news_request(self, sender, message, now)
+            case UpdateRequest():
+                serving.on_update_request(self, sender, message, now)
             case Operation():
                 replication.on_operation(self, sender, message)
             case Fence():
@@ -214,30 +214,30 @@
             case Promise() | Accepted() | Rejected():
                 view_change.on_answer(self, sender, message, now)
 
-    def on_write_ended(self, number: int, ok: bool, now: timedelta) -> None:
+    def on_write_ended(self, number: int, succeeded: bool, now: timedelta) -> None:
         """Go on with what waited for a write; a primary may open its view."""
-        continuation, effects = self.state.writes.ended(number, ok)
+        continuation, effects = self.state.writes.ended(number, succeeded)
         self.effects.extend(effects)
         if continuation is not None:
-            self.follow(continuation, ok, now)
+            self.follow(continuation, succeeded, now)
         snapshots.open_if_synced(self, now)
 
-    def follow(self, continuation: Continuation, ok: bool, now: timedelta) -> None:
+    def follow(self, continuation: Continuation, succeeded: bool, now: timedelta) -> None:
         """Carry out what follows a write."""
         match continuation:
-            case TellIfSynced():
-                if ok:
+            case SendIfSynced():
+                if succeeded:
                     self.send_outgoing(continuation.outgoing)
             case WholeStoreWritten():
-                snapshots.on_whole_store_written(self, continuation, ok)
+                snapshots.on_whole_store_written(self, continuation, succeeded)
             case ChangeWrittenByPrimary():
-                replication.on_written_by_primary(self, continuation, ok)
+                replication.on_written_by_primary(self, continuation, succeeded)
             case ChangeWrittenByBackup():
-                replication.on_written_by_backup(self, continuation, ok)
+                replication.on_written_by_backup(self, continuation, succeeded)
             case EpochSealed():
-                view_change.on_sealed(self, continuation, ok)
+                view_change.on_sealed(self, continuation, succeeded)
             case CommittedItemsWritten():
-                serving.on_committed_items_written(self, continuation, ok, now)
+                serving.on_committed_items_written(self, continuation, succeeded, now)
 
     def on_membership_changed(self, event: MembershipChanged) -> None:
         """Learn which cores live, which of them leave, and where they are."""
@@ -295,13 +295,13 @@
         return self.machine.state
 
 
-def core(
+def control_component(
     *,
-    me: str,
+    name: str,
     disk: str,
     cores: Iterable[str],
     saved: Mapping[str, Mapping[str, Any]],
-    opt: Mapping[str, Any],
+    tuning: Mapping[str, Any],
     rng: random.Random,
     place: Place = ("", ""),
     tolerance: Tolerance = (1, 1, 1),
@@ -309,11 +309,11 @@
 ) -> ControlPart:
     """Return the control component of a core.
 
-    :param me: the core's name.
+    :param name: the core's name.
     :param disk: the random id of its disk.
     :param cores: those that form the first view; others are met through membership and their heartbeats.
     :param saved: the tables on disk as last synced.
-    :param opt: time settings and limits, shared by all components.
+    :param tuning: time settings and limits, shared by all components.
     :param place: the core's zone and region.
     :param tolerance: how many machines, zones and regions may be lost at once.
     :param first: whether this core was started to form the first view (design 5.5).
@@ -321,19 +321,19 @@
     meta, named = saved.get(META_TABLE, {}), tuple(cores)
     formed_before = meta.get("first", False)
     settings = CoreSettings(
-        name=me,
+        name=name,
         disk=disk,
         named=named,
-        may_form=may_form_first_view(name=me, named=named, first=first, formed_before=formed_before),
+        may_form=may_form_first_view(name=name, named=named, first=first, formed_before=formed_before),
         formed_before=formed_before,
         tolerance=tolerance,
-        tuning=opt,
+        tuning=tuning,
     )
     state = initial_state(
         settings=settings,
         meta=meta,
         store=saved.get(STORE_TABLE, {}),
-        shown=saved.get(COMMITTED_TABLE, {}),
+        committed=saved.get(COMMITTED_TABLE, {}),
         place=place,
         stamp_origin=rng.getrandbits(STAMP_ORIGIN_BITS),
     )
--- a/silverglade/control/decisions.py
+++ b/silverglade/control/decisions.py
@@ -81,8 +81,8 @@
             items = tuple((key, version, value) for key, value in values)
             if change_id:
                 number = operation.number if isinstance(operation, TableChange) else 0
-                items += (outcomes.item(change=change_id, key=digest, at=version, number=number),)
-                items += outcomes.moved(store, at=version, aged=aged)
+                items += (outcomes.item(change_id=change_id, digest=digest, version=version, number=number),)
+                items += outcomes.moved_horizon(store, version=version, aged=aged)
             return Acknowledged(version), items
         case AheadOfBase():
             return ahead_of_base(store, operation), refusal_items(store, change_id, digest, version, aged)
@@ -90,20 +90,19 @@
             return decision, ()
 
 
-def known_result(store: StoreView, operation: ControlOperation, change_id: str, digest: str, known: tuple[str, Version]) -> Result:
-    """Return the result of an operation whose change id has the outcome `known`: the digest and version of what was settled."""
-    known_digest, known_version = known
-    if known_digest != digest:
+def known_result(store: StoreView, operation: ControlOperation, change_id: str, digest: str, known: outcomes.Outcome) -> Result:
+    """Return the result of an operation whose change id has the outcome `known`."""
+    if known.digest != digest:
         return Refused(result_codes.CHANGE_USED, change_id)
-    return Acknowledged(known_version) if known_version != INITIAL_VERSION else ahead_of_base(store, operation)
+    return Acknowledged(known.version) if known.version != INITIAL_VERSION else ahead_of_base(store, operation)
 
 
 def refusal_items(store: StoreView, change_id: str, digest: str, version: Version, aged: Version) -> Items:
     """Return the note that a change was refused for good: a late copy of it must not be taken once its base has come."""
     if not change_id:
         return ()
-    note = outcomes.item(change=change_id, key=digest, at=version, number=0, taken=False)
-    return (note, *outcomes.moved(store, at=version, aged=aged))
+    note = outcomes.item(change_id=change_id, digest=digest, version=version, number=0, taken=False)
+    return (note, *outcomes.moved_horizon(store, version=version, aged=aged))
 
 
 def ahead_of_base(store: StoreView, operation: ControlOperation) -> Refused:
--- a/silverglade/control/heartbeat.py
+++ b/silverglade/control/heartbeat.py
@@ -49,17 +49,17 @@
         """Forget all: after a pause of this process what it heard says nothing of now."""
         self.table.clear()
 
-    def heard(self, name: str, beat: Heartbeat, now: timedelta) -> None:
+    def heard(self, name: str, heartbeat: Heartbeat, now: timedelta) -> None:
         """Take in a heartbeat."""
         was = self.table.get(name)
         peer = Peer(
             heard_at=now,
-            able=beat.able,
-            disk=beat.disk,
-            sealed=beat.sealed,
-            blank=beat.blank,
-            stamp=beat.stamp,
-            echoed=milliseconds(beat.echo) if beat.echo >= 0 else None,
+            able=heartbeat.able,
+            disk=heartbeat.disk,
+            sealed=heartbeat.sealed,
+            blank=heartbeat.blank,
+            stamp=heartbeat.stamp,
+            echoed=milliseconds(heartbeat.echo) if heartbeat.echo >= 0 else None,
             unsteady_since=was and was.unsteady_since or now,
         )
         self.table[name] = replace(peer, unsteady_since=None) if self.is_steady(peer, now) else peer
--- a/silverglade/control/liveness.py
+++ b/silverglade/control/liveness.py
@@ -41,7 +41,7 @@
     return sent if 0 <= sent <= to_milliseconds(now) else -1
 
 
-def is_told_regularly(core: CoreContext, name: str, now: timedelta) -> bool:
+def gets_regular_heartbeats(core: CoreContext, name: str, now: timedelta) -> bool:
     """Tell whether this core sends heartbeats to that one regularly (design 5.10).
 
     The primary does to all, all do to the primary; one that misses the primary, or seeks a view, does to all.
@@ -52,60 +52,60 @@
     return core.name == view.primary or name == view.primary or not state.peers.is_up(view.primary, now)
 
 
-def send_due_heartbeats(core: CoreContext, now: timedelta) -> None:
+def send_regular_heartbeats(core: CoreContext, now: timedelta) -> None:
     """Send the heartbeats that are due in this round."""
     interval, sent = core.settings.tuning["heartbeat"], core.state.heartbeat_sent
     backed, opened = core.backed_view(), core.open_view()
     for name in core.others():
         # a backup answers its primary at once; the primary tells the rest when its proof is new
-        told_anyway = backed is not None and name == backed.primary or opened is not None and name not in opened.backups
-        wait = interval * (0.5 + told_anyway)
-        if is_told_regularly(core, name, now) and now - sent.get(name, -2 * interval) >= wait:
+        sent_anyway = backed is not None and name == backed.primary or opened is not None and name not in opened.backups
+        wait = interval * (0.5 + sent_anyway)
+        if gets_regular_heartbeats(core, name, now) and now - sent.get(name, -2 * interval) >= wait:
             send_heartbeat(core, name, now)
 
 
-def on_heartbeat(core: CoreContext, sender: str, beat: Heartbeat, now: timedelta) -> None:
+def on_heartbeat(core: CoreContext, sender: str, heartbeat: Heartbeat, now: timedelta) -> None:
     """Take in the heartbeat of another core; answer it, and draw the proof from it, where that applies."""
     state = core.state
-    beat = beat._replace(echo=own_echo(core, beat.echo, now))
-    is_new, was_up = state.peers.disk(sender) != beat.disk, state.peers.is_up(sender, now)
-    state.peers.heard(sender, beat, now)
+    heartbeat = heartbeat._replace(echo=own_echo(core, heartbeat.echo, now))
+    is_new, was_up = state.peers.disk(sender) != heartbeat.disk, state.peers.is_up(sender, now)
+    state.peers.heard(sender, heartbeat, now)
     state.met.add(sender)
     if not was_up and state.peers.is_up(sender, now):
         view_change.look_for_better_view(core, now)
-    if beat.epoch < core.epoch:
+    if heartbeat.epoch < core.epoch:
         core.send(sender, ChosenView(state.view))
-    if is_new or wants_answer(core, sender, beat, now):
+    if is_new or wants_answer(core, sender, heartbeat, now):
         send_heartbeat(core, sender, now)
-    if state.view is None or beat.epoch != state.view.epoch or beat.echo < 0:
+    if state.view is None or heartbeat.epoch != state.view.epoch or heartbeat.echo < 0:
         return
     opened = core.open_view()
-    if opened is not None and sender in opened.backups and beat.sealed < beat.epoch:
-        note_proof(core, opened, sender, beat, now)
-    if beat.committed > state.committed_version:  # what any core of this view shows was acknowledged
+    if opened is not None and sender in opened.backups and heartbeat.sealed < heartbeat.epoch:
+        note_proof(core, opened, sender, heartbeat, now)
+    if heartbeat.committed > state.committed_version:  # what any core of this view shows was acknowledged
         pull_committed_items(core, sender, now)
-    elif beat.age >= 0:
-        age = 0 if is_proof_itself(core, state.view, sender, beat) else beat.age
-        state.proven_at = max(state.proven_at or ZERO, milliseconds(beat.echo - age))
+    elif heartbeat.age >= 0:
+        age = 0 if is_proof_itself(core, state.view, sender, heartbeat) else heartbeat.age
+        state.proven_at = max(state.proven_at or ZERO, milliseconds(heartbeat.echo - age))
 
 
-def wants_answer(core: CoreContext, sender: str, beat: Heartbeat, now: timedelta) -> bool:
+def wants_answer(core: CoreContext, sender: str, heartbeat: Heartbeat, now: timedelta) -> bool:
     """Tell whether a heartbeat is answered at once.
 
     That of the primary is, since the answer is the proof that it leads; so is that of a core which has not heard this process
     yet. One that expects an answer for another reason gets it, but not too often.
     """
     backed, interval = core.backed_view(), core.settings.tuning["heartbeat"]
-    if backed is not None and sender == backed.primary or beat.echo < 0:
+    if backed is not None and sender == backed.primary or heartbeat.echo < 0:
         return True
-    asks = beat.epoch > core.epoch or not is_told_regularly(core, sender, now)
+    asks = heartbeat.epoch > core.epoch or not gets_regular_heartbeats(core, sender, now)
     return bool(asks and now - core.state.heartbeat_sent.get(sender, -interval) >= interval / 2)
 
 
-def note_proof(core: CoreContext, view: View, backup: str, beat: Heartbeat, now: timedelta) -> None:
+def note_proof(core: CoreContext, view: View, backup: str, heartbeat: Heartbeat, now: timedelta) -> None:
     """Note that a backup which has not sealed its epoch has heard the primary; when all have, tell the other cores."""
     state, interval = core.state, core.settings.tuning["heartbeat"]
-    state.proofs[backup] = max(state.proofs.get(backup, ZERO), milliseconds(beat.echo))
+    state.proofs[backup] = max(state.proofs.get(backup, ZERO), milliseconds(heartbeat.echo))
     if len(state.proofs) == len(view.backups):
         state.proven_at = max(state.proven_at or ZERO, min(state.proofs.values()))
         for name in core.others():
@@ -123,10 +123,10 @@
     state.pulled_at = state.pulled_at or now
 
 
-def is_proof_itself(core: CoreContext, view: View, sender: str, beat: Heartbeat) -> bool:
+def is_proof_itself(core: CoreContext, view: View, sender: str, heartbeat: Heartbeat) -> bool:
     """Tell whether this core, as the only backup, is itself the proof that the primary led when it sent this heartbeat.
 
     Without this backup's seal no later view can have begun.
     """
-    unsealed = max(beat.sealed, core.state.sealed) < beat.epoch
+    unsealed = max(heartbeat.sealed, core.state.sealed) < heartbeat.epoch
     return sender == view.primary and view.backups == (core.name,) and core.backed_view() is not None and unsealed
--- a/silverglade/control/messages.py
+++ b/silverglade/control/messages.py
@@ -132,7 +132,7 @@
     version: Version
 
 
-class NewsRequest(NamedTuple):
+class UpdateRequest(NamedTuple):
     """A daemon asks for an update after a version; `position` is where its table of soft state stands."""
 
     number: int
@@ -184,7 +184,7 @@
     | Replicated
     | CommittedItems
     | Pull
-    | NewsRequest
+    | UpdateRequest
     | Operation
     | Fence
     | Fenced
@@ -219,7 +219,7 @@
     "repd": (Replicated, (INT, INT)),
     "items": (CommittedItems, (INT, VERSION, VERSION, ITEMS)),
     "pull": (Pull, (VERSION,)),
-    "get": (NewsRequest, (INT, VERSION, _anything)),
+    "get": (UpdateRequest, (INT, VERSION, _anything)),
     "op": (Operation, (INT, TEXT, ARRAY, TEXT)),
     "fence": (Fence, (INT, ARRAY)),
     "fenced": (Fenced, (INT, VERSION)),
--- a/silverglade/control/outcomes.py
+++ b/silverglade/control/outcomes.py
@@ -1,6 +1,6 @@
 """Outcomes of operators' changes (design 5.3): a change that was taken is acknowledged again whenever it is sent again.
 
-An outcome stands in the store under its change's id: (digest of the call, version, number). The version START says that
+An outcome stands in the store under its change's id: (digest of the call, version, number). `INITIAL_VERSION` as its version says that
 the change was refused for good, since it named a base that was still to come. `number` is the operator's own, 0 for none.
 
 The horizon (version, number) says what was forgotten: every outcome up to that version but the one of the configuration in
@@ -14,74 +14,132 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from datetime import timedelta
-from typing import Any
+from typing import Any, NamedTuple
 
 Version = tuple[int, int]
-Held = Mapping[str, tuple[Version, Any]]
+"""(epoch, number) of a change."""
+
+StoreView = Mapping[str, tuple[Version, Any]]
+"""The store, to be read alone: key to (version, value)."""
+
+Item = tuple[str, Version, Any]
+"""An item as it travels: its key, the version of the change that set it, its value."""
+
+INITIAL_VERSION: Version = (0, 0)
+"""Before every other version."""
 
-START: Version = (0, 0)
 PREFIX = "change/"
 """Of the keys of outcomes; the change id follows."""
 
 HORIZON = "forgotten"
 """Key of the horizon."""
 
-MOST = 4096
+MAX_OUTCOMES = 4096
 """Outcomes kept, of some 200 bytes at most."""
-CHUNK = MOST // 4
-"""Outcomes that are forgotten at once when there are `MOST`."""
-MARKS = 8
+
+FORGOTTEN_AT_ONCE = MAX_OUTCOMES // 4
+"""Outcomes that are forgotten at once when there are `MAX_OUTCOMES`."""
+
+AGE_STEPS = 8
 """Steps in which the time for which outcomes are kept is counted."""
 
+CONFIGURATION_KEY = "config"
+
+
+class Outcome(NamedTuple):
+    """What became of a change.
+
+    :ivar digest: of the change's text.
+    :ivar version: the one that it got; `INITIAL_VERSION` where it was refused for good.
+    :ivar number: the operator's own number of it; 0 for none, None where an earlier program kept none.
+    """
+
+    digest: str
+    version: Version
+    number: int | None = None
+
+
+class Horizon(NamedTuple):
+    """Up to which version, and which operator's number, outcomes may be forgotten."""
+
+    version: Version
+    number: int
+
 
 def private(key: str) -> bool:
     """Tell whether a key is for members alone, so that no daemon is told of it."""
     return key.startswith(PREFIX) or key == HORIZON
 
 
-def horizon(store: Held) -> tuple[Version, int]:
-    """Return up to which version, and which operator's number, outcomes may be forgotten."""
-    held: tuple[Version, int] = store[HORIZON][1] if HORIZON in store else (START, 0)
-    return held
+def horizon(store: StoreView) -> Horizon:
+    """Return the horizon; nothing is forgotten before the first is set."""
+    if HORIZON not in store:
+        return Horizon(INITIAL_VERSION, 0)
+    _, value = store[HORIZON]
+    return Horizon(*value)
+
 
+def find(store: StoreView, change_id: str) -> Outcome | None:
+    """Return the outcome of a change; None where there is none."""
+    if not change_id or PREFIX + change_id not in store:
+        return None
+    _, value = store[PREFIX + change_id]
+    return Outcome(*value)
 
-def find(store: Held, change: str) -> tuple[str, Version] | None:
-    """Return the outcome of a change as (digest, version); None where there is none."""
-    found = store.get(PREFIX + change) if change else None
-    return (found[1][0], found[1][1]) if found is not None else None
 
+def item(*, change_id: str, digest: str, version: Version, number: int, taken: bool = True) -> Item:
+    """Return an outcome as an item of the change at `version`.
 
-def item(*, change: str, key: str, at: Version, number: int, taken: bool = True) -> tuple[str, Version, Any]:
-    """Return an outcome as an item of the change at version `at`."""
-    return (PREFIX + change, at, (key, at if taken else START, number))
+    :param taken: False where the change was refused for good.
+    """
+    outcome = Outcome(digest, version if taken else INITIAL_VERSION, number)
+    return (PREFIX + change_id, version, tuple(outcome))
+
+
+def version_in_force(store: StoreView) -> Version:
+    """Return the version of the configuration in force."""
+    if CONFIGURATION_KEY not in store:
+        return INITIAL_VERSION
+    version, _ = store[CONFIGURATION_KEY]
+    return version
 
 
-def forgotten(store: Held) -> list[str]:
+def forgotten(store: StoreView) -> list[str]:
     """Return the keys of outcomes behind the horizon. Every member drops the same, since the horizon is in the store."""
-    cut, _ = horizon(store)
-    in_force = store["config"][0] if "config" in store else START
-    return [key for key, (version, _) in store.items() if version <= cut and key.startswith(PREFIX) and version != in_force]
+    reach, in_force = horizon(store).version, version_in_force(store)
+    return [key for key, (version, _) in store.items() if version <= reach and key.startswith(PREFIX) and version != in_force]
 
 
-def moved(store: Held, *, at: Version, aged: Version) -> tuple[tuple[str, Version, Any], ...]:
-    """Return the horizon as an item, if it is to move with the change at version `at`.
+def moved_horizon(store: StoreView, *, version: Version, aged: Version) -> tuple[Item, ...]:
+    """Return the horizon as an item, if it is to move with the change at `version`.
 
     :param aged: the newest version whose outcomes were kept long enough.
     """
-    kept = sorted((version, value) for key, (version, value) in store.items() if key.startswith(PREFIX))
-    cut, number = horizon(store)
-    by_count = kept[len(kept) - MOST + CHUNK - 1][0] if len(kept) >= MOST else START
-    reach = max(aged, by_count)
-    behind = [value for version, value in kept if cut < version <= reach]
+    kept = sorted((at, value) for key, (at, value) in store.items() if key.startswith(PREFIX))
+    reach = max(aged, newest_surplus([at for at, _ in kept]))
+    old = horizon(store)
+    behind = [Outcome(*value) for at, value in kept if old.version < at <= reach]
     if not behind:
         return ()
-    return ((HORIZON, at, (reach, max(number, *(number_of(store, value) for value in behind)))),)
+    number = max(old.number, *(number_of(store, outcome) for outcome in behind))
+    return ((HORIZON, version, (reach, number)),)
+
+
+def newest_surplus(versions: list[Version]) -> Version:
+    """Return the newest of the outcomes that go since there are too many, of all versions in their order."""
+    if len(versions) < MAX_OUTCOMES:
+        return INITIAL_VERSION
+    return versions[len(versions) - MAX_OUTCOMES + FORGOTTEN_AT_ONCE - 1]
 
 
-def number_of(store: Held, outcome: tuple[Any, ...]) -> int:
+def number_of(store: StoreView, outcome: Outcome) -> int:
     """Return the operator's number of an outcome; where an earlier program kept none, the one in force bounds it."""
-    in_force = store["config"][1].get("number", 0) if "config" in store else 0
-    number: int = outcome[2] if len(outcome) > 2 else in_force
+    if outcome.number is not None:
+        return outcome.number
+    if CONFIGURATION_KEY not in store:
+        return 0
+    _, configuration = store[CONFIGURATION_KEY]
+    number: int = configuration.get("number", 0)
     return number
 
 
@@ -94,15 +152,20 @@
     """
 
     marks: list[tuple[timedelta, Version]] = field(default_factory=list)
-    aged: Version = START
+    aged: Version = INITIAL_VERSION
 
     def newest_aged(self, now: timedelta, awake_since: timedelta, version: Version, keep: timedelta) -> Version:
         """Return the newest version that is older than `keep`.
 
         :param awake_since: since when this process has not paused, nor the view changed.
         """
-        if not self.marks or now - self.marks[-1][0] >= keep / MARKS:
+        newest_mark = self.marks[-1][0] if self.marks else None
+        if newest_mark is None or now - newest_mark >= keep / AGE_STEPS:
             self.marks.append((now, version))
-        while self.marks and now - max(self.marks[0][0], awake_since) >= keep:
-            self.aged = max(self.aged, self.marks.pop(0)[1])
+        while self.marks:
+            marked_at, marked_version = self.marks[0]
+            if now - max(marked_at, awake_since) < keep:
+                break
+            self.marks.pop(0)
+            self.aged = max(self.aged, marked_version)
         return self.aged
--- a/silverglade/control/replicated_state.py
+++ b/silverglade/control/replicated_state.py
@@ -10,28 +10,49 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable
 from typing import Any, NamedTuple
 
 from . import outcomes
-
-Version = tuple[int, int]
-"""(epoch, number) of a change, or of a whole store."""
-
-StoreView = Mapping[str, tuple[Version, Any]]
-"""The store, to be read alone: key to (version, value)."""
-
-Item = tuple[str, Version, Any]
-"""An item as it travels: its key, the version of the change that set it, its value."""
+from .outcomes import CONFIGURATION_KEY, INITIAL_VERSION, Item, StoreView, Version
+
+__all__ = [
+    "CONFIGURATION_KEY",
+    "EPOCH_FLOOR_PREFIX",
+    "EVACUATION_PREFIX",
+    "INITIAL_VERSION",
+    "MAX_DROPPED_ROLES",
+    "ROLE_PREFIX",
+    "SHARD_ROLE",
+    "SLOT_LEASES_ROLE",
+    "SOURCE_KEY",
+    "Item",
+    "Items",
+    "RoleAssignment",
+    "StoreView",
+    "Version",
+    "configuration_number",
+    "epoch_floor",
+    "epoch_floor_key",
+    "evacuated_zones",
+    "evacuation_key",
+    "fencing_token_of",
+    "is_item_list",
+    "is_version",
+    "items_since",
+    "newest_version",
+    "pruned_keys",
+    "role_assignment",
+    "role_key",
+    "value_of",
+    "version_of",
+]
 
 Items = tuple[Item, ...]
 
-INITIAL_VERSION: Version = outcomes.START
-
 MAX_DROPPED_ROLES = 256
 """Dropped roles that are kept, so that daemons which were away learn of them."""
 
-CONFIGURATION_KEY = "config"
 SOURCE_KEY = "source"
 EVACUATION_PREFIX = "evac/"
 ROLE_PREFIX = "duty/"
@@ -40,7 +61,7 @@
 SHARD_ROLE = "shard"
 """Kind of role: owner of a tenant's shard; its name is the tenant's."""
 
-LEDGER_ROLE = "ledger"
+SLOT_LEASES_ROLE = "ledger"
 """Kind of role: holder of a replica's slot leases; its name is the replica's."""
 
 
--- a/silverglade/control/replication.py
+++ b/silverglade/control/replication.py
@@ -185,19 +185,19 @@
     return (view.epoch, previous[1] + 1 if previous[0] == view.epoch else 1)
 
 
-def note_change_written(core: CoreContext, ok: bool) -> None:
+def note_change_written(core: CoreContext, succeeded: bool) -> None:
     """Note a failed write of a change: the store on disk is incomplete until it is written whole."""
-    if not ok and core.state.store_on_disk is StoreOnDisk.WHOLE:
+    if not succeeded and core.state.store_on_disk is StoreOnDisk.WHOLE:
         core.state.store_on_disk = StoreOnDisk.TORN
 
 
-def on_written_by_primary(core: CoreContext, written: ChangeWrittenByPrimary, ok: bool) -> None:
+def on_written_by_primary(core: CoreContext, written: ChangeWrittenByPrimary, succeeded: bool) -> None:
     """Send the change to the backups once the primary's own disk has synced it."""
-    note_change_written(core, ok)
+    note_change_written(core, succeeded)
     view, pending = core.state.view, core.state.pending
     if view is not None and pending is not None and pending.nonce == written.nonce:
-        pending.synced_here = ok
-        if ok:
+        pending.synced_here = succeeded
+        if succeeded:
             replicate(core, view, pending)
 
 
@@ -234,10 +234,10 @@
     core.write(store.changed(change.items, gone), ChangeWrittenByBackup(confirmation), now)
 
 
-def on_written_by_backup(core: CoreContext, written: ChangeWrittenByBackup, ok: bool) -> None:
+def on_written_by_backup(core: CoreContext, written: ChangeWrittenByBackup, succeeded: bool) -> None:
     """Confirm a change to the primary once this backup's disk has synced it."""
-    note_change_written(core, ok)
-    if ok:
+    note_change_written(core, succeeded)
+    if succeeded:
         core.send_outgoing(written.outgoing)
 
 
--- a/silverglade/control/role_assigner.py
+++ b/silverglade/control/role_assigner.py
@@ -18,9 +18,9 @@
 from .operations import AssignRole
 from .replicated_state import (
     CONFIGURATION_KEY,
-    LEDGER_ROLE,
     ROLE_PREFIX,
     SHARD_ROLE,
+    SLOT_LEASES_ROLE,
     RoleAssignment,
     StoreView,
     role_assignment,
@@ -31,7 +31,7 @@
 MAX_DROPPED_AT_ONCE = 256
 """Roles of a kind that one operation drops."""
 
-ROLE_KINDS = (SHARD_ROLE, LEDGER_ROLE)
+ROLE_KINDS = (SHARD_ROLE, SLOT_LEASES_ROLE)
 
 NOBODY = RoleAssignment(0, "", "")
 
@@ -96,7 +96,7 @@
         for tenant, settings in self.tenants().items():
             yield WantedRole(SHARD_ROLE, tenant, frozenset(settings["homes"]))
         for replica, zone in self.replica_zones:
-            yield WantedRole(LEDGER_ROLE, replica, frozenset((zone,)))
+            yield WantedRole(SLOT_LEASES_ROLE, replica, frozenset((zone,)))
 
     def tenants(self) -> Mapping[str, Any]:
         """Return the tenants of the configuration in force."""
@@ -118,7 +118,7 @@
     def candidates(self, role: WantedRole, ready: Mapping[str, MemberRecord]) -> list[str]:
         """Return the daemons that may hold a role; slot leases also those of the replica's region, where its zone has none."""
         candidates = [name for name, member in ready.items() if member.zone in role.zones]
-        if role.kind == LEDGER_ROLE and not candidates:
+        if role.kind == SLOT_LEASES_ROLE and not candidates:
             regions = {member.region for member in self.members if member.zone in role.zones}
             candidates = [name for name, member in ready.items() if member.region in regions]
         return candidates
@@ -126,7 +126,7 @@
     def unneeded_roles(self, now: timedelta) -> Iterator[DropRoles]:
         """Yield roles to drop: those of tenants and replicas that have been gone for the setting `forget`."""
         needed = {role_key(SHARD_ROLE, tenant) for tenant in self.tenants()}
-        needed |= {role_key(LEDGER_ROLE, replica) for replica, _ in self.replica_zones}
+        needed |= {role_key(SLOT_LEASES_ROLE, replica) for replica, _ in self.replica_zones}
         unneeded = [key for key in self.store if key.startswith(ROLE_PREFIX) and key not in needed]
         self.unneeded_since = {key: self.unneeded_since.get(key, now) for key in unneeded}
         for kind in ROLE_KINDS:
--- a/silverglade/control/seek.py
+++ b/silverglade/control/seek.py
@@ -83,7 +83,7 @@
 
     `goal` is set in every step but REST, `round` in ROUND once the witnesses were asked.
 
-    :ivar due: when the next attempt may begin.
+    :ivar next_attempt_at: when the next attempt may begin.
     :ivar begun: when this attempt began, or its round.
     :ivar nonce: of the seal and the copies of this attempt.
     :ivar sealed: whether the seal with that nonce is on disk.
@@ -91,7 +91,7 @@
     :ivar highest: the highest ballot seen.
     """
 
-    due: timedelta
+    next_attempt_at: timedelta
     step: Step = Step.REST
     goal: Goal | None = None
     begun: timedelta | None = None
@@ -101,9 +101,9 @@
     round: Round | None = None
     highest: Ballot = NO_BALLOT
 
-    def is_due(self, now: timedelta) -> bool:
+    def may_begin(self, now: timedelta) -> bool:
         """Tell whether a new attempt may begin."""
-        return self.step is Step.REST and now >= self.due
+        return self.step is Step.REST and now >= self.next_attempt_at
 
     def begin(self, goal: Goal, now: timedelta, rng: random.Random) -> list[Action]:
         """Begin an attempt; return what is to be done first."""
@@ -180,7 +180,7 @@
             case Accept() as accept:
                 return [self.ask(self.goal, accept)]
             case Chosen(view) | Behind(view):
-                self.step, self.due = Step.REST, now + tuning["settle"]
+                self.step, self.next_attempt_at = Step.REST, now + tuning["settle"]
                 return [Learn(view)]
             case Lost():
                 self.retry_later(now, tuning, rng)
@@ -188,7 +188,7 @@
 
     def retry_later(self, now: timedelta, tuning: Mapping[str, Any], rng: random.Random) -> None:
         """End the attempt and wait for a random time, so that two seekers do not overtake each other for ever."""
-        self.step, self.due = Step.REST, now + tuning["settle"] * rng.random() + PAUSE
+        self.step, self.next_attempt_at = Step.REST, now + tuning["settle"] * rng.random() + PAUSE
 
     @staticmethod
     def ask(goal: Goal, message: Prepare | Accept) -> Ask:
--- a/silverglade/control/serving.py
+++ b/silverglade/control/serving.py
@@ -9,7 +9,7 @@
 from ..runtime.events import AnswerRequested, DaemonAskedHere
 from . import store
 from .context import CoreContext
-from .messages import CommittedItems, NewsRequest, Pull
+from .messages import CommittedItems, Pull, UpdateRequest
 from .replicated_state import Items, Version, items_since, newest_version
 from .state import HeldRequest
 from .writes import CommittedItemsWritten, DiskOperation, keep
@@ -43,11 +43,11 @@
     core.write([*operations.values(), *keep(shown=state.committed_version)], written, now)
 
 
-def on_committed_items_written(core: CoreContext, written: CommittedItemsWritten, ok: bool, now: timedelta) -> None:
+def on_committed_items_written(core: CoreContext, written: CommittedItemsWritten, succeeded: bool, now: timedelta) -> None:
     """Go on after a write of committed items. What it did not bring to disk goes with the next."""
     state = core.state
     state.committed_write_under_way = False
-    if not ok:
+    if not succeeded:
         failed = {key_of(operation): operation for operation in written.operations}
         state.committed_unwritten = {**failed, **state.committed_unwritten}
     elif state.committed_unwritten or state.committed_version > written.version:
@@ -70,13 +70,13 @@
     for request in state.held:
         moved = state.table_position not in (None, request.position)
         if state.committed_version > request.version or now - request.received >= longest_wait or moved:
-            answer_news(core, request, age, now)
+            answer_update(core, request, age, now)
         else:
             waiting.append(request)
     state.held = waiting
 
 
-def answer_news(core: CoreContext, request: HeldRequest, age: int, now: timedelta) -> None:
+def answer_update(core: CoreContext, request: HeldRequest, age: int, now: timedelta) -> None:
     """Answer a request for updates; the core table appends what is new of soft state (design 4.3)."""
     state = core.state
     items = items_since(state.committed_items, request.version)
@@ -84,7 +84,7 @@
     core.post(Component.CORE_TABLE, AnswerRequested(request.sender, update, request.position))
 
 
-def on_news_request(core: CoreContext, sender: str, request: NewsRequest, now: timedelta) -> None:
+def on_update_request(core: CoreContext, sender: str, request: UpdateRequest, now: timedelta) -> None:
     """Hold a daemon's request for updates until there is one."""
     core.state.held.append(HeldRequest(now, sender, request.number, request.version, request.position))
     core.post(Component.CORE_TABLE, DaemonAskedHere(sender))
--- a/silverglade/control/snapshots.py
+++ b/silverglade/control/snapshots.py
@@ -45,11 +45,11 @@
     serving.answer_held(core, now)
 
 
-def on_whole_store_written(core: CoreContext, written: WholeStoreWritten, ok: bool) -> None:
+def on_whole_store_written(core: CoreContext, written: WholeStoreWritten, succeeded: bool) -> None:
     """Go on after a write of the whole store; it tells the state of the disk only within the view in which it began."""
     if written.epoch == core.epoch:
-        core.state.store_on_disk = StoreOnDisk.WHOLE if ok else StoreOnDisk.TORN
-    if ok and written.outgoing:
+        core.state.store_on_disk = StoreOnDisk.WHOLE if succeeded else StoreOnDisk.TORN
+    if succeeded and written.outgoing:
         core.send_outgoing(written.outgoing)
 
 
--- a/silverglade/control/state.py
+++ b/silverglade/control/state.py
@@ -132,14 +132,14 @@
     """All that a control core knows. Only a step changes it.
 
     On disk before anything is said that rests on it: `register`, `sealed`, `recruited`, `served` and `store`; `committed_items` and
-    `committed_version` follow by and by, and may be behind on disk.
+    `committed_version` follow later, and may be behind on disk.
 
     Invariants:
     - `view.epoch` never falls; `sealed`, `recruited`, `served`, `committed_version` and the register's promise never fall.
     - `register.base == view`: what is known to be chosen is what the witness holds as its base.
     - `open_epoch` is 0 or `view.epoch`, and is not 0 only on the primary, after all backups have synced its whole store.
     - A backup takes changes of `view` only while `served == view.epoch > sealed`.
-    - On disk, the shown items lack nothing up to the shown version there.
+    - On disk, the committed items lack nothing up to the committed version there.
     - `pending` is None but on the primary of `view`: begun in it, or, until the view is open, part of `store`.
     - Every version in `committed_items` is at most `committed_version`, and was acknowledged or synced by all members of a view.
     - `proofs` and `snapshot_synced_by` name backups of `view` alone.
@@ -148,7 +148,8 @@
     # the register, and the newest view known to be chosen
     register: Register
     view: View | None
-    # epochs: no more changes are taken under `sealed`; recruited for; the one whose opening snapshot the store began from
+    # epochs: no more changes are taken under `sealed`; this core was recruited for `recruited`; its store began from the opening
+    # snapshot of `served`
     sealed: int
     recruited: int
     served: int
@@ -161,12 +162,12 @@
     # the other cores
     peers: Peers
     places: dict[str, Place]
-    # what this life adds to its clock in the stamps of its heartbeats, so that no other life's stamp is taken for one of ours
+    # what this process adds to its clock in the stamps of its heartbeats, so that no other process's stamp is taken for its own
     stamp_origin: int
-    # of the shown items: what is not on disk yet, by key, and whether a write of some is under way
+    # of the committed items: what is not on disk yet, by key, and whether a write of some is under way
     committed_unwritten: dict[str, DiskOperation] = field(default_factory=dict)
     committed_write_under_way: bool = False
-    met: set[str] = field(default_factory=set)  # by the roll, or by a heartbeat
+    met: set[str] = field(default_factory=set)  # through membership, or by a heartbeat
     leaving: set[str] = field(default_factory=set)  # those that said that they leave, and are not back
     live: dict[str, str] = field(default_factory=dict)  # those that may be named in a view, and since when they are the same
     live_since: timedelta = ZERO
@@ -186,7 +187,7 @@
     opening: OpeningSnapshot | None = None
     snapshot_synced_by: set[str] = field(default_factory=set)
     proofs: dict[str, timedelta] = field(default_factory=dict)
-    # the newest time at which the primary was proved to be primary; when the last pull of shown items was sent
+    # the newest time at which the primary was proved to be primary; when the last pull of committed items was sent
     proven_at: timedelta | None = None
     pulled_at: timedelta | None = None
     # seeking a new view: the seeker; a better view; the epoch that this core sealed to seek the next; recruits' syncs
@@ -209,7 +210,7 @@
     settings: CoreSettings,
     meta: Mapping[str, Any],
     store: Mapping[str, Any],
-    shown: Mapping[str, Any],
+    committed: Mapping[str, Any],
     place: Place,
     stamp_origin: int = 0,
 ) -> CoreState:
@@ -222,7 +223,7 @@
         recruited=meta.get("recruited", 0),
         served=meta.get("served", 0),
         store=dict(store),
-        committed_items=dict(shown),
+        committed_items=dict(committed),
         committed_version=meta.get("shown", INITIAL_VERSION),
         store_on_disk=StoreOnDisk.WHOLE,
         writes=Writes(settings.tuning),
--- a/silverglade/control/view.py
+++ b/silverglade/control/view.py
@@ -35,17 +35,17 @@
 
 def epoch(view: View | None) -> int:
     """Return the epoch of a view; 0 before the first."""
-    return view[0] if view else 0
+    return view.epoch if view else 0
 
 
 def members(view: View | None) -> tuple[str, ...]:
     """Return the primary, then the backups; none before the first view."""
-    return (view[1], *view[2]) if view else ()
+    return (view.primary, *view.backups) if view else ()
 
 
 def disks(view: View | None) -> dict[str, str]:
     """Return the disk of each witness."""
-    return dict(view[3]) if view else {}
+    return dict(view.witnesses) if view else {}
 
 
 def is_text_tuple(value: Any, least: int, most: int) -> bool:
@@ -55,24 +55,35 @@
 
 def is_ballot(value: Any) -> bool:
     """Tell whether a value has the shape of a ballot."""
-    return isinstance(value, tuple) and len(value) == 2 and type(value[0]) is int and isinstance(value[1], str)
+    if not isinstance(value, tuple) or len(value) != len(Ballot._fields):
+        return False
+    number, proposer = value
+    return type(number) is int and isinstance(proposer, str)
 
 
 def is_view(value: Any) -> bool:
     """Tell whether a value is a view: at least one backup, three to nine witnesses, all members among them."""
+    if not isinstance(value, tuple) or len(value) != len(View._fields):
+        return False
+    number, primary, backups, witnesses = value
+    return (
+        type(number) is int
+        and number > 0
+        and isinstance(primary, str)
+        and is_text_tuple(backups, 1, MOST_WITNESSES - 1)
+        and len({primary, *backups}) == 1 + len(backups)
+        and is_witness_tuple(witnesses)
+        and {primary, *backups} <= {name for name, _ in witnesses}
+    )
+
+
+def is_witness_tuple(value: Any) -> bool:
+    """Tell whether a value is a tuple of three to nine witnesses, each named once."""
     return (
         isinstance(value, tuple)
-        and len(value) == 4
-        and type(value[0]) is int
-        and value[0] > 0
-        and isinstance(value[1], str)
-        and is_text_tuple(value[2], 1, MOST_WITNESSES - 1)
-        and len({value[1], *value[2]}) == 1 + len(value[2])
-        and isinstance(value[3], tuple)
-        and LEAST_WITNESSES <= len(value[3]) <= MOST_WITNESSES
-        and all(is_text_tuple(pair, 2, 2) for pair in value[3])
-        and len(dict(value[3])) == len(value[3])
-        and {value[1], *value[2]} <= {pair[0] for pair in value[3]}
+        and LEAST_WITNESSES <= len(value) <= MOST_WITNESSES
+        and all(is_text_tuple(pair, 2, 2) for pair in value)
+        and len(dict(value)) == len(value)
     )
 
 
--- a/silverglade/control/view_change.py
+++ b/silverglade/control/view_change.py
@@ -156,7 +156,7 @@
         if why or state.view is None:
             state.next_heartbeat = now  # so that all are heard before a plan is made
             state.seeking_since = state.seeking_since or now
-            state.seeker = Seeker(due=now + core.settings.tuning["settle"] * patience(core, why))
+            state.seeker = Seeker(next_attempt_at=now + core.settings.tuning["settle"] * patience(core, why))
     elif state.view is not None and not why:
         state.seeker = state.seeking_since = None
 
@@ -178,10 +178,10 @@
     if seeker is None:
         return
     seeker.highest = max(seeker.highest, state.register.promised)
-    if seeker.is_due(now):
+    if seeker.may_begin(now):
         wanted = goal(core, now)
         if wanted is None:
-            seeker.due = now + core.settings.tuning["beat"]
+            seeker.next_attempt_at = now + core.settings.tuning["beat"]
             return
         carry_out(core, seeker.begin(wanted, now, core.rng), now)
     actions = seeker.advance(
@@ -228,7 +228,7 @@
     core.write(keep(sealed=state.sealed), EpochSealed(nonce), now)
 
 
-def on_sealed(core: CoreContext, written: EpochSealed, ok: bool) -> None:
+def on_sealed(core: CoreContext, written: EpochSealed, succeeded: bool) -> None:
     """Tell the seeker that the seal is on disk."""
-    if ok and core.state.seeker is not None:
+    if succeeded and core.state.seeker is not None:
         core.state.seeker.seal_written(written.nonce)
--- a/silverglade/control/writes.py
+++ b/silverglade/control/writes.py
@@ -36,7 +36,7 @@
     "DiskOperation",
     "EpochSealed",
     "Outgoing",
-    "TellIfSynced",
+    "SendIfSynced",
     "WholeStoreWritten",
     "Writes",
     "keep",
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TellIfSynced:
+class SendIfSynced:
     """The register or an epoch was written: the message may go if that succeeded."""
 
     outgoing: Outgoing
@@ -94,7 +94,7 @@
     operations: tuple[DiskOperation, ...]
 
 
-Continuation = CommittedItemsWritten | TellIfSynced | WholeStoreWritten | ChangeWrittenByPrimary | ChangeWrittenByBackup | EpochSealed
+Continuation = CommittedItemsWritten | SendIfSynced | WholeStoreWritten | ChangeWrittenByPrimary | ChangeWrittenByBackup | EpochSealed
 
 
 class WriteUnderWay(NamedTuple):
@@ -147,14 +147,14 @@
             effects.append(self.begin(keep(alive=to_milliseconds(now)), None, now))
         return effects
 
-    def ended(self, number: int, ok: bool) -> tuple[Continuation | None, list[Effect]]:
+    def ended(self, number: int, succeeded: bool) -> tuple[Continuation | None, list[Effect]]:
         """Take in the end of a write; return what follows it, and effects."""
         write = self.under_way.pop(number, None)
         continuation = write.continuation if write else None
-        if self.disk_able == ok or ok and self.under_way:
+        if self.disk_able == succeeded or succeeded and self.under_way:
             return continuation, []
-        self.disk_able = ok
-        return continuation, [log_record("disk-fit" if ok else "disk-fault")]
+        self.disk_able = succeeded
+        return continuation, [log_record("disk-fit" if succeeded else "disk-fault")]
 
 
 def keep(**values: Any) -> list[DiskOperation]:
--- a/silverglade/runtime/daemon_machine.py
+++ b/silverglade/runtime/daemon_machine.py
@@ -11,7 +11,7 @@
 from ..autoscaling.unordered_scaler import need
 from ..configuration.operator_api import desk
 from ..configuration.updates import news
-from ..control.core import core
+from ..control.core import control_component
 from ..control.role_assigner import RoleAssigner
 from ..membership.core_table import table
 from ..membership.member import roster
@@ -105,8 +105,8 @@
         }
         if disk:
             saved = saved or {}
-            p["control"] = core(
-                me=me, disk=disk, cores=cores, saved=saved, opt=opt, rng=rng, place=(zone, region), tolerance=tolerance, first=first
+            p["control"] = control_component(
+                name=me, disk=disk, cores=cores, saved=saved, tuning=opt, rng=rng, place=(zone, region), tolerance=tolerance, first=first
             )
             p["core_table"] = table(me=me, life=life, addr=addr, seeds=tuple(seeds), opt=opt)
             p["role_assigner"] = MachineComponent(RoleAssigner(tuning=opt))
--- a/silverglade/testbed/model_checker/machine.py
+++ b/silverglade/testbed/model_checker/machine.py
@@ -111,12 +111,12 @@
         """The number of a core that has just started."""
         names = sorted(self.places)
         rank = names.index(origin.name)
-        part = control.core(
-            me=origin.name,
+        part = control.control_component(
+            name=origin.name,
             disk=origin.disk,
             cores=self.formers,
             saved={t: dict(rows) for t, rows in self.disks[origin.saved].items()},
-            opt=self.opt,
+            tuning=self.opt,
             rng=Draws(salt=(rank + 1) * 100 + origin.life, delay=(rank + 0.5) / len(names)),
             place=self.places[origin.name],
             tolerance=self.tolerance,
--- a/silverglade/testbed/simulator/control_cluster.py
+++ b/silverglade/testbed/simulator/control_cluster.py
@@ -7,7 +7,7 @@
 import random
 from datetime import timedelta
 
-from ...control.core import core
+from ...control.core import control_component
 from ...control.register import disks
 from ...runtime.effects import ZERO, milliseconds, start
 from ...runtime.settings import tuning
@@ -52,12 +52,12 @@
         self.life += 1
         self.frozen, self.held, self.daemon_state, self.released = None, [], "ready", False
         self.gen = start(
-            core(
-                me=self.name,
+            control_component(
+                name=self.name,
                 disk=self.disk.id,
                 cores=c.named,
                 saved={t: dict(d) for t, d in self.disk.data.items()},
-                opt=c.opt,
+                tuning=c.opt,
                 rng=random.Random(c.rng.getrandbits(64)),
                 place=(self.zone, self.region),
                 tolerance=c.tolerance,
--- a/tests/control/test_control_safety.py
+++ b/tests/control/test_control_safety.py
@@ -8,7 +8,7 @@
 from datetime import timedelta
 
 from silverglade.control import register as rg
-from silverglade.control.core import core
+from silverglade.control.core import control_component
 from silverglade.control.view import View
 from silverglade.runtime.effects import start
 from silverglade.runtime.settings import tuning
@@ -29,12 +29,12 @@
         self.disk, self.stalled = disk or me.upper(), None
         self.tables = tables if tables is not None else {"meta": {"reg": rg.Register(base=View(*view)).stored(), "shown": shown}}
         self.gen = start(
-            core(
-                me=me,
+            control_component(
+                name=me,
                 disk=self.disk,
                 cores=("a", "b", "c"),
                 saved={t: dict(rows) for t, rows in self.tables.items()},
-                opt=tuning(),
+                tuning=tuning(),
                 rng=random.Random(seed),
                 place=(f"z{me}", f"r{me}"),
             )
--- a/tests/control/test_control_staleness.py
+++ b/tests/control/test_control_staleness.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from silverglade.control.core import core
+from silverglade.control.core import control_component
 from silverglade.runtime.effects import milliseconds
 from silverglade.testbed.faults import control_faults as trials
 from silverglade.testbed.simulator import control_cluster as council
@@ -46,11 +46,11 @@
         rng, lives = random.Random(seed), {}
 
         def made(**kw):
-            name = kw["me"]
+            name = kw["name"]
             lives[name] = lives.get(name, 0) + 1
-            return OwnClock(core(**kw), council.SEC * clock(rng, lives[name]), self.told)
+            return OwnClock(control_component(**kw), council.SEC * clock(rng, lives[name]), self.told)
 
-        monkeypatch.setattr(council, "core", made)
+        monkeypatch.setattr(council, "control_component", made)
 
     def watch(self, c):
         self.c, answered = c, c.answered
@@ -154,8 +154,8 @@
         "a proof counts for one who shows less",
         cores_are_behind,
         "liveness",
-        "    elif beat.age >= 0:",
-        "    if beat.age >= 0:",
+        "    elif heartbeat.age >= 0:",
+        "    if heartbeat.age >= 0:",
         ("on_heartbeat",),
     ),
 ]
--- a/tests/control/test_core_state.py
+++ b/tests/control/test_core_state.py
@@ -11,7 +11,7 @@
 
 from silverglade.control import messages as control_messages
 from silverglade.control import values, writes
-from silverglade.control.core import ControlCore, ControlPart, core
+from silverglade.control.core import ControlCore, ControlPart, control_component
 from silverglade.control.messages import decode, encode
 from silverglade.control.view import Ballot, View
 from silverglade.runtime import daemon_machine as hub
@@ -118,12 +118,12 @@
 
 def test_a_copy_goes_the_same_way_and_leaves_the_original_as_it_was(monkeypatch):
     seen = set()
-    monkeypatch.setattr(council, "core", lambda **kw: Twin(core(**kw), seen))
+    monkeypatch.setattr(council, "control_component", lambda **kw: Twin(control_component(**kw), seen))
     for trial in (trials.primary_loses_power, trials.a_disk_is_lost):
         c, _ = trials.one(trial, seed=1, size=3, tolerance=(1, 1, 1))
         assert c.faults == []
     assert seen >= {
-        writes.TellIfSynced,
+        writes.SendIfSynced,
         writes.WholeStoreWritten,
         writes.ChangeWrittenByPrimary,
         writes.ChangeWrittenByBackup,
@@ -159,7 +159,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_what_the_state_says_of_itself_holds_after_every_event(seed, monkeypatch):
-    monkeypatch.setattr(council, "core", lambda **kw: Watched(core(**kw)))
+    monkeypatch.setattr(council, "control_component", lambda **kw: Watched(control_component(**kw)))
     size, tolerance = ((3, (1, 1, 1)), (5, (2, 1, 1)))[seed % 2]
     c, _ = trials.storm(seed=seed, size=size, tolerance=tolerance)
     assert c.faults == []
@@ -186,7 +186,7 @@
 
 
 def a_machine():
-    shell = core(me="a", disk="1", cores=("c", "a", "b"), saved={}, opt=tuning(), rng=random.Random(4))
+    shell = control_component(name="a", disk="1", cores=("c", "a", "b"), saved={}, tuning=tuning(), rng=random.Random(4))
     shell.send(None)
     shell.send((ZERO, ("roll", [(n, "1", 1, 0, "z" + n, "r", "", "", True, "ready", (), ()) for n in "abc"])))
     for n in "bc":
@@ -206,7 +206,7 @@
 
 
 def test_the_shell_is_a_part_like_any_other():
-    shell = core(me="a", disk="1", cores=("a", "b", "c"), saved={}, opt=tuning(), rng=random.Random(4))
+    shell = control_component(name="a", disk="1", cores=("a", "b", "c"), saved={}, tuning=tuning(), rng=random.Random(4))
     assert shell.send(None) == () and isinstance(shell.machine, ControlCore)
     with pytest.raises(KeyError):
         shell.throw(KeyError("x"))
--- a/tests/control/test_evacuations_in_partitions.py
+++ b/tests/control/test_evacuations_in_partitions.py
@@ -92,7 +92,7 @@
 
     assert fell(range(4)) == set()
     module = "silverglade.control.replication"
-    old = "        if ok:\n            replicate(core, view, pending)"
+    old = "        if succeeded:\n            replicate(core, view, pending)"
     new = old + "\n            for told in pending.answers:\n                answer(core, told.client, told.result)"
     without(monkeypatch, module, old, new, module + ".on_written_by_primary")
     assert fell(range(24)) & {"two-at-one-version", "acknowledged-and-undone", "both-won"}
--- a/tests/control/test_grouped_operations.py
+++ b/tests/control/test_grouped_operations.py
@@ -84,8 +84,8 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_a_backup_comes_to_the_very_store_of_the_primary_whatever_the_groups(seed, monkeypatch):
-    monkeypatch.setattr(outcomes, "MOST", 12)
-    monkeypatch.setattr(outcomes, "CHUNK", 4)
+    monkeypatch.setattr(outcomes, "MAX_OUTCOMES", 12)
+    monkeypatch.setattr(outcomes, "FORGOTTEN_AT_ONCE", 4)
     rng, machine, backup, number, n = random.Random(seed), settled()[1], {}, 0, 0
     view = machine.state.view
     assert isinstance(view, View)
--- a/tests/control/test_outcomes.py
+++ b/tests/control/test_outcomes.py
@@ -43,8 +43,8 @@
 
 
 def small(monkeypatch, most=40):
-    monkeypatch.setattr(outcomes, "MOST", most)
-    monkeypatch.setattr(outcomes, "CHUNK", most // 4)
+    monkeypatch.setattr(outcomes, "MAX_OUTCOMES", most)
+    monkeypatch.setattr(outcomes, "FORGOTTEN_AT_ONCE", most // 4)
 
 
 def stores(s):
@@ -211,12 +211,13 @@
     s = Store()
     s.table(0, 1)
     key = "k" * 32
-    for i in range(3 * outcomes.MOST):
-        s.rows.update({k: (v, x) for k, v, x in (outcomes.item(change=f"{i:0100d}", key=key, at=(1, i + 2), number=1),)})
+    for i in range(3 * outcomes.MAX_OUTCOMES):
+        s.rows.update({k: (v, x) for k, v, x in (outcomes.item(change_id=f"{i:0100d}", digest=key, version=(1, i + 2), number=1),)})
         if i % 64 == 0:
-            s.rows.update({k: (v, x) for k, v, x in outcomes.moved(s.rows, at=(1, i + 2), aged=(0, 0))})
+            s.rows.update({k: (v, x) for k, v, x in outcomes.moved_horizon(s.rows, version=(1, i + 2), aged=(0, 0))})
             for k in pruned_keys(s.rows):
                 del s.rows[k]
     rows = [(k, *v) for k, v in s.rows.items() if outcomes.private(k)]
-    assert len(rows) <= outcomes.MOST + 65 and len(wire.encode_frame(frm="", life="", body=("snap", rows))) < wire.MAX_FRAME_BYTES / 10
+    frame = wire.encode_frame(frm="", life="", body=("snap", rows))
+    assert len(rows) <= outcomes.MAX_OUTCOMES + 65 and len(frame) < wire.MAX_FRAME_BYTES / 10
     assert tuning()["outcome_keep"] == 600 * SEC
--- a/tests/golden/core_store.py
+++ b/tests/golden/core_store.py
@@ -8,7 +8,7 @@
 
 import ormsgpack
 
-from silverglade.control.core import core
+from silverglade.control.core import control_component
 from silverglade.runtime.effects import start
 from silverglade.runtime.settings import tuning
 from silverglade.server.disk import FILE, DataFolder
@@ -88,7 +88,7 @@
     finally:
         store.close()
     named = tuple(sorted(witness for witness, _ in saved["meta"]["reg"]["base"][3]))
-    part = core(me=data[NAME], disk=disk, cores=named, saved=saved, opt=opt, rng=random.Random(1), first=False)
+    part = control_component(name=data[NAME], disk=disk, cores=named, saved=saved, tuning=opt, rng=random.Random(1), first=False)
     return listed(
         {
             "control": control_of(part.machine.state, part.machine.settings),
--- a/tests/membership/test_growth.py
+++ b/tests/membership/test_growth.py
@@ -75,8 +75,8 @@
 
 
 def test_the_backups_book_is_pruned_as_the_primarys_is(monkeypatch):
-    monkeypatch.setattr(outcomes, "MOST", 256)
-    monkeypatch.setattr(outcomes, "CHUNK", 64)
+    monkeypatch.setattr(outcomes, "MAX_OUTCOMES", 256)
+    monkeypatch.setattr(outcomes, "FORGOTTEN_AT_ONCE", 64)
     s = Scene(town="hamlet")
     s.settle()
     for i in range(296):
--- a/tests/system/test_safety_rules.py
+++ b/tests/system/test_safety_rules.py
@@ -194,9 +194,9 @@
         [
             (
                 REPLICATION,
-                """        if ok:
+                """        if succeeded:
             replicate(core, view, pending)""",
-                """        if ok:
+                """        if succeeded:
             replicate(core, view, pending)
             answer(core, *pending.answers[0])""",
                 REPLICATION + ".on_written_by_primary",
--- a/tests/testbed/test_check_model.py
+++ b/tests/testbed/test_check_model.py
@@ -104,8 +104,8 @@
         {"shown-old-with-proof", "acknowledged-lost"},
         cut(
             "replication",
-            "        if ok:\n            replicate(core, view, pending)",
-            "        if ok:\n            replicate(core, view, pending)\n            "
+            "        if succeeded:\n            replicate(core, view, pending)",
+            "        if succeeded:\n            replicate(core, view, pending)\n            "
             "for told in pending.answers:\n                answer(core, told.client, told.result)",
             "replication.on_written_by_primary",
         ),
--- a/tests/testbed/test_control_cluster.py
+++ b/tests/testbed/test_control_cluster.py
@@ -110,9 +110,9 @@
         last(),
         {"both-won", "read-old"},
         REPLICATION,
-        """        if ok:
+        """        if succeeded:
             replicate(core, view, pending)""",
-        """        if ok:
+        """        if succeeded:
             replicate(core, view, pending)
             answer(core, *pending.answers[0])""",
         REPLICATION + ".on_written_by_primary",
@@ -131,7 +131,7 @@
         the_slower_backup_alone_is_left,
         {"both-won", "read-old"},
         REPLICATION,
-        ("    gone = store.take(state.store, change.items)", "    if ok:\n        core.send_outgoing(written.outgoing)"),
+        ("    gone = store.take(state.store, change.items)", "    if succeeded:\n        core.send_outgoing(written.outgoing)"),
         ("    core.send_outgoing(confirmation)\n    gone = store.take(state.store, change.items)", ""),
         (REPLICATION + ".on_replicate", REPLICATION + ".on_written_by_backup"),
     ),
--- a/tests/testbed/test_linearizability.py
+++ b/tests/testbed/test_linearizability.py
@@ -158,8 +158,8 @@
 
 
 def few_outcomes(monkeypatch):
-    monkeypatch.setattr(outcomes, "MOST", 16)
-    monkeypatch.setattr(outcomes, "CHUNK", 4)
+    monkeypatch.setattr(outcomes, "MAX_OUTCOMES", 16)
+    monkeypatch.setattr(outcomes, "FORGOTTEN_AT_ONCE", 4)
 
 
 def test_where_few_outcomes_are_kept_operators_still_see_one_history(monkeypatch):
--- a/tests/testbed/test_second_loss.py
+++ b/tests/testbed/test_second_loss.py
@@ -77,14 +77,14 @@
         (repairs.leave,),
         SMALL,
         {"left-its-view"},
-        (PLAN, "if me in rg.members(view):\n        return False", "", PLAN + ".may_end"),
+        (PLAN, "if me in members(view):\n        return False", "", PLAN + ".may_end"),
     ),
     (
         "a witness ends before another has its place",
         (repairs.replace_planned,),
         SMALL,
         {"gap"},
-        (PLAN, "    was = tuple(rg.disks(view))\n    return me not in was or", "    return True or", PLAN + ".may_end"),
+        (PLAN, "    was = tuple(disks_of(view))\n    return me not in was or", "    return True or", PLAN + ".may_end"),
     ),
     (
         "one that is away is waited for too long",
@@ -195,8 +195,8 @@
 @pytest.mark.parametrize(
     "module,old,target",
     [
-        ("core", " and state.recruited <= self.epoch", "tests.control.test_control_safety.core"),
-        ("core", " and state.met | state.leaving", "tests.control.test_control_safety.core"),
+        ("core", " and state.recruited <= self.epoch", "tests.control.test_control_safety.control_component"),
+        ("core", " and state.met | state.leaving", "tests.control.test_control_safety.control_component"),
         ("snapshots", "    if state.writes.leaving:\n        return False\n", "silverglade.control.snapshots.accept_recruiting"),
     ],
 )
