--- a/silverglade/control/context.py
+++ b/silverglade/control/context.py
@@ -34,7 +34,7 @@
 
     @property
     def name(self) -> str:
-        """This core's name."""
+        """The name of the core."""
         return self.settings.name
 
     @property
--- a/silverglade/control/core.py
+++ b/silverglade/control/core.py
@@ -41,7 +41,6 @@
     CommittedItems,
     Fence,
     Heartbeat,
-    Message,
     Operation,
     Prepare,
     Promise,
@@ -111,9 +110,7 @@
             case TimerFired():
                 self.on_timer(now)
             case MessageReceived():
-                message = decode(event.body)
-                if message is not None:
-                    self.on_message(event.sender, message, now)
+                self.on_message_received(event, now)
             case DiskWriteCompleted():
                 _, number = event.token
                 self.on_write_ended(number, event.succeeded, now)
@@ -128,10 +125,8 @@
             case TablePositionMoved():
                 self.state.table_position = event.position
                 serving.answer_held(self, now)
-            case AssignRoles():
-                replication.on_assign_roles(self, event, now)
-            case DropRoles():
-                replication.on_drop_roles(self, event, now)
+            case AssignRoles() | DropRoles():
+                replication.on_roles_wanted(self, event, now)
 
     def start_once(self, now: timedelta) -> None:
         """Begin, at the first event of this process. After a blackout nobody else says who is primary."""
@@ -177,18 +172,41 @@
         if state.writes.leaving and not state.released and state.recruited <= self.epoch and state.met | state.leaving:
             staying = state.met - state.leaving
             state.released = plan.may_end(
-                me=self.name, view=state.view, staying=staying, places=state.places, tolerance=self.settings.tolerance
+                own_name=self.name, view=state.view, staying=staying, places=state.places, tolerance=self.settings.tolerance
             )
             if state.released:
                 self.effects.append(AllowExit())
 
-    def on_message(self, sender: str, message: Message, now: timedelta) -> None:
-        """Dispatch a message, of another daemon or of this one, by its class."""
+    def on_message_received(self, event: MessageReceived, now: timedelta) -> None:
+        """Dispatch a message, of another daemon or of this one, by what it concerns; one that is not well formed is dropped."""
+        sender, message = event.sender, decode(event.body)
         match message:
             case Heartbeat() if sender != self.name:
                 liveness.on_heartbeat(self, sender, message, now)
+            case UpdateRequest() | CommittedItems() | Pull():
+                self.on_serving_message(sender, message, now)
+            case Operation() | Fence() | Replicate() | Replicated():
+                self.on_replication_message(sender, message, now)
+            case Snapshot() if sender != self.name:
+                snapshots.on_snapshot(self, sender, message, now)
+            case SnapshotSynced():
+                snapshots.on_snapshot_synced(self, sender, message, now)
+            case ChosenView() | Prepare() | Accept() | Promise() | Accepted() | Rejected():
+                self.on_view_message(sender, message, now)
+
+    def on_serving_message(self, sender: str, message: UpdateRequest | CommittedItems | Pull, now: timedelta) -> None:
+        """Dispatch a message about committed items."""
+        match message:
             case UpdateRequest():
                 serving.on_update_request(self, sender, message, now)
+            case CommittedItems():
+                serving.on_committed_items(self, message, now)
+            case Pull():
+                serving.on_pull(self, sender, message)
+
+    def on_replication_message(self, sender: str, message: Operation | Fence | Replicate | Replicated, now: timedelta) -> None:
+        """Dispatch a message about a change."""
+        match message:
             case Operation():
                 replication.on_operation(self, sender, message)
             case Fence():
@@ -197,14 +215,10 @@
                 replication.on_replicate(self, sender, message, now)
             case Replicated():
                 replication.on_replicated(self, sender, message, now)
-            case CommittedItems():
-                serving.on_committed_items(self, message, now)
-            case Pull():
-                serving.on_pull(self, sender, message)
-            case Snapshot() if sender != self.name:
-                snapshots.on_snapshot(self, sender, message, now)
-            case SnapshotSynced():
-                snapshots.on_snapshot_synced(self, sender, message, now)
+
+    def on_view_message(self, sender: str, message: ChosenView | Prepare | Accept | Promise | Accepted | Rejected, now: timedelta) -> None:
+        """Dispatch a message about which view follows which."""
+        match message:
             case ChosenView():
                 view_change.adopt(self, message.view, now)
             case Prepare():
--- a/silverglade/control/decisions.py
+++ b/silverglade/control/decisions.py
@@ -109,8 +109,13 @@
     """Refuse an operation on a base that is still to come, and name the one in force."""
     if isinstance(operation, TableChange):
         return not_in_force(configuration_number(store))
-    epoch, number = version_of(store, CONFIGURATION_KEY)
-    return not_in_force(f"{epoch}.{number}")
+    return not_in_force(version_text(version_of(store, CONFIGURATION_KEY)))
+
+
+def version_text(version: Version) -> str:
+    """Return a version as operators read it."""
+    epoch, number = version
+    return f"{epoch}.{number}"
 
 
 def not_in_force(in_force: int | str) -> Refused:
@@ -148,7 +153,7 @@
     held = version_of(store, CONFIGURATION_KEY)
     if operation.base != held:
         horizon, _ = outcomes.horizon(store)
-        return other_base(operation.base, held, horizon) or not_in_force(f"{held[0]}.{held[1]}")
+        return other_base(operation.base, held, horizon) or not_in_force(version_text(held))
     configuration, faults = schema.parse_configuration(operation.raw)
     if faults:
         return bad_configuration(faults)
--- a/silverglade/control/operation_results.py
+++ b/silverglade/control/operation_results.py
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Redirected:
-    """This core is not the primary; as far as it knows `primary` is ("" where it knows none)."""
+    """The core that was asked is not the primary; `primary` is, as far as it knows ("" where it knows none)."""
 
     primary: str
 
--- a/silverglade/control/plan.py
+++ b/silverglade/control/plan.py
@@ -13,7 +13,7 @@
 
 
 def why(
-    *, me: str, disk: str, view: View | None, peers: Peers, sealed: int, able: bool, torn: bool, fair: bool, now: timedelta
+    *, own_name: str, disk: str, view: View | None, peers: Peers, sealed: int, able: bool, torn: bool, fair: bool, now: timedelta
 ) -> str | None:
     """Return what is wrong with the view, as one of its members sees it; None if nothing is.
 
@@ -21,12 +21,12 @@
     :param torn: whether the store on this core's disk is incomplete.
     :param fair: whether the others have had the time to be heard.
     """
-    if view is None or me not in members(view) or not able:
+    if view is None or own_name not in members(view) or not able:
         return None
     disks = disks_of(view)
-    if disks.get(me) != disk:
+    if disks.get(own_name) != disk:
         return None
-    for name in view.backups if me == view.primary else (view.primary,):  # backups watch the primary alone
+    for name in view.backups if own_name == view.primary else (view.primary,):  # backups watch the primary alone
         if not peers.is_up(name, now):
             if fair:
                 return "silent"
@@ -39,25 +39,27 @@
     return "torn" if torn else None
 
 
-def live(*, me: str, disk: str, peers: Peers, now: timedelta, names: Iterable[str]) -> dict[str, str]:
+def live(*, own_name: str, disk: str, peers: Peers, now: timedelta, names: Iterable[str]) -> dict[str, str]:
     """Return the cores that may be named in a view now, with their disks."""
-    return {me: disk, **{name: peers.table[name].disk for name in names if peers.is_up(name, now)}}
+    return {own_name: disk, **{name: peers.table[name].disk for name in names if peers.is_up(name, now)}}
 
 
-def first(*, me: str, disk: str, cores: Collection[str], peers: Peers, places: Places, tolerance: Tolerance, now: timedelta) -> View | None:
+def first(
+    *, own_name: str, disk: str, cores: Collection[str], peers: Peers, places: Places, tolerance: Tolerance, now: timedelta
+) -> View | None:
     """Return the first view, when every core of the settings says that its disk is empty (design 5.5); else None."""
-    others = [name for name in cores if name != me]
-    if me != min(cores) or not all(peers.is_up(name, now) and peers.is_blank(name) for name in others):
+    others = [name for name in cores if name != own_name]
+    if own_name != min(cores) or not all(peers.is_up(name, now) and peers.is_blank(name) for name in others):
         return None
-    disks = {me: disk, **{name: peers.table[name].disk for name in others}}
-    backups = spread.backups(me=me, names=disks, was=(), places=places, tolerance=tolerance)
-    return View(1, me, backups, tuple(sorted(disks.items()))) if backups else None
+    disks = {own_name: disk, **{name: peers.table[name].disk for name in others}}
+    backups = spread.backups(own_name=own_name, names=disks, was=(), places=places, tolerance=tolerance)
+    return View(1, own_name, backups, tuple(sorted(disks.items()))) if backups else None
 
 
 def after(
-    *, me: str, view: View, here: Mapping[str, str], places: Places, tolerance: Tolerance, names: Iterable[str] | None = None
+    *, own_name: str, view: View, here: Mapping[str, str], places: Places, tolerance: Tolerance, names: Iterable[str] | None = None
 ) -> View | None:
-    """Return the view that member `me` wants after `view`; None where there are too few live cores for it.
+    """Return the view that member `own_name` wants after `view`; None where there are too few live cores for it.
 
     :param here: the live cores, with their disks.
     :param names: the witnesses wanted; by default those there are, each with the disk that it has now.
@@ -65,7 +67,7 @@
     was = disks_of(view)
     disks = {name: here[name] if name in here else was[name] for name in names or was}
     backups = spread.backups(
-        me=me,
+        own_name=own_name,
         names=[name for name in here if name in disks],
         places=places,
         tolerance=tolerance,
@@ -73,7 +75,7 @@
     )
     if backups is None or len(backups) < min(spread.count(tolerance), len(disks) // 2):
         return None
-    return View(view.epoch + 1, me, backups, tuple(sorted(disks.items())))
+    return View(view.epoch + 1, own_name, backups, tuple(sorted(disks.items())))
 
 
 def witnesses(
@@ -104,7 +106,7 @@
 
 
 def better(
-    *, me: str, view: View, here: Mapping[str, str], places: Places, tolerance: Tolerance, wanted: tuple[str, ...] | None
+    *, own_name: str, view: View, here: Mapping[str, str], places: Places, tolerance: Tolerance, wanted: tuple[str, ...] | None
 ) -> View | None:
     """Return the view that the primary of a view that works would rather have; None where there is no better one.
 
@@ -113,17 +115,17 @@
     was = disks_of(view)
     if wanted is None or sum(here.get(name) == held for name, held in was.items()) < register.majority(len(was)):
         return None
-    new = after(me=me, view=view, here=here, places=places, tolerance=tolerance, names=wanted)
+    new = after(own_name=own_name, view=view, here=here, places=places, tolerance=tolerance, names=wanted)
     if new is None:
         return None
 
     def worth(backups: tuple[str, ...]) -> tuple[int, int]:
-        return sum(spread.bears((me, *backups), need=1, places=places, tolerance=tolerance)), len(backups)
+        return sum(spread.bears((own_name, *backups), need=1, places=places, tolerance=tolerance)), len(backups)
 
     return new if new.witnesses != view.witnesses or worth(new.backups) > worth(view.backups) else None
 
 
-def may_end(*, me: str, view: View | None, staying: Collection[str], places: Places, tolerance: Tolerance) -> bool:
+def may_end(*, own_name: str, view: View | None, staying: Collection[str], places: Places, tolerance: Tolerance) -> bool:
     """Tell whether a core that leaves may end: not while its view rests on it.
 
     A member's place is taken once a later view is chosen, whose members hold all that this one holds; a witness's once it is
@@ -133,7 +135,9 @@
     """
     if view is None or not staying:
         return True
-    if me in members(view):
+    if own_name in members(view):
         return False
     was = tuple(disks_of(view))
-    return me not in was or me in spread.witnesses(was=was, live=staying, gone=(), leaving=(me,), places=places, tolerance=tolerance)
+    return own_name not in was or own_name in spread.witnesses(
+        was=was, live=staying, gone=(), leaving=(own_name,), places=places, tolerance=tolerance
+    )
--- a/silverglade/control/replication.py
+++ b/silverglade/control/replication.py
@@ -80,15 +80,14 @@
     return in_flight or any(queued.client == client for queued in state.queue)
 
 
-def on_assign_roles(core: CoreContext, event: AssignRoles, now: timedelta) -> None:
-    """Queue the assignments that the role assigner wants."""
-    assignments = tuple([AssignRole(*assignment) for assignment in event.assignments])
-    queue_own(core, operations.AssignRoles(assignments), now)
-
-
-def on_drop_roles(core: CoreContext, event: DropRoles, now: timedelta) -> None:
-    """Queue the dropping of roles that the role assigner found unneeded."""
-    queue_own(core, operations.DropRoles(event.kind, event.names), now)
+def on_roles_wanted(core: CoreContext, event: AssignRoles | DropRoles, now: timedelta) -> None:
+    """Queue what the role assigner wants."""
+    match event:
+        case AssignRoles():
+            assignments = tuple([AssignRole(*assignment) for assignment in event.assignments])
+            queue_own(core, operations.AssignRoles(assignments), now)
+        case DropRoles():
+            queue_own(core, operations.DropRoles(event.kind, event.names), now)
 
 
 def queue_own(core: CoreContext, operation: operations.AssignRoles | operations.DropRoles, now: timedelta) -> None:
@@ -182,7 +181,8 @@
 
 def next_version(view: View, previous: Version) -> Version:
     """Return the version of the change that follows `previous` in this view; the numbers of a view begin at 1."""
-    return (view.epoch, previous[1] + 1 if previous[0] == view.epoch else 1)
+    epoch, number = previous
+    return (view.epoch, number + 1 if epoch == view.epoch else 1)
 
 
 def note_change_written(core: CoreContext, succeeded: bool) -> None:
--- a/silverglade/control/seek.py
+++ b/silverglade/control/seek.py
@@ -125,7 +125,7 @@
     def advance(
         self,
         *,
-        me: str,
+        own_name: str,
         now: timedelta,
         recruits_synced: Mapping[tuple[str, int, int], str],
         is_up: Callable[[str], bool],
@@ -147,7 +147,7 @@
         if self.step is Step.ROUND and self.round is None:
             number = self.highest.number + 1 + rng.getrandbits(BALLOT_SPREAD_BITS)
             self.begun = now
-            self.round = Round(ballot=Ballot(number, me), base=self.goal.base, want=self.goal.view)
+            self.round = Round(ballot=Ballot(number, own_name), base=self.goal.base, want=self.goal.view)
             actions.append(self.ask(self.goal, self.round.begin()))
         if self.step is Step.COPY and now - self.begun <= LONGEST_COPY * tuning["takeover"] and all(map(is_up, self.goal.recruits)):
             return actions  # a large copy on a slow link: begun anew it would come no sooner
--- a/silverglade/control/serving.py
+++ b/silverglade/control/serving.py
@@ -27,7 +27,8 @@
 
 def key_of(operation: DiskOperation) -> str:
     """Return the key that a disk operation puts or deletes."""
-    return str(operation[2])
+    _, _, key, *_ = operation
+    return str(key)
 
 
 def write_committed(core: CoreContext, now: timedelta) -> None:
--- a/silverglade/control/spread.py
+++ b/silverglade/control/spread.py
@@ -45,19 +45,19 @@
     return max(1, *tolerance)
 
 
-def backups(*, me: str, names: Iterable[str], was: Collection[str], places: Places, tolerance: Tolerance) -> tuple[str, ...] | None:
-    """Return the best backups for primary `me`; None where there is no candidate.
+def backups(*, own_name: str, names: Iterable[str], was: Collection[str], places: Places, tolerance: Tolerance) -> tuple[str, ...] | None:
+    """Return the best backups for primary `own_name`; None where there is no candidate.
 
     :param names: the live witnesses.
     :param was: the members there are, which are preferred.
     """
-    pool = sorted(set(names) - {me}, key=lambda name: (name not in was, name))
+    pool = sorted(set(names) - {own_name}, key=lambda name: (name not in was, name))
     wanted = min(count(tolerance), len(pool))
     if not wanted:
         return None
 
     def worth(chosen: tuple[str, ...]) -> tuple[int, int]:
-        return sum(bears((me, *chosen), need=1, places=places, tolerance=tolerance)), sum(name in was for name in chosen)
+        return sum(bears((own_name, *chosen), need=1, places=places, tolerance=tolerance)), sum(name in was for name in chosen)
 
     return max(combinations(pool, wanted), key=worth)
 
--- a/silverglade/control/store.py
+++ b/silverglade/control/store.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from . import outcomes
-from .replicated_state import INITIAL_VERSION, Items, Version, pruned_keys
+from .replicated_state import INITIAL_VERSION, Items, Version, pruned_keys, version_of
 from .writes import COMMITTED_TABLE, STORE_TABLE, DiskOperation
 
 Store = dict[str, tuple[Version, Any]]
@@ -41,8 +41,6 @@
 def commit(committed: Store, items: Items) -> list[DiskOperation]:
     """Put acknowledged items into the committed ones, where they are newer; return the disk operations for that."""
     new = tuple(
-        (key, version, value)
-        for key, version, value in items
-        if version > committed.get(key, (INITIAL_VERSION,))[0] and not outcomes.private(key)
+        (key, version, value) for key, version, value in items if version > version_of(committed, key) and not outcomes.private(key)
     )
     return changed(new, take(committed, new), COMMITTED_TABLE) if new else []
--- a/silverglade/control/view_change.py
+++ b/silverglade/control/view_change.py
@@ -49,7 +49,7 @@
     """Return why a member should seek a new view, or None (design 5.4)."""
     state, tuning = core.state, core.settings.tuning
     wrong = plan.why(
-        me=core.name,
+        own_name=core.name,
         disk=core.settings.disk,
         view=state.view,
         peers=state.peers,
@@ -84,7 +84,7 @@
     """
     state, known = core.state, disks(core.state.view)
     names = [name for name in core.others() if name in state.places or name in known]
-    return plan.live(me=core.name, disk=core.settings.disk, peers=state.peers, now=now, names=names)
+    return plan.live(own_name=core.name, disk=core.settings.disk, peers=state.peers, now=now, names=names)
 
 
 def wanted_witnesses(core: CoreContext, view: View, here: Mapping[str, str], now: timedelta) -> tuple[str, ...] | None:
@@ -112,7 +112,7 @@
     new = None
     if view is not None and state.writes.is_able:
         wanted = wanted_witnesses(core, view, here, now)
-        new = plan.better(me=core.name, view=view, here=here, places=state.places, tolerance=core.settings.tolerance, wanted=wanted)
+        new = plan.better(own_name=core.name, view=view, here=here, places=state.places, tolerance=core.settings.tolerance, wanted=wanted)
     state.better = BetterView(state.live_since, new) if new else None
 
 
@@ -126,7 +126,7 @@
     else:
         here = live_cores(core, now)
         wanted = wanted_witnesses(core, state.view, here, now)
-        new = plan.after(me=core.name, view=state.view, places=state.places, tolerance=settings.tolerance, here=here, names=wanted)
+        new = plan.after(own_name=core.name, view=state.view, places=state.places, tolerance=settings.tolerance, here=here, names=wanted)
     return Goal(state.view, new, new.backups) if new else None
 
 
@@ -138,7 +138,7 @@
     if not settings.may_form:
         return None
     new = plan.first(
-        me=core.name,
+        own_name=core.name,
         disk=settings.disk,
         cores=settings.named,
         peers=state.peers,
@@ -185,7 +185,7 @@
             return
         carry_out(core, seeker.begin(wanted, now, core.rng), now)
     actions = seeker.advance(
-        me=core.name,
+        own_name=core.name,
         now=now,
         recruits_synced=state.recruits_synced,
         is_up=lambda name: state.peers.is_up(name, now),
--- a/tests/testbed/test_control_cluster.py
+++ b/tests/testbed/test_control_cluster.py
@@ -242,7 +242,7 @@
 
 def test_backups_are_spread_and_those_there_are_stay():
     def pick(me, names, was=(), tolerance=(2, 1, 1)):
-        return spread.backups(me=me, names=names, was=was, places=PLACES, tolerance=tolerance)
+        return spread.backups(own_name=me, names=names, was=was, places=PLACES, tolerance=tolerance)
 
     assert set(pick("a", "abcde", was="bc")) == {"b", "c"}
     assert set(pick("a", "abde")) & {"b", "e"}  # never d alone, which is in its region
--- a/tests/testbed/test_second_loss.py
+++ b/tests/testbed/test_second_loss.py
@@ -184,12 +184,12 @@
 def test_who_leaves_ends_when_nothing_rests_on_it():
     def may_end(me, staying, members="ab", names="abc"):
         view = View(1, members[0], tuple(members[1:]), tuple((n, "d" + n) for n in names))
-        return plan.may_end(me=me, view=view, staying=staying, places=PLACES, tolerance=(1, 1, 1))
+        return plan.may_end(own_name=me, view=view, staying=staying, places=PLACES, tolerance=(1, 1, 1))
 
     assert not may_end("a", "bc") and not may_end("b", "ac") and not may_end("b", "c")  # members
     assert may_end("c", "ab")  # a witness whose place nobody can take
     assert not may_end("c", "abf")  # one whose place can be taken
-    assert may_end("f", "abc") and may_end("a", "") and plan.may_end(me="a", view=None, staying="b", places={}, tolerance=(1, 1, 1))
+    assert may_end("f", "abc") and may_end("a", "") and plan.may_end(own_name="a", view=None, staying="b", places={}, tolerance=(1, 1, 1))
 
 
 @pytest.mark.parametrize(
