--- a/tests/control/test_core_state.py
+++ b/tests/control/test_core_state.py
@@ -210,3 +210,10 @@
     assert shell.send(None) == () and isinstance(shell.machine, ControlCore)
     with pytest.raises(KeyError):
         shell.throw(KeyError("x"))
+
+
+def test_the_first_event_of_any_kind_starts_a_core():
+    """Also one that it does not handle: what it says and writes then does not wait for the next timer event."""
+    shell = control_component(name="a", disk="1", cores=("a", "b", "c"), saved={}, tuning=tuning(), rng=random.Random(4))
+    assert shell.send((ZERO, ("told", "replica", {}))) == (("disk", ("control", 1), (("put", "meta", "first", True),)),)
+    assert shell.send((ZERO, ("told", "replica", {}))) == ()
