--- a/silverglade/control/messages.py
+++ b/silverglade/control/messages.py
@@ -1,8 +1,8 @@
 """The messages between cores, one class a kind (design 5).
 
 On the wire each is an array of its kind and its fields in the order given here (transport/message_schemas.py checks the shapes of
-all kinds before any part sees them; wire.py packs them). `decode` checks a body once, at the door of the control part;
-behind it messages are matched by class.
+all kinds before any component sees them; transport/framing.py packs them). `decode` checks a body once, where it enters
+control; from there on messages are matched by class.
 """
 
 from __future__ import annotations
@@ -10,29 +10,26 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from . import replicated_state as bk
+from .replicated_state import Items, Version, is_item_list, is_version
 from .view import Ballot, View, ballot_of, is_ballot, is_view, is_view_or_none, plain, view_of
 
-Version = tuple[int, int]
-"""Of an item or of a whole store: (epoch, number)."""
-
-Item = tuple[str, Version, Any]
-"""A key, the version of the change that set it, its value."""
-
-Items = tuple[Item, ...]
-
-Result = tuple[Any, ...]
-"""What a client is told: ("ok", version[, value]), ("refuse", code, detail), ("elsewhere", primary), ("unknown",), or
-("stale",): it can't be judged on its base, and this copy of it changed nothing."""
-
 
 class Heartbeat(NamedTuple):
-    """What a core says of itself; `stamp` is its clock, `echo` the newest stamp it has seen of ours, `age` that of its proof
-    that the primary is still primary (all in ms; -1: none)."""
+    """What a core says of itself.
+
+    :ivar committed: the newest version that it may tell to others.
+    :ivar able: whether its disk takes writes, and it does not leave.
+    :ivar disk: the id of its disk.
+    :ivar sealed: the newest epoch that it sealed.
+    :ivar blank: whether its disk is empty and it may form the first view.
+    :ivar stamp: its clock, in ms.
+    :ivar echo: the newest stamp of the receiver that it has seen; -1 for none.
+    :ivar age: of its proof that the primary is still primary, in ms; -1 for none.
+    """
 
     epoch: int
-    shown: Version
-    fit: bool
+    committed: Version
+    able: bool
     disk: str
     sealed: int
     blank: bool
@@ -104,7 +101,7 @@
 
 
 class Replicate(NamedTuple):
-    """One change for a backup to sync; without items the question whether the view still holds."""
+    """A change for a backup to sync; without items it only asks whether the view still holds."""
 
     epoch: int
     nonce: int
@@ -120,8 +117,8 @@
     nonce: int
 
 
-class ShownItems(NamedTuple):
-    """What was acknowledged after `previous`, up to `version`; a backup holds the items already when none come."""
+class CommittedItems(NamedTuple):
+    """The items acknowledged after `previous`, up to `version`; none are sent to a backup, which holds them already."""
 
     epoch: int
     previous: Version
@@ -135,8 +132,8 @@
     version: Version
 
 
-class NewsRequest(NamedTuple):
-    """A daemon asks for news after a version; `position` is where it stands in soft state."""
+class UpdateRequest(NamedTuple):
+    """A daemon asks for an update after a version; `position` is where its table of soft state stands."""
 
     number: int
     version: Version
@@ -167,10 +164,10 @@
 
 
 class OperationResult(NamedTuple):
-    """The answer to a client's operation."""
+    """The answer to a client's operation; `result` is the array of one of operation_results.py."""
 
     number: int
-    result: Result
+    result: tuple[Any, ...]
 
 
 Message = (
@@ -185,9 +182,9 @@
     | SnapshotSynced
     | Replicate
     | Replicated
-    | ShownItems
+    | CommittedItems
     | Pull
-    | NewsRequest
+    | UpdateRequest
     | Operation
     | Fence
     | Fenced
@@ -204,7 +201,7 @@
 
 
 INT, TEXT, FLAG, ARRAY = _is(int), _is(str), _is(bool), _is(tuple)
-VERSION, ITEMS = bk.is_version, bk.is_item_list
+VERSION, ITEMS = is_version, is_item_list
 
 Fields = tuple[Callable[[Any], bool], ...]
 
@@ -220,9 +217,9 @@
     "snapok": (SnapshotSynced, (INT, INT, TEXT)),
     "repl": (Replicate, (INT, INT, VERSION, VERSION, ITEMS)),
     "repd": (Replicated, (INT, INT)),
-    "items": (ShownItems, (INT, VERSION, VERSION, ITEMS)),
+    "items": (CommittedItems, (INT, VERSION, VERSION, ITEMS)),
     "pull": (Pull, (VERSION,)),
-    "get": (NewsRequest, (INT, VERSION, _anything)),
+    "get": (UpdateRequest, (INT, VERSION, _anything)),
     "op": (Operation, (INT, TEXT, ARRAY, TEXT)),
     "fence": (Fence, (INT, ARRAY)),
     "fenced": (Fenced, (INT, VERSION)),
@@ -234,7 +231,7 @@
 
 
 def encode(message: Message) -> tuple[Any, ...]:
-    """The array that travels."""
+    """Return the array that travels."""
     name = NAMES[type(message)]
     if name in HOLD_VIEWS_OR_BALLOTS:
         return (name, *[plain(field) for field in message])
@@ -242,7 +239,7 @@
 
 
 def decode(body: tuple[Any, ...]) -> Message | None:
-    """The message of a body; None for a kind that control does not hear, or one that is not well formed."""
+    """Return the message of a body; None for a kind that control does not handle, or one that is not well formed."""
     known = KINDS.get(body[0])
     if known is None:
         return None
--- a/silverglade/control/plan.py
+++ b/silverglade/control/plan.py
@@ -1,27 +1,29 @@
-"""When a member seeks a new view, and which (design 5.4, 5.9). Pure: what is known comes in."""
+"""When a member seeks a new view, and which one (design 5.4, 5.9). Pure functions of what a core knows."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Collection, Iterable, Mapping
 from datetime import timedelta
 
-from . import register as rg
-from . import spread
+from . import register, spread
 from .heartbeat import Peers
 from .spread import Places, Tolerance
-from .view import View
+from .view import View, members
+from .view import disks as disks_of
 
 
 def why(
-    *, me: str, disk: str, view: View | None, peers: Peers, sealed: int, fit: bool, torn: bool, fair: bool, now: timedelta
+    *, me: str, disk: str, view: View | None, peers: Peers, sealed: int, able: bool, torn: bool, fair: bool, now: timedelta
 ) -> str | None:
-    """What is wrong with the view, as one of its members sees it; None if nothing is.
+    """Return what is wrong with the view, as one of its members sees it; None if nothing is.
 
-    fair: have the others had the time to be heard?
+    :param able: whether this core's disk takes writes, and it does not leave.
+    :param torn: whether the store on this core's disk is incomplete.
+    :param fair: whether the others have had the time to be heard.
     """
-    if view is None or me not in rg.members(view) or not fit:
+    if view is None or me not in members(view) or not able:
         return None
-    disks = rg.disks(view)
+    disks = disks_of(view)
     if disks.get(me) != disk:
         return None
     for name in view.backups if me == view.primary else (view.primary,):  # backups watch the primary alone
@@ -38,12 +40,12 @@
 
 
 def live(*, me: str, disk: str, peers: Peers, now: timedelta, names: Iterable[str]) -> dict[str, str]:
-    """Cores that may be named in a view now: name -> disk."""
+    """Return the cores that may be named in a view now, with their disks."""
     return {me: disk, **{name: peers.table[name].disk for name in names if peers.is_up(name, now)}}
 
 
 def first(*, me: str, disk: str, cores: Collection[str], peers: Peers, places: Places, tolerance: Tolerance, now: timedelta) -> View | None:
-    """The first view, when every core of the settings says that it is empty (design 5.5)."""
+    """Return the first view, when every core of the settings says that its disk is empty (design 5.5); else None."""
     others = [name for name in cores if name != me]
     if me != min(cores) or not all(peers.is_up(name, now) and peers.is_blank(name) for name in others):
         return None
@@ -55,18 +57,19 @@
 def after(
     *, me: str, view: View, here: Mapping[str, str], places: Places, tolerance: Tolerance, names: Iterable[str] | None = None
 ) -> View | None:
-    """The view that member `me` wants after `view`, with the live cores `here`; None where it cannot be.
+    """Return the view that member `me` wants after `view`; None where there are too few live cores for it.
 
-    names: the witnesses wanted; by default those there are, each with the disk that it has now.
+    :param here: the live cores, with their disks.
+    :param names: the witnesses wanted; by default those there are, each with the disk that it has now.
     """
-    was = rg.disks(view)
+    was = disks_of(view)
     disks = {name: here[name] if name in here else was[name] for name in names or was}
     backups = spread.backups(
         me=me,
         names=[name for name in here if name in disks],
         places=places,
         tolerance=tolerance,
-        was=[name for name in rg.members(view) if here.get(name) == was.get(name)],
+        was=[name for name in members(view) if here.get(name) == was.get(name)],
     )
     if backups is None or len(backups) < min(spread.count(tolerance), len(disks) // 2):
         return None
@@ -85,12 +88,14 @@
     forget: timedelta,
     now: timedelta,
 ) -> tuple[str, ...] | None:
-    """The witnesses wanted after `view`, with the live cores `here`; None while one that is away may be back in a moment.
+    """Return the witnesses wanted after `view`; None while one that is away may be back in a moment.
 
-    listening_since: from when on a core would have been heard. leaving: the cores that said that they leave: nobody waits
-    for them. forget: one silent for so long goes also where no live core takes its place.
+    :param here: the live cores, with their disks.
+    :param listening_since: from when on a core would have been heard.
+    :param leaving: the cores that said that they leave: nobody waits for them.
+    :param forget: one that is silent for so long goes also where no live core takes its place.
     """
-    was = rg.disks(view)
+    was = disks_of(view)
     away = [name for name in was if name not in here]
     if any(name not in leaving and not peers.is_lost(name, now, listening_since(name)) for name in away):
         return None
@@ -101,9 +106,12 @@
 def better(
     *, me: str, view: View, here: Mapping[str, str], places: Places, tolerance: Tolerance, wanted: tuple[str, ...] | None
 ) -> View | None:
-    """What the primary of a view that works would rather have; None where it is content. wanted: the witnesses."""
-    was = rg.disks(view)
-    if wanted is None or sum(here.get(name) == held for name, held in was.items()) < rg.majority(len(was)):
+    """Return the view that the primary of a view that works would rather have; None where there is no better one.
+
+    :param wanted: the witnesses that it should have, or None while that is not known.
+    """
+    was = disks_of(view)
+    if wanted is None or sum(here.get(name) == held for name, held in was.items()) < register.majority(len(was)):
         return None
     new = after(me=me, view=view, here=here, places=places, tolerance=tolerance, names=wanted)
     if new is None:
@@ -116,14 +124,16 @@
 
 
 def may_end(*, me: str, view: View | None, staying: Collection[str], places: Places, tolerance: Tolerance) -> bool:
-    """May a core that leaves end? Not while its view rests on it, and others can still do without it.
+    """Tell whether a core that leaves may end: not while its view rests on it.
+
+    A member's place is taken once a later view is chosen, whose members hold all that this one holds; a witness's once it is
+    named no more.
 
-    A member's place is taken once a later view is chosen, whose members hold all that this one holds; a witness's once it
-    is named no more. staying: the other cores that are there and do not leave; where all leave, nobody waits for anybody.
+    :param staying: the other cores that are there and do not leave; where all leave, none waits for another.
     """
     if view is None or not staying:
         return True
-    if me in rg.members(view):
+    if me in members(view):
         return False
-    was = tuple(rg.disks(view))
+    was = tuple(disks_of(view))
     return me not in was or me in spread.witnesses(was=was, live=staying, gone=(), leaving=(me,), places=places, tolerance=tolerance)
--- a/silverglade/control/view.py
+++ b/silverglade/control/view.py
@@ -34,63 +34,74 @@
 
 
 def epoch(view: View | None) -> int:
-    """The epoch of a view; 0 before the first."""
-    return view[0] if view else 0
+    """Return the epoch of a view; 0 before the first."""
+    return view.epoch if view else 0
 
 
 def members(view: View | None) -> tuple[str, ...]:
-    """The primary, then the backups."""
-    return (view[1], *view[2]) if view else ()
+    """Return the primary, then the backups; none before the first view."""
+    return (view.primary, *view.backups) if view else ()
 
 
 def disks(view: View | None) -> dict[str, str]:
-    """Each witness with its disk."""
-    return dict(view[3]) if view else {}
+    """Return the disk of each witness."""
+    return dict(view.witnesses) if view else {}
 
 
 def is_text_tuple(value: Any, least: int, most: int) -> bool:
-    """Is this a tuple of texts, of a length within the bounds?"""
+    """Tell whether a value is a tuple of texts, of a length within the bounds."""
     return isinstance(value, tuple) and least <= len(value) <= most and all(isinstance(x, str) for x in value)
 
 
 def is_ballot(value: Any) -> bool:
-    """Is this a ballot, as far as its shape says?"""
-    return isinstance(value, tuple) and len(value) == 2 and type(value[0]) is int and isinstance(value[1], str)
+    """Tell whether a value has the shape of a ballot."""
+    if not isinstance(value, tuple) or len(value) != len(Ballot._fields):
+        return False
+    number, proposer = value
+    return type(number) is int and isinstance(proposer, str)
 
 
 def is_view(value: Any) -> bool:
-    """Is this a view: at least one backup, three to nine witnesses, all members among them?"""
+    """Tell whether a value is a view: at least one backup, three to nine witnesses, all members among them."""
+    if not isinstance(value, tuple) or len(value) != len(View._fields):
+        return False
+    number, primary, backups, witnesses = value
+    return (
+        type(number) is int
+        and number > 0
+        and isinstance(primary, str)
+        and is_text_tuple(backups, 1, MOST_WITNESSES - 1)
+        and len({primary, *backups}) == 1 + len(backups)
+        and is_witness_tuple(witnesses)
+        and {primary, *backups} <= {name for name, _ in witnesses}
+    )
+
+
+def is_witness_tuple(value: Any) -> bool:
+    """Tell whether a value is a tuple of three to nine witnesses, each named once."""
     return (
         isinstance(value, tuple)
-        and len(value) == 4
-        and type(value[0]) is int
-        and value[0] > 0
-        and isinstance(value[1], str)
-        and is_text_tuple(value[2], 1, MOST_WITNESSES - 1)
-        and len({value[1], *value[2]}) == 1 + len(value[2])
-        and isinstance(value[3], tuple)
-        and LEAST_WITNESSES <= len(value[3]) <= MOST_WITNESSES
-        and all(is_text_tuple(pair, 2, 2) for pair in value[3])
-        and len(dict(value[3])) == len(value[3])
-        and {value[1], *value[2]} <= {pair[0] for pair in value[3]}
+        and LEAST_WITNESSES <= len(value) <= MOST_WITNESSES
+        and all(is_text_tuple(pair, 2, 2) for pair in value)
+        and len(dict(value)) == len(value)
     )
 
 
 def is_view_or_none(value: Any) -> bool:
-    """Is this a view, or None for the time before the first?"""
+    """Tell whether a value is a view, or None for the time before the first."""
     return value is None or is_view(value)
 
 
 def view_of(value: Any) -> View | None:
-    """A checked array as a view; None stays None."""
+    """Return the view of a checked array; None stays None."""
     return None if value is None else View(*value)
 
 
 def ballot_of(value: Any) -> Ballot:
-    """A checked array as a ballot."""
+    """Return the ballot of a checked array."""
     return Ballot(*value)
 
 
 def plain(value: Any) -> Any:
-    """A view or a ballot as the array that travels and is stored; anything else as it is."""
+    """Return a view or a ballot as the array that travels and is stored; anything else as it is."""
     return tuple(value) if isinstance(value, View | Ballot) else value
--- a/silverglade/runtime/daemon_machine.py
+++ b/silverglade/runtime/daemon_machine.py
@@ -11,8 +11,8 @@
 from ..autoscaling.unordered_scaler import need
 from ..configuration.operator_api import OperatorApi
 from ..configuration.updater import Updater
-from ..configuration.updates import keeper
-from ..control.core import core
+from ..control.core import control_component
+from ..control.role_assigner import RoleAssigner
 from ..membership.core_table import table
 from ..membership.member import roster
 from ..membership.zone_relay import proxy
@@ -92,8 +92,8 @@
         self.me = me
         saved = saved or {}
         if disk:  # made first, since it draws from `rng` before the others do
-            control = core(
-                me=me, disk=disk, cores=cores, saved=saved, opt=opt, rng=rng, place=(zone, region), tolerance=tolerance, first=first
+            control = control_component(
+                name=me, disk=disk, cores=cores, saved=saved, tuning=opt, rng=rng, place=(zone, region), tolerance=tolerance, first=first
             )
         updater = Updater(
             own_name=me, zone=zone, region=region, is_core=bool(disk), own_address=addr, seeds=tuple(seeds), tuning=opt, rng=rng
@@ -114,7 +114,7 @@
         if disk:
             p["control"] = control
             p["core_table"] = table(me=me, life=life, addr=addr, seeds=tuple(seeds), opt=opt)
-            p["role_assigner"] = keeper(cores=cores, opt=opt)
+            p["role_assigner"] = MachineComponent(RoleAssigner(tuning=opt))
             p["claim_follower"] = follower(me=me, saved=saved, opt=opt)
         else:
             p["zone_relay"] = proxy(zone=zone, opt=opt)
--- a/silverglade/testbed/simulator/control_cluster.py
+++ b/silverglade/testbed/simulator/control_cluster.py
@@ -7,7 +7,7 @@
 import random
 from datetime import timedelta
 
-from ...control.core import core
+from ...control.core import control_component
 from ...control.register import disks
 from ...runtime.effects import ZERO, milliseconds, start
 from ...runtime.settings import tuning
@@ -52,12 +52,12 @@
         self.life += 1
         self.frozen, self.held, self.daemon_state, self.released = None, [], "ready", False
         self.gen = start(
-            core(
-                me=self.name,
+            control_component(
+                name=self.name,
                 disk=self.disk.id,
                 cores=c.named,
                 saved={t: dict(d) for t, d in self.disk.data.items()},
-                opt=c.opt,
+                tuning=c.opt,
                 rng=random.Random(c.rng.getrandbits(64)),
                 place=(self.zone, self.region),
                 tolerance=c.tolerance,
@@ -235,7 +235,7 @@
             and disks(v) == up
             and len(v[2]) == max(1, *self.tolerance)
             and self.cores[v[1]].state.open_epoch == v[0]
-            and all(x.gen and x.state.view == v and x.state.writes.fit for x in self.cores.values())
+            and all(x.gen and x.state.view == v and x.state.writes.is_able for x in self.cores.values())
         )
 
     def bad(self, rule, *what):
@@ -378,7 +378,7 @@
         c.bad(
             "not-back",
             c.view(),
-            [(x.name, x.state.view, x.state.open_epoch, x.state.sealed, x.state.writes.fit) for x in c.cores.values() if x.gen],
+            [(x.name, x.state.view, x.state.open_epoch, x.state.sealed, x.state.writes.is_able) for x in c.cores.values() if x.gen],
         )
     if changer:
         changer.open = False
--- a/tests/control/test_core_state.py
+++ b/tests/control/test_core_state.py
@@ -11,7 +11,7 @@
 
 from silverglade.control import messages as control_messages
 from silverglade.control import values, writes
-from silverglade.control.core import ControlCore, core
+from silverglade.control.core import ControlCore, ControlPart, control_component
 from silverglade.control.messages import decode, encode
 from silverglade.control.view import Ballot, View
 from silverglade.runtime import daemon_machine as hub
@@ -108,7 +108,7 @@
         before = self.machine.fingerprint()
         twin = copy.deepcopy(self.machine)
         assert twin.fingerprint() == before
-        effects = twin.step(*value)
+        effects = ControlPart(twin).send(value)
         assert self.machine.fingerprint() == before  # a step of the copy is not felt
         assert self.shell.send(value) == effects
         assert self.machine.fingerprint() == twin.fingerprint()
@@ -118,12 +118,12 @@
 
 def test_a_copy_goes_the_same_way_and_leaves_the_original_as_it_was(monkeypatch):
     seen = set()
-    monkeypatch.setattr(council, "core", lambda **kw: Twin(core(**kw), seen))
+    monkeypatch.setattr(council, "control_component", lambda **kw: Twin(control_component(**kw), seen))
     for trial in (trials.primary_loses_power, trials.a_disk_is_lost):
         c, _ = trials.one(trial, seed=1, size=3, tolerance=(1, 1, 1))
         assert c.faults == []
     assert seen >= {
-        writes.TellIfSynced,
+        writes.SendIfSynced,
         writes.WholeStoreWritten,
         writes.ChangeWrittenByPrimary,
         writes.ChangeWrittenByBackup,
@@ -146,12 +146,12 @@
         s, view = self.state, self.state.view
         assert s.register.base == view and s.register.accepted <= s.register.promised
         assert s.register.view is None or s.register.view.epoch == (view.epoch if view else 0) + 1
-        assert s.open_epoch == 0 or s.open_epoch == view.epoch and view.primary == self.shell.machine.me
-        assert all(version <= s.shown_version for version, _ in s.shown_items.values())
+        assert s.open_epoch == 0 or s.open_epoch == view.epoch and view.primary == self.shell.machine.name
+        assert all(version <= s.committed_version for version, _ in s.committed_items.values())
         assert s.proofs.keys() | s.snapshot_synced_by <= set(view.backups if view else ())
-        assert s.pending is None or view.primary == self.shell.machine.me
+        assert s.pending is None or view.primary == self.shell.machine.name
         assert not self.shell.machine.effects
-        risen = (view.epoch if view else 0, s.sealed, s.recruited, s.served, s.shown_version, s.register.promised)
+        risen = (view.epoch if view else 0, s.sealed, s.recruited, s.served, s.committed_version, s.register.promised)
         assert all(now >= was for now, was in zip(risen, self.risen))
         self.risen = risen
         return effects
@@ -159,7 +159,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_what_the_state_says_of_itself_holds_after_every_event(seed, monkeypatch):
-    monkeypatch.setattr(council, "core", lambda **kw: Watched(core(**kw)))
+    monkeypatch.setattr(council, "control_component", lambda **kw: Watched(control_component(**kw)))
     size, tolerance = ((3, (1, 1, 1)), (5, (2, 1, 1)))[seed % 2]
     c, _ = trials.storm(seed=seed, size=size, tolerance=tolerance)
     assert c.faults == []
@@ -186,7 +186,7 @@
 
 
 def a_machine():
-    shell = core(me="a", disk="1", cores=("c", "a", "b"), saved={}, opt=tuning(), rng=random.Random(4))
+    shell = control_component(name="a", disk="1", cores=("c", "a", "b"), saved={}, tuning=tuning(), rng=random.Random(4))
     shell.send(None)
     shell.send((ZERO, ("roll", [(n, "1", 1, 0, "z" + n, "r", "", "", True, "ready", (), ()) for n in "abc"])))
     for n in "bc":
@@ -206,7 +206,7 @@
 
 
 def test_the_shell_is_a_part_like_any_other():
-    shell = core(me="a", disk="1", cores=("a", "b", "c"), saved={}, opt=tuning(), rng=random.Random(4))
+    shell = control_component(name="a", disk="1", cores=("a", "b", "c"), saved={}, tuning=tuning(), rng=random.Random(4))
     assert shell.send(None) == () and isinstance(shell.machine, ControlCore)
     with pytest.raises(KeyError):
         shell.throw(KeyError("x"))
--- a/tests/control/test_evacuations_in_partitions.py
+++ b/tests/control/test_evacuations_in_partitions.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from silverglade.control import replicated_state as bk
+from silverglade.control.decisions import fencing_token
+from silverglade.control.operations import Evacuate
 from silverglade.testbed.simulator import control_cluster as council
 
 from ..support.source_mutation import without
@@ -25,7 +26,12 @@
             if self.job is None:
                 self.n += 1
                 op = ("evac", "za", self.on)
-                self.job = (c.rng.getrandbits(40), (*op, bk.fence(x.state.shown_items, op)), f"{self.name}.{self.n}")
+                token = fencing_token(x.state.committed_items, Evacuate(*op[1:]))
+                self.job = (
+                    c.rng.getrandbits(40),
+                    (*op, token),
+                    f"{self.name}.{self.n}",
+                )
             number, op, change = self.job
             c.after(council.SEC * 0.02, x.feed, ("msg", self.name, ("op", number, change, op, str(op))))
         c.after(council.SEC / 4, self.push)
@@ -86,7 +92,7 @@
 
     assert fell(range(4)) == set()
     module = "silverglade.control.replication"
-    old = "        if ok:\n            replicate(core, view, pending)"
+    old = "        if succeeded:\n            replicate(core, view, pending)"
     new = old + "\n            for told in pending.answers:\n                answer(core, told.client, told.result)"
     without(monkeypatch, module, old, new, module + ".on_written_by_primary")
     assert fell(range(24)) & {"two-at-one-version", "acknowledged-and-undone", "both-won"}
