--- a/silverglade/configuration/messages.py
+++ b/silverglade/configuration/messages.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any, ClassVar
 
-from .operation_results import OperationResult, decode_result
+from ..control.operation_results import Result, decode_result
 
 Version = tuple[int, int]
 """(epoch, number) of a change, or of a whole store."""
@@ -21,7 +21,7 @@
 """A message as an array: its kind, then its fields."""
 
 RawOperation = tuple[Any, ...]
-"""An operation as an array: what is to be done, then its arguments (operations.py)."""
+"""An operation as an array: what is to be done, then its arguments (control/operations.py)."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,7 +122,7 @@
 
     TAG: ClassVar[str] = "opr"
     number: int
-    result: OperationResult
+    result: Result
 
 
 def decode_primary_answer(body: RawMessage) -> FencingTokenAnswer | OperationAnswer | None:
--- a/silverglade/configuration/operator_api.py
+++ b/silverglade/configuration/operator_api.py
@@ -7,6 +7,7 @@
 from datetime import timedelta
 from typing import Any, ClassVar
 
+from ..control.operations import ConfigurationChange, Evacuate, ReadSource, ReopenShard, TableChange
 from ..control.replicated_state import INITIAL_VERSION, value_of
 from ..membership.directory import addresses_for_client
 from ..membership.records import members_of
@@ -34,7 +35,6 @@
     TimerFired,
 )
 from .messages import FencingTokenAnswer, OperationAnswer, decode_primary_answer
-from .operations import ReadSource, ReopenShard, ReplaceConfiguration, ReplaceConfigurationByNumber, SetEvacuation
 from .operator_calls import OperatorCalls
 from .status_reports import (
     Report,
@@ -47,7 +47,7 @@
     status_report,
 )
 
-Operation = ReplaceConfiguration | ReplaceConfigurationByNumber | ReadSource | SetEvacuation | ReopenShard
+Operation = ConfigurationChange | TableChange | ReadSource | Evacuate | ReopenShard
 
 
 class OperatorApi:
@@ -186,18 +186,18 @@
 
     def _replace_configuration(self, call: ApiCall, now: timedelta) -> list[Effect]:
         base, change_id, raw = call.arguments
-        return self._begin(call, change_id, ReplaceConfiguration(base, raw), now)
+        return self._begin(call, change_id, ConfigurationChange(base, raw), now)
 
     def _replace_configuration_by_number(self, call: ApiCall, now: timedelta) -> list[Effect]:
         base, number, change_id, raw, source = call.arguments
-        return self._begin(call, change_id, ReplaceConfigurationByNumber(base, number, raw, source), now)
+        return self._begin(call, change_id, TableChange(base, number, raw, source), now)
 
     def _read_source(self, call: ApiCall, now: timedelta) -> list[Effect]:
         return self._begin(call, "", ReadSource(), now)
 
     def _set_evacuation(self, call: ApiCall, now: timedelta) -> list[Effect]:
         zone, is_evacuated, change_id, *wait = call.arguments
-        return self._begin(call, change_id, SetEvacuation(zone, is_evacuated), now, caller_waits=wait[0] if wait else None)
+        return self._begin(call, change_id, Evacuate(zone, is_evacuated), now, caller_waits=wait[0] if wait else None)
 
     def _reopen_shard(self, call: ApiCall, now: timedelta) -> list[Effect]:
         tenant, change_id, *wait = call.arguments
--- a/silverglade/configuration/operator_calls.py
+++ b/silverglade/configuration/operator_calls.py
@@ -22,11 +22,13 @@
 from datetime import timedelta
 from typing import Any
 
+from ..control.operation_results import Acknowledged, OutcomeUnknown, Redirected, Refused, Result, SourceRead, Stale
+from ..control.operations import TableChange
 from ..runtime import result_codes
 from ..runtime.effects import ZERO, Effect, Reply, Send
+from ..transport.message_schemas import FENCED_OPERATIONS
 from .messages import FencingTokenRequest, OperationRequest, RawMessage, RawOperation, Version
-from .operation_results import Acknowledged, NotPrimary, OperationResult, OutcomeUnknown, Refused, StaleBase
-from .operations import needs_fencing_token, operation_digest
+from .schema import key_digest
 
 CALL_NUMBER_BITS = 48
 """Of the random number that names a call between daemons."""
@@ -126,17 +128,17 @@
         call.fencing_token = token
         return self._send(number, now)
 
-    def on_result(self, number: int, sender: str, result: OperationResult, now: timedelta) -> list[Effect]:
+    def on_result(self, number: int, sender: str, result: Result, now: timedelta) -> list[Effect]:
         """Handle the primary's answer to the operation, or another core's word of who is primary."""
         call = self.in_flight.get(number)
         if call is None:
             return []
         match result:
-            case NotPrimary():
+            case Redirected():
                 return self._redirect(number, sender, result.primary, now)
             case OutcomeUnknown() if call.change_id:
                 return []  # the operation is sent again, by its change id
-            case StaleBase() if needs_fencing_token(call.operation) and now <= call.caller_waits_until:
+            case Stale() if needs_fencing_token(call.operation) and now <= call.caller_waits_until:
                 call.fencing_token = None  # another change came between, and the caller is still there
                 return self._send(number, now)
         return self._settle(number, result)
@@ -182,7 +184,7 @@
         call.was_sent, call.sent_at, call.sent_to = True, now, receiver
         return [Send(receiver, call.message(number))]
 
-    def _settle(self, number: int, result: OperationResult) -> list[Effect]:
+    def _settle(self, number: int, result: Result) -> list[Effect]:
         """End the call and answer its caller."""
         call = self.in_flight.pop(number)
         if call.call_id is None:
@@ -190,14 +192,30 @@
         return [_reply(call.call_id, call, result)]
 
 
-def _reply(call_id: str, call: Call, result: OperationResult) -> Reply:
+def _reply(call_id: str, call: Call, result: Result) -> Reply:
     """What the caller is answered."""
     match result:
-        case Acknowledged(version, None):
+        case Acknowledged(version):
             return Reply(call_id, result_codes.OK, {"version": list(version), "change": call.change_id})
-        case Acknowledged(version, source):
+        case SourceRead(version, source):
             return Reply(call_id, result_codes.OK, {"version": list(version), "change": call.change_id, "source": source})
         case Refused(code, detail):
             return Reply(call_id, code, {"detail": detail, "change": call.change_id})
     code = result_codes.UNKNOWN_OUTCOME if call.was_sent else result_codes.NO_PRIMARY
     return Reply(call_id, code, {"change": call.change_id})
+
+
+def needs_fencing_token(operation: RawOperation) -> bool:
+    """Whether an operation names no base of its own, so that one is read from the primary first."""
+    return operation[0] in FENCED_OPERATIONS
+
+
+def operation_digest(operation: RawOperation) -> str:
+    """Digest what an operation says, whichever daemon sends it.
+
+    A configuration with a number of its own counts by its text: each daemon parses that for itself.
+    """
+    if operation[0] == TableChange.TAG:
+        kind, base, number, _, source = operation
+        operation = (kind, base, number, source)
+    return key_digest(repr(operation))
--- a/silverglade/control/operation_results.py
+++ b/silverglade/control/operation_results.py
@@ -78,11 +78,22 @@
         return ("stale",)
 
 
-Result = Acknowledged | SourceRead | Refused | Redirected | OutcomeUnknown | Stale
+@dataclass(frozen=True, slots=True)
+class UnrecognizedResult:
+    """An array of no known shape, as from a later program; it is never sent."""
+
+    raw: tuple[Any, ...]
+
+    def encode(self) -> tuple[Any, ...]:
+        """Return the array that travels."""
+        return self.raw
+
+
+Result = Acknowledged | SourceRead | Refused | Redirected | OutcomeUnknown | Stale | UnrecognizedResult
 
 
 def decode_result(raw: tuple[Any, ...]) -> Result:
-    """Return the typed result of an array; one of no known shape says nothing, so it is `OutcomeUnknown`."""
+    """Return the typed result of an array."""
     match raw:
         case ("ok", version):
             return Acknowledged(version)
@@ -92,6 +103,8 @@
             return Refused(code, detail)
         case ("elsewhere", primary):
             return Redirected(primary)
+        case ("unknown",):
+            return OutcomeUnknown()
         case ("stale",):
             return Stale()
-    return OutcomeUnknown()
+    return UnrecognizedResult(raw)
--- a/silverglade/testbed/simulator/operators.py
+++ b/silverglade/testbed/simulator/operators.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from ...configuration.operation_results import decode_result
 from ...configuration.operator_calls import OperatorCalls
+from ...control.operation_results import decode_result
 from ...runtime.effects import ZERO, Reply, Send, milliseconds
 from ..checkers.linearizability import Operation, Table, Verdict, Zone, judged
 from .control_cluster import SEC, Council
--- a/tests/configuration/test_operator_calls.py
+++ b/tests/configuration/test_operator_calls.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from silverglade.configuration.operation_results import decode_result
 from silverglade.configuration.operator_calls import OperatorCalls
+from silverglade.control.operation_results import decode_result
 from silverglade.runtime.effects import milliseconds, to_tuple
 from silverglade.runtime.settings import tuning
 from silverglade.testbed.simulator.scenario import SEC
