--- a/tests/routing/test_endpoint_list.py
+++ b/tests/routing/test_endpoint_list.py
@@ -64,7 +64,7 @@
     assert list_readers(roll(("k1", "a", True, "ready", ()), ("a1", "a", False, "leaving", ()))) == ()
 
 
-def test_every_daemon_agrees_on_the_list_readers():
+def test_every_daemon_agrees_on_the_readers():
     rng = random.Random(1)
     ids = [f"{g}{i}" for g in "abc" for i in range(20)]
     want = list_readers(edges(*ids))
--- a/tests/routing/test_prefill_placement.py
+++ b/tests/routing/test_prefill_placement.py
@@ -1,4 +1,4 @@
-"""Placing long prompts by backlogss (design 15.11): what a backlogs says, whom a daemon asks, and what it does without an answer."""
+"""Placing long prompts by prefill backlogs (design 15.11): what a backlog says, whom a daemon asks, and what it does without an answer."""
 
 from datetime import timedelta
 
@@ -43,7 +43,7 @@
     assert got[1::2][5:] == [True] * 35 and got[::2] == [False] * 40
 
 
-def test_a_backlogs_counts_what_is_sent_and_not_yet_read():
+def test_a_backlog_counts_what_is_sent_and_not_yet_read():
     backlogs, now, p = PrefillBacklogs(), 10 * SEC, prompt_of(*LONG)
     assert backlogs.cost(now, "1", p) == 9500
     backlogs.add(now, "1", PrefillId("d2", 7), p, 0)
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("room, parts", [(10_000, 10), (0, MOST_PARTS)])
-def test_what_a_backlogs_remembers_is_bounded_by_the_replicas_memory_and_by_count(room, parts):
+def test_what_a_backlog_remembers_is_bounded_by_the_replicas_memory_and_by_count(room, parts):
     backlogs = PrefillBacklogs()
     for n in range(MOST_PARTS + 100):
         backlogs.add(SEC, "1", PrefillId("d2", n), Prompt(((f"p{n}", 1000),), 0), room)
@@ -105,7 +105,7 @@
 
 
 class Asking(RouterBench):
-    """A daemon's part whose replicas' backlogss others hold; one long prompt follows short ones."""
+    """A daemon's part whose replicas' backlogs others hold; one long prompt follows short ones."""
 
     def __init__(self):
         super().__init__(route(by_prefix=True), replicas=tuple(endpoint(str(i)) for i in range(1, 9)))
@@ -114,7 +114,7 @@
             self.report(rid, 1, "done")
 
     def long(self):
-        """Until both backlogss are others' -> (the request, the messages)."""
+        """Until both backlogs are others' -> (the request, the messages)."""
         for _ in range(60):
             rid, es = self.request(prefix=((f"s{self.requests_made}", 2500), *LONG[0][1:]), tokens=LONG[1])
             asks = [e for e in es if e[0] == "send" and e[2][0] == "load-ask"]
@@ -122,7 +122,7 @@
                 assert es == asks
                 return rid, asks
             self.report(rid, 1, "done")
-        raise AssertionError("no prompt whose backlogss are both others'")
+        raise AssertionError("no prompt whose backlogs are both others'")
 
     def tell(self, ask, cost):
         return self.feed("msg", ask[1], ("load-told", ask[2][1], ask[2][2], cost))
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize("costs, chosen", [((9000, 100), 1), ((100, 9000), 0), ((500, 500), 0)])
-def test_the_replica_with_less_to_read_gets_it_and_its_backlogs_is_told(costs, chosen):
+def test_the_replica_with_less_to_read_gets_it_and_its_backlog_is_told(costs, chosen):
     b = Asking()
     rid, asks = b.long()
     assert tries(b.tell(asks[0], costs[0])) == []
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize("what", [("unsent", "refused"), ("lost", None), ("gone",), ("not-run", 503, 0.1)])
-def test_a_try_that_ends_before_its_first_token_is_taken_off_the_backlogs(what):
+def test_a_try_that_ends_before_its_first_token_is_taken_off_the_backlog(what):
     b = Asking()
     rid, asks = b.long()
     b.tell(asks[0], 1)
@@ -170,7 +170,7 @@
     assert asks[0][1] in {e[1] for es in later for e in es if e[0] == "send"}
 
 
-def test_a_client_that_leaves_while_the_backlogss_are_asked_gets_no_try():
+def test_a_client_that_leaves_while_the_backlogs_are_asked_gets_no_try():
     b = Asking()
     rid, asks = b.long()
     b.report(rid, 0, "gone")
@@ -178,7 +178,7 @@
     assert tries(b.advance(1)) == []
 
 
-def test_a_replica_that_leaves_while_its_backlogs_is_asked_gets_nothing():
+def test_a_replica_that_leaves_while_its_backlog_is_asked_gets_nothing():
     b = Asking()
     _, asks = b.long()
     gone = asks[0][2][2]
