--- a/tests/configuration/test_update_age.py
+++ b/tests/configuration/test_update_age.py
@@ -54,6 +54,6 @@
     s.w.deliver = slowly
     s.put(at="core-north", grow=300)  # with the duties of 300 tenants some 3 s on its way
     s.w.run(20)
-    shown = max(n.control.shown_version for n in s.w.nodes.values() if n.core)
+    shown = max(n.control.committed_version for n in s.w.nodes.values() if n.core)
     assert s.o.acked[-1][-1] <= shown and {n.store_version for n in s.w.nodes.values()} == {shown}
     assert s.o.faults == []
--- a/tests/testbed/test_second_loss.py
+++ b/tests/testbed/test_second_loss.py
@@ -77,14 +77,14 @@
         (repairs.leave,),
         SMALL,
         {"left-its-view"},
-        (PLAN, "if me in members(view):\n        return False", "", PLAN + ".may_end"),
+        (PLAN, "if own_name in members(view):\n        return False", "", PLAN + ".may_end"),
     ),
     (
         "a witness ends before another has its place",
         (repairs.replace_planned,),
         SMALL,
         {"gap"},
-        (PLAN, "    was = tuple(disks_of(view))\n    return me not in was or", "    return True or", PLAN + ".may_end"),
+        (PLAN, "    was = tuple(disks_of(view))\n    return own_name not in was or", "    return True or", PLAN + ".may_end"),
     ),
     (
         "one that is away is waited for too long",
