--- a/silverglade/replicas/registry.py
+++ b/silverglade/replicas/registry.py
@@ -249,7 +249,9 @@
         self._effects.append(Reply(call_id, result_codes.OK, {"leaving": self.table.records[name].is_leaving}))
         if is_new:
             self._replicas_changed = True
-            self._effects.append(log_record("replica", replica=name, incarnation=record.incarnation, zone=record.zone, slots=record.slots))
+            self._effects.append(
+                log_record("replica-registered", replica=name, incarnation=record.incarnation, zone=record.zone, slots=record.slots)
+            )
 
     def _refusal(self, call_id: str, name: str, declared: Mapping[str, Any]) -> Reply | None:
         """Why a replica may not register with what it declares, or None."""
--- a/silverglade/replicas/slot_leases.py
+++ b/silverglade/replicas/slot_leases.py
@@ -132,7 +132,7 @@
         self._effects.append(ProbeReplica(name, slots.incarnation, self._replicas[name].record.address))
         if slots.heard_at and now - slots.heard_at > self._tuning["stale"] / 2 and slots.state != ReplicaState.DARK:
             slots.turn_dark()
-            self._effects.append(log_record("replica-dark", replica=name))
+            self._effects.append(log_record("replica-unresponsive", replica=name))
             self._report_status(name, slots)
 
     def _on_probed(self, event: ReplicaProbed, now: timedelta) -> None:
--- a/silverglade/tenant_shards/owned_shards.py
+++ b/silverglade/tenant_shards/owned_shards.py
@@ -59,7 +59,7 @@
         """Another daemon owns the shard: the ingresses of the requests that were not granted are to ask that one."""
         context = self._context
         del context.shards[name]
-        context.effects.append(log_record("shard-passed", shard=name, epoch=role.epoch, owner=role.owner))
+        context.effects.append(log_record("shard-handed-over", shard=name, epoch=role.epoch, owner=role.owner))
         for request in [request for request in context.requests.values() if request.tenant == name]:
             del context.requests[request.request_id]
             if request.step is not RequestStep.GRANTED:
