--- a/silverglade/tenant_shards/messages.py
+++ b/silverglade/tenant_shards/messages.py
@@ -90,7 +90,7 @@
     address: str
     epoch: int
     is_overflow: bool
-    is_retry: bool
+    is_retry: bool = False
 
 
 class Denial(NamedTuple):
@@ -321,11 +321,14 @@
 
 
 def decode(body: tuple[Any, ...]) -> Message | None:
-    """The message of a checked body; None for a kind that is not of this package."""
+    """The message of a checked body; None for a kind that is not of this package. Fields of a later program are dropped."""
     message_class: Any = MESSAGE_CLASSES.get(body[0])
-    if message_class is None or len(body) != 1 + len(message_class._fields):
+    if message_class is None:
         return None
-    message: Message = message_class._make(body[1:])
+    fields = body[1 : 1 + len(message_class._fields)]
+    if len(fields) < len(message_class._fields) - len(message_class._field_defaults):
+        return None
+    message: Message = message_class(*fields)
     return message
 
 
