--- a/silverglade/replicas/lease_holders.py
+++ b/silverglade/replicas/lease_holders.py
@@ -5,8 +5,6 @@
 from collections.abc import Iterator, Mapping
 from typing import Any, NamedTuple
 
-from ..control.replicated_state import value_of
-
 Store = Mapping[str, tuple[Any, Any]]
 """What control has acknowledged: key to (version, value)."""
 
@@ -21,12 +19,6 @@
     daemon: str
 
 
-def lease_holder(store: Store, replica: str) -> LeaseHolder | None:
-    """The lease holder of a replica, or None."""
-    role = value_of(store, LEASE_HOLDER_KEY + replica)
-    return LeaseHolder(role[0], role[1]) if role else None
-
-
 def lease_holders(store: Store) -> Iterator[tuple[str, LeaseHolder]]:
     """Every replica that has a lease holder, with it, in the order of the store."""
     for key, (_, role) in store.items():
--- a/silverglade/replicas/records.py
+++ b/silverglade/replicas/records.py
@@ -19,6 +19,10 @@
     DARK = "dark"  # it answers no health check
 
 
+READY: str = ReplicaState.READY.value
+"""The plain value that statuses hold, for loops over all replicas: reading a member of an enum takes its time."""
+
+
 def _matches(row: Any, types: tuple[type, ...]) -> bool:
     """Whether a row from the network begins with fields of exactly these types."""
     return isinstance(row, tuple) and len(row) >= len(types) and all(type(value) is kind for value, kind in zip(row, types))
--- a/silverglade/replicas/registry.py
+++ b/silverglade/replicas/registry.py
@@ -29,7 +29,7 @@
     TimerFired,
 )
 from .lease_holders import LeaseHolder, Store, lease_holders
-from .records import ReplicaEntry, ReplicaRecord, ReplicaState, ReplicaStatus
+from .records import READY, ReplicaEntry, ReplicaRecord, ReplicaState, ReplicaStatus
 from .replica_table import ReplicaTable
 from .status_publisher import StatusPublisher
 
@@ -322,7 +322,7 @@
     record, status, heard_at = entry
     return (
         status is not None
-        and status.state == ReplicaState.READY
+        and status.state == READY
         and not record.is_leaving
         and record.zone not in drained_zones
         and heard_at is not None
--- a/silverglade/replicas/slot_leases.py
+++ b/silverglade/replicas/slot_leases.py
@@ -33,7 +33,7 @@
     send,
 )
 from .lease_holders import lease_holders
-from .records import ReplicaEntry, ReplicaState
+from .records import READY, ReplicaEntry, ReplicaState
 from .registry import evacuated_zones
 from .replica_slots import ReplicaSlots, SlotLease, WaitingTenant, report_of
 
@@ -76,6 +76,8 @@
         """Handle one event and return the effects in their order."""
         self._effects = []
         match event:
+            case MessageReceived():
+                self._on_message(event.sender, decode(event.body), now)
             case ProofRenewed():
                 self._proved_at = event.proved_at
             case MembershipChanged():
@@ -92,8 +94,6 @@
                 self._on_timer(now)
             case ReplicaProbed():
                 self._on_probed(event, now)
-            case MessageReceived():
-                self._on_message(event.sender, decode(event.body), now)
         return self._effects
 
     # --- which replicas are ours
@@ -200,7 +200,7 @@
         """How many slots may be leased now."""
         record = self._replicas[name].record
         if (
-            slots.state != ReplicaState.READY
+            slots.state != READY
             or now - slots.opened_at < self._tuning["learn"]  # owners are heard first: which leases are out?
             or record.is_leaving
             or record.zone in self._drained_zones
--- a/silverglade/tenant_shards/admission.py
+++ b/silverglade/tenant_shards/admission.py
@@ -7,8 +7,7 @@
 from typing import Any
 
 from ..replicas.candidate_selection import select_candidates
-from ..replicas.lease_holders import lease_holder
-from ..replicas.records import ReplicaState
+from ..replicas.records import READY
 from ..runtime import result_codes
 from .context import OwnerContext
 from .messages import (
@@ -70,7 +69,7 @@
         request.candidates = [name for name in request.candidates if name in replicas]
         while request.candidates:
             replica = request.candidates.pop(0)
-            holder = lease_holder(self._context.store, replica)
+            holder = self._context.lease_holders.get(replica)
             if holder is None:
                 continue
             self._last_lease += 1
@@ -151,7 +150,7 @@
         region = zones[home_zone]["region"]
         ready = 0
         for record, status, _ in self._context.replicas.values():
-            is_ready = status is not None and status.state == ReplicaState.READY
+            is_ready = status is not None and status.state == READY
             if is_ready and record.kind == request.kind and record.zone in zones and zones[record.zone]["region"] == region:
                 ready += 1
         return self._context.required_replicas.get((region, request.kind), 0) > ready
--- a/silverglade/tenant_shards/context.py
+++ b/silverglade/tenant_shards/context.py
@@ -8,9 +8,10 @@
 
 from ..control.replicated_state import value_of
 from ..membership.records import MemberRecord
+from ..replicas.lease_holders import LeaseHolder
 from ..replicas.records import ReplicaEntry
-from ..runtime.effects import Effect
-from .messages import Message, send
+from ..runtime.effects import Effect, Send
+from .messages import Message, encode
 from .queued_request import QueuedRequest
 from .retry_budget import RetryBudget
 from .shard import Shard
@@ -23,6 +24,7 @@
     :ivar shards: tenant to the shard that this daemon owns.
     :ivar requests: the requests of these tenants that were not answered yet, or run, by id, in the order of their arrival.
     :ivar store: what control has acknowledged.
+    :ivar lease_holders: replica to the holder of its slot leases.
     :ivar drained_zones: zones in which nothing new is started.
     :ivar proved_at: when the store was last proved to be the newest, or None.
     :ivar replicas: all registered replicas by id.
@@ -41,6 +43,7 @@
         "shards",
         "requests",
         "store",
+        "lease_holders",
         "drained_zones",
         "proved_at",
         "replicas",
@@ -59,6 +62,7 @@
         self.shards: dict[str, Shard] = {}
         self.requests: dict[str, QueuedRequest] = {}
         self.store: Store = {}
+        self.lease_holders: dict[str, LeaseHolder] = {}
         self.drained_zones: set[str] = set()
         self.proved_at: timedelta | None = None
         self.replicas: Mapping[str, ReplicaEntry] = {}
@@ -82,4 +86,4 @@
 
     def send(self, to: str, message: Message) -> None:
         """Send a message to a daemon."""
-        self.effects.append(send(to, message))
+        self.effects.append(Send(to, encode(message)))
--- a/silverglade/tenant_shards/messages.py
+++ b/silverglade/tenant_shards/messages.py
@@ -314,6 +314,12 @@
 
 _TAGS: dict[type[Message], str] = {message_class: tag for tag, message_class in MESSAGE_CLASSES.items()}
 
+_SHAPES: dict[str, tuple[Any, int, int]] = {
+    tag: (message_class, 1 + len(message_class._fields) - len(message_class._field_defaults), 1 + len(message_class._fields))
+    for tag, message_class in MESSAGE_CLASSES.items()
+}
+"""Of each kind: its class, and the least and the greatest length of a body that is read."""
+
 
 def encode(message: Message) -> tuple[Any, ...]:
     """The body that travels."""
@@ -322,13 +328,13 @@
 
 def decode(body: tuple[Any, ...]) -> Message | None:
     """The message of a checked body; None for a kind that is not of this package. Fields of a later program are dropped."""
-    message_class: Any = MESSAGE_CLASSES.get(body[0])
-    if message_class is None:
+    shape = _SHAPES.get(body[0])
+    if shape is None:
         return None
-    fields = body[1 : 1 + len(message_class._fields)]
-    if len(fields) < len(message_class._fields) - len(message_class._field_defaults):
+    message_class, least_length, greatest_length = shape
+    if len(body) < least_length:
         return None
-    message: Message = message_class(*fields)
+    message: Message = message_class(*body[1:greatest_length])
     return message
 
 
--- a/silverglade/tenant_shards/owner.py
+++ b/silverglade/tenant_shards/owner.py
@@ -10,7 +10,7 @@
 from typing import Any, ClassVar
 
 from ..membership.records import members_of
-from ..replicas.lease_holders import lease_holder
+from ..replicas.lease_holders import lease_holders
 from ..replicas.registry import evacuated_zones
 from ..runtime.components import Component
 from ..runtime.effects import IDLE, ZERO, Effect, Post, WakeAt
@@ -111,6 +111,7 @@
 
     def _on_store_updated(self, event: StoreUpdated) -> None:
         self.context.store = event.store
+        self.context.lease_holders = dict(lease_holders(event.store))
         self.context.drained_zones = evacuated_zones(event.store)
         self._queue.withdraw_unconfigured()
         self._owned_shards.follow_assignments()
@@ -150,23 +151,23 @@
             if request.lease_id:
                 held.setdefault(request.replica, []).append((request.lease_id, request.tenant))
         for replica, leases in held.items():
-            holder = lease_holder(self.context.store, replica)
+            holder = self.context.lease_holders.get(replica)
             if holder is not None:
                 self.context.send(holder.daemon, LeaseRenewal(replica, holder.epoch, tuple(leases)))
 
     def _on_message(self, sender: str, message: Message | None, now: timedelta) -> None:
         """A message of an ingress or of a lease holder; all others are about the agreement with a follower."""
         match message:
+            case LeaseDenied():
+                self._admission.on_lease_denied(message, now)
             case GrantRequest():
                 self._intake.on_grant_request(sender, message, now)
+            case LeaseGranted():
+                self._admission.on_lease_granted(sender, message, now)
             case RunEnded():
                 self._queue.on_run_ended(sender, message, now)
             case RequestAbandoned():
                 self._queue.on_request_abandoned(sender, message)
-            case LeaseGranted():
-                self._admission.on_lease_granted(sender, message, now)
-            case LeaseDenied():
-                self._admission.on_lease_denied(message, now)
             case LeaseOffer():
                 self._admission.on_lease_offer(sender, message, now)
             case Claimed():
--- a/silverglade/tenant_shards/queued_request.py
+++ b/silverglade/tenant_shards/queued_request.py
@@ -17,6 +17,12 @@
     REFUSED = "refused"  # the replica did not have it; its ingress may ask again under its claim
 
 
+WAITING = RequestStep.WAITING
+GRANTED = RequestStep.GRANTED
+REFUSED = RequestStep.REFUSED
+"""For loops over all requests: reading a member of an enum takes its time."""
+
+
 @dataclass(slots=True, kw_only=True)
 class QueuedRequest:
     """One request at its tenant's owner.
--- a/silverglade/tenant_shards/request_queue.py
+++ b/silverglade/tenant_shards/request_queue.py
@@ -4,12 +4,11 @@
 
 from datetime import timedelta
 
-from ..replicas.lease_holders import lease_holder
 from ..runtime import result_codes
 from .claims import Claim, ClaimState
 from .context import OwnerContext
 from .messages import Denial, LeaseRelease, Ran, RequestAbandoned, RunEnded, RunOutcome
-from .queued_request import QueuedRequest, RequestStep
+from .queued_request import GRANTED, REFUSED, WAITING, QueuedRequest, RequestStep
 
 NOBODY = ""
 """Whom a lease is given back to while no lease holder is named; the message is dropped."""
@@ -30,7 +29,7 @@
 
     def waiting(self, tenant: str) -> list[QueuedRequest]:
         """The tenant's requests that wait for a slot, in the order of their arrival."""
-        return [request for request in self._context.requests.values() if request.tenant == tenant and request.step is RequestStep.WAITING]
+        return [request for request in self._context.requests.values() if request.tenant == tenant and request.step is WAITING]
 
     def ran(self, request: QueuedRequest) -> str:
         """What this owner can say of whether the request's key ran, as a `Ran` value."""
@@ -70,7 +69,7 @@
             return
         replica, leases_held = request.replica, self._context.leases_held
         leases_held[replica] = max(0, leases_held.get(replica, 0) - 1)
-        holder = lease_holder(self._context.store, replica)
+        holder = self._context.lease_holders.get(replica)
         to = holder.daemon if holder is not None else NOBODY
         self._context.send(to, LeaseRelease(replica, request.lease_id, succeeded))
         request.lease_id = ""
@@ -78,7 +77,7 @@
     def withdraw_unconfigured(self) -> None:
         """Answer the requests that wait for a tenant or class which the configuration no longer has (design 6.7)."""
         for request in list(self._context.requests.values()):
-            is_waiting = request.step not in (RequestStep.GRANTED, RequestStep.REFUSED)
+            is_waiting = request.step not in (GRANTED, REFUSED)
             if is_waiting and not self._context.has_class(request.tenant, request.request_class):
                 self.deny(request, result_codes.WITHDRAWN)
 
--- a/silverglade/tenant_shards/request_timeouts.py
+++ b/silverglade/tenant_shards/request_timeouts.py
@@ -8,7 +8,7 @@
 from .admission import Admission
 from .context import OwnerContext
 from .messages import Ran
-from .queued_request import QueuedRequest, RequestStep
+from .queued_request import GRANTED, REFUSED, WAITING, QueuedRequest, RequestStep
 from .request_queue import RequestQueue
 
 RETRY_LATER_MS = 1000
@@ -28,28 +28,25 @@
     def check(self, live_daemons: set[str], now: timedelta) -> None:
         """Check every request."""
         for request in list(self._context.requests.values()):
-            is_ingress_live = request.ingress in live_daemons
-            if request.step is RequestStep.GRANTED and not is_ingress_live:
-                self._queue.drop(request)
-            elif request.step in (RequestStep.GRANTED, RequestStep.REFUSED):
-                if request.is_step_over(now):
-                    self._queue.drop(request)
-            elif not is_ingress_live:
+            if request.step in (GRANTED, REFUSED):
+                self._check_answered(request, live_daemons, now)
+            elif request.ingress not in live_daemons:
                 self._queue.deny(request, result_codes.LINK_LOST, ran=Ran.MAYBE.value)
             elif now >= request.deadline:
                 self._queue.deny(request, result_codes.NO_SLOT, retry_after_ms=RETRY_LATER_MS)
-            else:
-                self._check_step(request, now)
+            elif request.step is WAITING:
+                self._check_waiting(request, now)
+            elif request.is_step_over(now):
+                if request.step is RequestStep.CLAIMING:
+                    self._give_up_claim(request, now)
+                else:
+                    self._admission.ask_next_candidate(request, now)
 
-    def _check_step(self, request: QueuedRequest, now: timedelta) -> None:
-        """A request before its grant, in time and with a live ingress."""
-        if request.step is RequestStep.WAITING:
-            self._check_waiting(request, now)
-        elif request.is_step_over(now):
-            if request.step is RequestStep.CLAIMING:
-                self._give_up_claim(request, now)
-            elif request.step is RequestStep.LEASING:
-                self._admission.ask_next_candidate(request, now)
+    def _check_answered(self, request: QueuedRequest, live_daemons: set[str], now: timedelta) -> None:
+        """A request that was granted, or that its replica refused: it is dropped when nobody will say how it went on."""
+        is_orphaned = request.step is GRANTED and request.ingress not in live_daemons
+        if is_orphaned or request.is_step_over(now):
+            self._queue.drop(request)
 
     def _give_up_claim(self, request: QueuedRequest, now: timedelta) -> None:
         """The follower lives but does not sync: another core is to follow."""
