--- a/silverglade/http/dialect.py
+++ b/silverglade/http/dialect.py
@@ -3,27 +3,46 @@
 Decisions know fields, never names. `OWN` is the product's own dialect; an adapter brings another.
 """
 
+from __future__ import annotations
+
 from typing import NamedTuple
 
 
 class Dialect(NamedTuple):
-    """Header names in lower case, as bytes."""
-
-    attempt: bytes = b"silverglade-attempt-id"  # the id of one try, given by the client, echoed by the replica
-    deadline: bytes = b"silverglade-due"  # ms that the client will wait from here on
-    prefix: bytes = b"silverglade-parts"  # ID:TOKENS,... the parts of the prompt in order
-    last_event: bytes = b"last-event-id"  # a stream goes on behind this event
-    seal: bytes = b"silverglade-seal"  # a replica's word for a whole, successful answer
-    expect: bytes = b"silverglade-replica"  # only this replica may run it; others answer 421
-    version: bytes = b"silverglade-expect-version"  # only weights of this version may run it; others answer 421
-    not_run: bytes = b"silverglade-not-run"  # the replica's word that it did not run the request
-    replica: bytes = b"silverglade-replica-id"  # who answers a probe
-    cold_ms: bytes = b"silverglade-cold"  # ms that the replica stays cold
+    """Header names in lower case, as bytes, and two paths.
+
+    :ivar attempt: the id of one attempt, given by the client, echoed by the replica.
+    :ivar deadline: ms that the client will wait from here on.
+    :ivar prefix: ID:TOKENS,... the parts of the prompt in order.
+    :ivar last_event: the stream goes on behind this event.
+    :ivar seal: the replica's mark of a complete, successful response.
+    :ivar expect: only this replica may run it; others answer 421.
+    :ivar version: only weights of this version may run it; others answer 421.
+    :ivar not_run: the replica says that it did not run the request.
+    :ivar replica: who answers a health check.
+    :ivar cold_ms: ms that the replica stays cold.
+    :ivar model: the model that is asked for.
+    :ivar tokens: IN,OUT: tokens of the prompt, and the most out.
+    :ivar urgency: 0 to 9, 0 goes first.
+    :ivar health: path of a GET: is the replica well.
+    :ivar report: path of a GET: what the replica does now.
+    """
+
+    attempt: bytes = b"silverglade-attempt-id"
+    deadline: bytes = b"silverglade-due"
+    prefix: bytes = b"silverglade-parts"
+    last_event: bytes = b"last-event-id"
+    seal: bytes = b"silverglade-seal"
+    expect: bytes = b"silverglade-replica"
+    version: bytes = b"silverglade-expect-version"
+    not_run: bytes = b"silverglade-not-run"
+    replica: bytes = b"silverglade-replica-id"
+    cold_ms: bytes = b"silverglade-cold"
     model: bytes = b"silverglade-model"
-    tokens: bytes = b"silverglade-tokens"  # IN,OUT: tokens of the prompt, and the most out
-    urgency: bytes = b"silverglade-urgency"  # 0 to 9, 0 goes first
-    health: str = "/v1/health"  # GET: is the replica well
-    report: str = "/v1/report"  # GET: what the replica does now
+    tokens: bytes = b"silverglade-tokens"
+    urgency: bytes = b"silverglade-urgency"
+    health: str = "/v1/health"
+    report: str = "/v1/report"
 
 
 OWN = Dialect()
--- a/silverglade/testbed/experiments/loopback_cpu.py
+++ b/silverglade/testbed/experiments/loopback_cpu.py
@@ -1,8 +1,8 @@
-"""Processor time of the forwarding path's shell over loopback sockets (design 15.3).
+"""Processor time of forwarded requests over loopback sockets (design 15.3).
 
     python -m silverglade.testbed.experiments.loopback_cpu [requests]
 
-A second process plays clients and replica; the part is a stand-in that makes one try.
+A second process plays clients and replica; the router is a stub that makes one attempt.
 """
 
 import asyncio
--- a/tests/http/test_forwarding.py
+++ b/tests/http/test_forwarding.py
@@ -1,4 +1,4 @@
-"""The forwarding path's shell (design 15): what becomes of one try, over real sockets."""
+"""The I/O of forwarded requests (design 15): what becomes of one try, over real sockets."""
 
 import asyncio
 
--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -17,7 +17,7 @@
 
 
 class Request:
-    """A client's request under way, as the shell holds it."""
+    """A client's request under way, as the forwarder holds it."""
 
     def __init__(self, *, started=True):
         self.request_id, self.was_started, self.told = "r1", started, []
