--- a/tests/testbed/test_check_model.py
+++ b/tests/testbed/test_check_model.py
@@ -7,7 +7,7 @@
 import pytest
 
 from silverglade.control import register
-from silverglade.testbed.__main__ import command
+from silverglade.testbed.__main__ import run_command
 from silverglade.testbed.model_checker import actions as act
 from silverglade.testbed.model_checker import invariants, schedule
 from silverglade.testbed.model_checker.explorer import explore, replay, walks
@@ -188,12 +188,12 @@
     file = tmp_path / "trace.json"
     unconfirmed("ok")(monkeypatch)
     args = ["check-model", "--scenario", "overtaken", "--depth", "0", "--deviations", "1", "--walks", "0", "--json", str(file)]
-    assert command(args) == 1
+    assert run_command(args) == 1
     assert json.loads(file.read_text())["scenario"] == "overtaken"
-    assert command(["check-model", "--replay", str(file)]) == 1
+    assert run_command(["check-model", "--replay", str(file)]) == 1
     assert "read-old" in capsys.readouterr().out
     monkeypatch.undo()
-    assert command(["check-model", "--replay", str(file)]) == 0
+    assert run_command(["check-model", "--replay", str(file)]) == 0
 
 
 def test_a_shortest_trace_has_no_step_that_is_not_needed(monkeypatch):
