--- a/silverglade/testbed/checkers/forwarding_rules.py
+++ b/silverglade/testbed/checkers/forwarding_rules.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from ...runtime.effects import ZERO
-from ..fake_servers.request_format import answer, pieces, word
+from ..fake_servers.request_format import event_count, plain_answer
 from .configuration_history import ConfigHistory
 
 SEC, MS = timedelta(seconds=1), timedelta(milliseconds=1)
@@ -153,7 +153,7 @@
 
     def complete(self, now, g, s):
         stride = max((self.runs[r]["stride"] for r in self.by[s.attempt]), default=1)
-        most = max(pieces(s.body, s.tokens[1], stride), s.last)
+        most = max(event_count(s.body, s.tokens[1], stride), s.last)
         if (g["events"][-1][0] if g["events"] else s.last) < most:
             self.bad(now, "ORDER", s.attempt, "complete before its last piece", len(g["events"]), most)
 
@@ -218,7 +218,7 @@
         if had != (s.method, s.path, s.body):
             self.bad(now, "UNASKED", attempt, rep, "changed", had[:2])
         a = dict(attempt=attempt, seal=seal, status=status, stride=stride, at=now, service=service, last=last, plain=plain)
-        a["body"] = answer(run, s)
+        a["body"] = plain_answer(run, s)
         self.runs[run] = a
         self.by[attempt].append(run)
         if not s.again and len(self.by[attempt]) > 1:
@@ -349,7 +349,3 @@
         """The client's deadline has passed, its daemon lived all the while, and nothing is under way for it."""
         if self.got[attempt]["ended"] is None:
             self.bad(now, "SILENT", attempt, self.sent[attempt].life)
-
-
-def seal(run, attempt):
-    return word("seal", run, attempt)
--- a/silverglade/testbed/experiments/policy_actors.py
+++ b/silverglade/testbed/experiments/policy_actors.py
@@ -7,7 +7,7 @@
 
 from ...routing.router import forward
 from ...runtime.effects import start, to_milliseconds
-from ..fake_servers.replica_engine import Engine
+from ..fake_servers.replica_engine import ReplicaEngine
 from ..fake_servers.request_format import SEC
 from .policy_sites import Kind
 
@@ -28,7 +28,7 @@
     def __init__(self, *, name, life, service, zone, region, spec, seed, now, warm):
         self.id, self.addr, self.service, self.zone, self.region = f"{name}.{life}", f"{name}:80", service, zone, region
         self.name, self.life, self.spec = name, life, spec
-        self.engine = Engine(rid=self.id, spec=spec, seed=seed, warm=warm, now=now)
+        self.engine = ReplicaEngine(replica_id=self.id, spec=spec, seed=seed, warm=warm, now=now)
         self.trips, self.wake_at, self.count = {}, None, itertools.count(1)
         self.hung = False  # takes requests and answers none, while its reports are good
 
@@ -41,7 +41,7 @@
             self.service,
             self.spec.capacity,
             False,
-            to_milliseconds(self.engine.cold(now)),
+            to_milliseconds(self.engine.slow_start_left(now)),
             -1,
         )
 
--- a/silverglade/testbed/experiments/policy_day.py
+++ b/silverglade/testbed/experiments/policy_day.py
@@ -15,7 +15,8 @@
 from ...routing.outlier_ejection import SUSPECT
 from ...runtime.effects import to_milliseconds
 from ...runtime.settings import tuning
-from ..fake_servers.request_format import MS, SEC, Ask
+from ..fake_servers.replica_answers import Crashed, Cut, Ended, Head, Refused, StreamEvent
+from ..fake_servers.request_format import MS, SEC, ReplicaRequest
 from .policy_actors import Client, Front, Replica, Trip
 from .policy_figures import Figures
 from .policy_sites import DAYS, Prompts, configuration, two_regions
@@ -108,7 +109,7 @@
     def probe(self):
         loads = defaultdict(dict)
         for r in self.replicas.values():
-            waiting = r.engine.report(self.now)[0]
+            waiting = r.engine.report(self.now).waiting
             loads[r.region][r.id] = (len(r.engine.running), waiting, r.spec.capacity) if r.engine.up else (-1, -1, r.spec.capacity)
         for f in self.fronts:
             self.after(TOLD_AFTER, self.feed, f, "loads", dict(loads[f.region]))
@@ -222,7 +223,7 @@
         trip.over = True
         if trip.replica and trip.key in trip.replica.trips:
             del trip.replica.trips[trip.key]
-            self.said(trip.replica, trip.replica.engine.hangup(self.now, trip.key))
+            self.said(trip.replica, trip.replica.engine.disconnect(self.now, trip.key))
 
     def tell(self, front, trip, *what):
         if trip.over:
@@ -255,7 +256,7 @@
         self.figures.arrivals[replica.name] += 1
         if replica.hung:
             return
-        ask = Ask(
+        request = ReplicaRequest(
             attempt=c.rid,
             body=c.body,
             parts=c.parts,
@@ -264,7 +265,7 @@
             left=trip.effect["deadline_ms"] * MS,
             expect=trip.effect["replica"],
         )
-        self.said(replica, replica.engine.ask(self.now, trip.key, ask))
+        self.said(replica, replica.engine.submit(self.now, trip.key, request))
 
     def look(self, front, trip):
         """The shell's watch over silent replicas."""
@@ -282,16 +283,16 @@
     # replicas
     def said(self, replica, effects):
         for e in effects:
-            if e[0] == "fell":
+            if isinstance(e, Crashed):
                 continue
-            row = replica.trips.get(e[1])
+            row = replica.trips.get(e.key)
             if row is None:
                 continue
             front, trip = row
-            if e[0] in ("end", "refuse", "cut"):
-                replica.trips.pop(e[1])
+            if isinstance(e, (Ended, Refused, Cut)):
+                replica.trips.pop(e.key)
             self.after(self.hop(front.zone, replica.zone), self.heard, front, trip, e)
-        due = replica.engine.due()
+        due = replica.engine.next_wakeup()
         if due is not None and (replica.wake_at is None or due < replica.wake_at):
             replica.wake_at = due
             self.after(max(timedelta(0), due - self.now), self.tick, replica, due)
@@ -308,23 +309,23 @@
         c, replica = trip.client, trip.effect["replica"]
         front.heard[replica] = self.now
         match e:
-            case ("refuse", _, status, wait):
+            case Refused(_, status, wait):
                 self.kept(front, replica)
                 self.tell(front, trip, "not-run", status, wait)
-            case ("head", _, status, _):
+            case Head(_, status):
                 trip.status = status
                 if status == 200:
                     self.tell(front, trip, "began", 200)
-            case ("event", *_):
+            case StreamEvent():
                 self.event(c, c.rid)
                 self.tell(front, trip, "first")
-            case ("end", _):
+            case Ended():
                 self.kept(front, replica)
                 if trip.status != 200:
                     return self.tell(front, trip, "failed", trip.status)
                 self.after(CLIENT, self.whole, c, c.rid)
                 self.tell(front, trip, "done")
-            case ("cut", _):
+            case Cut():
                 self.tell(front, trip, "cut" if c.first is not None else "lost", None)
         return None
 
@@ -358,7 +359,7 @@
 
     def end(self, replica):
         """It crashes: what it ran breaks off."""
-        self.figures.read += replica.engine.read
+        self.figures.read += replica.engine.prefilled_tokens
         self.said(replica, replica.engine.crash())
         for front, trip in list(replica.trips.values()):
             self.after(self.hop(front.zone, replica.zone), self.tell, front, trip, "lost", "ReadError")
@@ -383,7 +384,7 @@
         for t in self.troubles:
             self.after(timedelta(seconds=t.at), self.strike, t)
         self.play(self.began + (self.seconds + 14) * SEC)
-        self.figures.read += sum(r.engine.read for r in self.replicas.values() if r.engine.up)
+        self.figures.read += sum(r.engine.prefilled_tokens for r in self.replicas.values() if r.engine.up)
         return self.figures
 
 
--- a/silverglade/testbed/experiments/policy_sites.py
+++ b/silverglade/testbed/experiments/policy_sites.py
@@ -8,7 +8,7 @@
 
 from ...configuration import schema as config
 from ...runtime.effects import to_milliseconds
-from ..fake_servers.request_format import MS, SEC, Spec
+from ..fake_servers.request_format import MS, SEC, ReplicaSpec
 
 
 @dataclass(slots=True)
@@ -42,7 +42,7 @@
     """A deployment's shape: zones with their region and fronts, replicas by service, kinds of requests."""
 
     zones: dict  # zone -> (region, fronts)
-    specs: dict  # service -> Spec
+    specs: dict  # service -> ReplicaSpec
     seats: dict  # service -> replicas in each zone
     kinds: tuple
     far: timedelta  # one way between regions
@@ -124,8 +124,10 @@
     return got
 
 
-MODEL = Spec(capacity=64, queue=115, cache_tokens=188495, step=3.09 * MS, per_slot=0.102 * MS, read=56.9, chunk=4096, stride=9, conns=770)
-DESK = Spec(capacity=6, queue=24, work=30 * MS, conns=510, cold=0 * SEC, cold_per_s=0.0)
+MODEL = ReplicaSpec(
+    capacity=64, queue=115, cache_tokens=188495, step=3.09 * MS, per_slot=0.102 * MS, read=56.9, chunk=4096, stride=9, conns=770
+)
+DESK = ReplicaSpec(capacity=6, queue=24, work=30 * MS, conns=510, cold=0 * SEC, cold_per_s=0.0)
 
 
 def two_regions(replicas=(6, 4, 6, 4, 6, 4)):
--- a/silverglade/testbed/fake_servers/http_exchange.py
+++ b/silverglade/testbed/fake_servers/http_exchange.py
@@ -1,4 +1,6 @@
-"""What stand-ins on loopback share: names, one connection's requests, the engine's words on one of them (design 15)."""
+"""What the fake servers on loopback share: field names, one connection's requests, the answers to one of them (design 15)."""
+
+from __future__ import annotations
 
 import math
 import socket
@@ -8,19 +10,29 @@
 from typing import NamedTuple
 
 import anyio
+import anyio.abc
 import h11
 
+from .replica_answers import RequestAnswer
+
 CLOSED = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, h11.ProtocolError)
+LOOPBACK = "127.0.0.1"
+Header = tuple[bytes, bytes]
 
 
-class Names(NamedTuple):
-    """What the list of replicas and a replica's report call things; the product's own words."""
+class FieldNames(NamedTuple):
+    """Names in the endpoint list and in a replica's report; the defaults are the product's own.
+
+    :ivar list: path of the endpoint list.
+    :ivar page: in its query, which page.
+    :ivar within: in its query, one zone alone.
+    """
 
     list: str = "/v1/list"
     replicas: str = "replicas"
     next: str = "next"
-    page: str = "page"  # in the query: which page
-    within: str = "zone"  # in the query: one zone alone
+    page: str = "page"
+    within: str = "zone"
     id: str = "id"
     service: str = "service"
     address: str = "address"
@@ -37,84 +49,124 @@
     memory: str = "memory"
 
 
-def clock():
+class ReceivedRequest(NamedTuple):
+    """A request with all of its body."""
+
+    request: h11.Request
+    body: bytes
+
+    @property
+    def path(self) -> str:
+        """Path and query."""
+        return self.request.target.decode("latin-1")
+
+
+def clock() -> timedelta:
+    """Return the time of the monotonic clock."""
     return timedelta(seconds=time.monotonic())
 
 
-def reset(stream):
-    """The connection ends with a reset."""
+def reset(stream: anyio.abc.ByteStream) -> None:
+    """Let the connection end with a reset once it is closed."""
     raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
-class Box:
-    """What the engine says of one request."""
+async def listen() -> tuple[anyio.abc.Listener[anyio.abc.SocketStream], str]:
+    """Listen on a free port of the loopback address; return the listener and its address."""
+    listener = await anyio.create_tcp_listener(local_host=LOOPBACK, local_port=0)
+    return listener, f"{LOOPBACK}:{listener.extra(anyio.abc.SocketAttribute.local_port)}"
 
-    def __init__(self):
-        self.put, self.get = anyio.create_memory_object_stream(math.inf)
-        self.ahead = None
 
-    async def next(self):
-        e, self.ahead = self.ahead, None
-        return e or await self.get.receive()
+class AnswerQueue:
+    """What the engine says of one request, on its way to the connection."""
 
-    async def peek(self):
-        self.ahead = await self.next()
-        return self.ahead
+    def __init__(self) -> None:
+        """Begin empty."""
+        self._sender, self._receiver = anyio.create_memory_object_stream[RequestAnswer](math.inf)
+        self._peeked: RequestAnswer | None = None
 
-    def now(self):
-        """What is there already, or None."""
+    def put(self, answer: RequestAnswer) -> None:
+        """Add an answer."""
+        self._sender.send_nowait(answer)
+
+    async def next(self) -> RequestAnswer:
+        """Wait for the next answer and take it."""
+        answer, self._peeked = self._peeked, None
+        return answer or await self._receiver.receive()
+
+    async def peek(self) -> RequestAnswer:
+        """Wait for the next answer and leave it."""
+        self._peeked = await self.next()
+        return self._peeked
+
+    def next_nowait(self) -> RequestAnswer | None:
+        """Take the next answer; None if there is none yet."""
         try:
-            return self.get.receive_nowait()
+            return self._receiver.receive_nowait()
         except anyio.WouldBlock:
             return None
 
 
-class Talk:
-    """One connection: requests one after another, by library."""
+class ServerConnection:
+    """The server's end of one connection, with requests one after another."""
 
-    def __init__(self, stream):
-        self.s, self.h = stream, h11.Connection(h11.SERVER)
+    def __init__(self, stream: anyio.abc.ByteStream) -> None:
+        """Begin with the first request.
 
-    async def request(self, idle):
-        """-> (h11.Request, body), or None when it is over."""
-        req, body = None, b""
+        :param stream: the connection.
+        """
+        self.stream, self.http = stream, h11.Connection(h11.SERVER)
+
+    async def receive_request(self, idle_s: float) -> ReceivedRequest | None:
+        """Read the next request.
+
+        :param idle_s: how many seconds to wait for bytes.
+        :returns: None when the connection is over.
+        """
+        request, body = None, b""
         while True:
-            ev = self.h.next_event()
-            if ev is h11.NEED_DATA:
-                with anyio.move_on_after(idle) as scope:
-                    try:
-                        self.h.receive_data(await self.s.receive())
-                    except anyio.EndOfStream:
-                        self.h.receive_data(b"")
-                if scope.cancelled_caught:
+            event = self.http.next_event()
+            if event is h11.NEED_DATA:
+                if not await self._receive_data(idle_s):
                     return None
-            elif isinstance(ev, h11.Request):
-                req = ev
-                if self.h.they_are_waiting_for_100_continue:
-                    await self.say(h11.InformationalResponse(status_code=100, headers=[]))
-            elif isinstance(ev, h11.Data):
-                body += ev.data
-            elif isinstance(ev, h11.EndOfMessage):
-                return req, body
+            elif isinstance(event, h11.Request):
+                request = event
+                if self.http.they_are_waiting_for_100_continue:
+                    await self.send(h11.InformationalResponse(status_code=100, headers=[]))
+            elif isinstance(event, h11.Data):
+                body += event.data
+            elif isinstance(event, h11.EndOfMessage) and request is not None:
+                return ReceivedRequest(request, body)
             else:
                 return None
 
-    async def say(self, *evs):
-        b = b"".join(self.h.send(e) for e in evs)
-        if b:
-            await self.s.send(b)
-
-    async def whole(self, status, headers, body=b""):
-        await self.say(
+    async def _receive_data(self, idle_s: float) -> bool:
+        """Hand the library the next bytes, or the end; return False if none came in time."""
+        with anyio.move_on_after(idle_s) as scope:
+            try:
+                self.http.receive_data(await self.stream.receive())
+            except anyio.EndOfStream:
+                self.http.receive_data(b"")
+        return not scope.cancelled_caught
+
+    async def send(self, *events: h11.Event) -> None:
+        """Send parts of an answer."""
+        data = b"".join(self.http.send(event) or b"" for event in events)
+        if data:
+            await self.stream.send(data)
+
+    async def respond(self, status: int, headers: list[Header], body: bytes = b"") -> None:
+        """Send a whole answer."""
+        await self.send(
             h11.Response(status_code=status, headers=[*headers, (b"content-length", b"%d" % len(body))]),
             *([h11.Data(data=body)] if body else []),
             h11.EndOfMessage(),
         )
 
-    def again(self):
-        """Ready for the next request?"""
-        if self.h.our_state is h11.MUST_CLOSE or self.h.their_state is not h11.DONE:
+    def next_cycle(self) -> bool:
+        """Get ready for the next request; return whether there may be one."""
+        if self.http.our_state is h11.MUST_CLOSE or self.http.their_state is not h11.DONE:
             return False
-        self.h.start_next_cycle()
+        self.http.start_next_cycle()
         return True
--- a/silverglade/testbed/fake_servers/replica_engine.py
+++ b/silverglade/testbed/fake_servers/replica_engine.py
@@ -1,336 +1,470 @@
-"""The model of a replica (design 15): batches, prompts read in pieces, kept parts, troubles. Pure and seeded.
-
-Sent a request, a hang-up or the time, it gives back what it says, as tuples:
-  ("refuse", key, status, wait_s)   turned away: not run, and never will be
-  ("run", key, run)                 work began: a stream with its first token
-  ("head", key, status, seal)       seal: None when it is missing
-  ("event", key, n, data)           one event of a stream, several tokens in it
-  ("body", key, data)               a plain answer's bytes
-  ("end", key)                      the answer is whole
-  ("cut", key)                      the connection ends here, whatever was said
-  ("garbage", key)                  bytes that are no answer, then the connection ends
-  ("more", key, when)               behind a whole answer a second one is sent, at once or late
-  ("fell",)                         the replica ended
-`key` is the caller's word for one request on one connection.
+"""The model of a replica (design 15): batches, prompts read in chunks, a prefix cache, faults on demand. Pure and seeded.
+
+Given a request, a disconnect or the time, it returns what it says as classes of `replica_answers`. Time is given by the
+caller, who calls `tick` no later than at `next_wakeup()`.
 """
 
+from __future__ import annotations
+
 import random
-from collections import OrderedDict, deque
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass
+from datetime import timedelta
+from typing import NamedTuple
 
 from ...runtime.effects import ZERO, to_milliseconds
-from .request_format import KINDS, MS, SEC, Job, answer, length, pieces, word
+from .prefix_cache import PrefixCache
+from .replica_answers import Answer, Body, Crashed, Cut, Ended, Garbage, Head, Refused, RunBegan, StreamEvent, Surplus
+from .request_format import (
+    ANSWER_FAULTS,
+    DEFAULT_URGENCY,
+    MS,
+    SEC,
+    AnswerFault,
+    ReplicaRequest,
+    ReplicaSpec,
+    answer_tokens,
+    event_count,
+    plain_answer,
+    seal,
+)
+
+REPORT_AGE = 100 * MS  # how old a report is
+REPORTS_KEPT = SEC
+OVERDUE_BODY = b"overdue"
+FAILED_BODY = b"failed"
+WORK_RANGE = (0.5, 1.6)  # of the mean time of a plain service's request
+SPOILING_FAULTS = (AnswerFault.FAIL, AnswerFault.GARBAGE, AnswerFault.LOST)  # nothing of the proper answer is said
+Answers = tuple[Answer, ...]
+
+
+class Report(NamedTuple):
+    """What a replica reports of itself: requests waiting and running, tokens of memory in use, and tokens of memory."""
+
+    waiting: int
+    running: int
+    used_tokens: int
+    cache_tokens: int
+
+
+@dataclass(slots=True, eq=False)
+class Job:
+    """A request in the replica.
+
+    :ivar key: the caller's name of it.
+    :ivar request: as it arrived.
+    :ivar number: of arrival, from 1.
+    :ivar deadline: when its time is over; None without a deadline.
+    :ivar answer_tokens: tokens of its whole answer.
+    :ivar fault: of its answer; None for a proper one.
+    :ivar run: id of its run once that began.
+    :ivar unread: tokens of its prompt still to be read.
+    :ivar made: tokens of its answer made so far.
+    :ivar pinned_parts: ids of the parts of its prompt that it keeps in memory.
+    :ivar ends_at: when a plain service is done with it.
+    """
+
+    key: int
+    request: ReplicaRequest
+    number: int
+    deadline: timedelta | None
+    answer_tokens: int
+    fault: AnswerFault | None
+    run: str | None = None
+    unread: int = 0
+    made: int = 0
+    pinned_parts: tuple[str, ...] = ()
+    ends_at: timedelta | None = None
+
+    @property
+    def urgency(self) -> int:
+        """Its urgency, or that of requests that name none; a lower number goes first."""
+        return DEFAULT_URGENCY if self.request.urgency is None else self.request.urgency
+
+    def rank(self) -> tuple[int, int]:
+        """Return its rank in the queue; the lowest goes first."""
+        return (self.urgency, self.number)
+
+    def own_tokens(self) -> int:
+        """Return its memory beyond the named parts of its prompt."""
+        return max(0, self.request.tokens[0] - sum(tokens for _, tokens in self.request.parts)) + self.made
+
+    def overdue(self, now: timedelta) -> bool:
+        """Return whether its deadline has passed."""
+        return self.deadline is not None and now > self.deadline
+
+
+class ReplicaEngine:
+    """One replica from its start to its end.
+
+    :ivar up: False once it crashed.
+    :ivar paused: it takes what comes and says nothing until it is resumed.
+    :ivar always_healthy: its health check says that it is well whatever it does.
+    :ivar fault_rates: probability of each fault of an answer.
+    :ivar draining_since: when it was told to drain; None before.
+    :ivar ends_at: when it ends, where that was announced.
+    :ivar prefilled_tokens: tokens of prompts read since its start.
+    :ivar preemptions: how often a running request was put back into the queue.
+    """
+
+    def __init__(self, *, replica_id: str, spec: ReplicaSpec, seed: int, warm: bool = True, now: timedelta = ZERO) -> None:
+        """Start a replica.
+
+        :param replica_id: its id.
+        :param spec: what kind of replica it is.
+        :param seed: of its random decisions, together with its id.
+        :param warm: False: it begins with slow start.
+        :param now: the time of the caller's clock.
+        """
+        self.replica_id, self.spec, self.rng = replica_id, spec, random.Random(f"{replica_id}/{seed}")
+        self.up, self.paused, self.always_healthy = True, False, False
+        self.fault_rates: dict[str, float] = {}
+        self.slow_start_until = ZERO if warm else now + spec.cold
+        self.draining_since: timedelta | None = None
+        self.ends_at: timedelta | None = None
+        self.waiting: list[Job] = []
+        self.running: list[Job] = []
+        self.prefix_cache = PrefixCache()
+        self.requests, self.prefilled_tokens, self.preemptions = 0, 0, 0
+        self._step_ends_at: timedelta | None = None
+        self._prefill: list[tuple[Job, int]] = []  # which prompts the present step reads, and how many tokens of each
+        self._slow_start_arrivals: deque[timedelta] = deque()
+        self._reports: deque[tuple[timedelta, Report]] = deque()
+        self._answers: list[Answer] = []
+        self._postponed: list[Callable[[timedelta], Answers]] = []  # what came while it was paused
 
-STALE = 100 * MS  # how old a report is
+    # what it says of itself
+    def slow_start_left(self, now: timedelta) -> timedelta:
+        """Return how long its slow start still lasts."""
+        return max(ZERO, self.slow_start_until - now)
+
+    def health(self, now: timedelta) -> tuple[bool, int]:
+        """Return whether it is well, and how many milliseconds its slow start still lasts."""
+        well = self.draining_since is None and len(self.waiting) < self.spec.queue and not self.fault_rates.get(AnswerFault.FAIL)
+        return well or self.always_healthy, to_milliseconds(self.slow_start_left(now))
+
+    def report(self, now: timedelta) -> Report:
+        """Return its state as it stood `REPORT_AGE` ago."""
+        self._note_report(now)
+        return next((report for at, report in reversed(self._reports) if now - at >= REPORT_AGE), Report(0, 0, 0, self.spec.cache_tokens))
+
+    def _note_report(self, now: timedelta) -> None:
+        if self._reports and now - self._reports[-1][0] < REPORT_AGE / 4:
+            return
+        self._reports.append((now, Report(len(self.waiting), len(self.running), self._pinned_tokens(), self.spec.cache_tokens)))
+        while now - self._reports[0][0] > REPORTS_KEPT:
+            self._reports.popleft()
 
+    def _pinned_tokens(self) -> int:
+        return self.prefix_cache.pinned_tokens() + sum(map(Job.own_tokens, self.running))
 
-class Engine:
-    def __init__(self, *, rid, spec, seed, warm=True, now=ZERO):
-        self.rid, self.s, self.rng = rid, spec, random.Random(f"{rid}/{seed}")
-        self.up, self.dark, self.liar, self.troubles = True, False, False, {}
-        self.cold_till = ZERO if warm else now + spec.cold
-        self.going = self.gone = None  # since when it drains; when it will be gone
-        self.waiting, self.running, self.kept = [], [], OrderedDict()  # kept: part -> [tokens, users, read?]
-        self.num, self.took, self.read, self.again = 0, 0, 0, 0  # counts for reports and figures
-        self.turn, self.pace = None, None  # when this step ends; what it reads
-        self.came, self.seen, self.out, self.mail = deque(), deque(), [], []
+    # what happens to it
+    def drain(self, now: timedelta, left: timedelta | None = None) -> None:
+        """Begin to drain.
 
-    # what it says of itself
-    def cold(self, now):
-        return max(ZERO, self.cold_till - now)
-
-    def health(self, now):
-        """-> (is it well?, ms that it stays cold). A liar says that it is well whatever it does."""
-        well = self.going is None and len(self.waiting) < self.s.queue and not self.troubles.get("fail")
-        return well or self.liar, to_milliseconds(self.cold(now))
-
-    def report(self, now):
-        """-> waiting, running, memory in use, memory, as they stood a while ago."""
-        self.glance(now)
-        return next((r for t, r in reversed(self.seen) if now - t >= STALE), (0, 0, 0, self.s.cache_tokens))
-
-    def glance(self, now):
-        if not self.seen or now - self.seen[-1][0] >= STALE / 4:
-            self.seen.append((now, (len(self.waiting), len(self.running), self.pinned(), self.s.cache_tokens)))
-            while now - self.seen[0][0] > SEC:
-                self.seen.popleft()
-
-    def pinned(self):
-        return sum(t for t, users, _ in self.kept.values() if users) + sum(map(self.own, self.running))
-
-    @staticmethod
-    def own(j):
-        """Memory of a request beyond the parts of its prompt that are named."""
-        return max(0, j.a.tokens[0] - sum(t for _, t in j.a.parts)) + j.made
-
-    # orders from outside
-    def said(self):
-        out, self.out = tuple(self.out), []
-        return out
-
-    def drain(self, now, left=None):
-        """It is to leave: in its own time, or at short notice when `left` says how soon it is gone."""
-        self.going = self.going or now
+        :param now: the time.
+        :param left: after which it ends whatever still runs; None: it takes its own time.
+        """
+        self.draining_since = self.draining_since or now
         if left is not None:
-            self.gone = now + left
+            self.ends_at = now + left
 
-    def crash(self):
+    def crash(self) -> Answers:
+        """End at once; all its connections are cut."""
         self.up = False
-        self.out += [("cut", j.key) for j in (*self.running, *self.waiting)] + [("fell",)]
-        self.running, self.waiting, self.kept, self.turn = [], [], OrderedDict(), None
-        return self.said()
-
-    def freeze(self):
-        """Dark: it takes what comes and says nothing, until it is awake again."""
-        self.dark = True
-
-    def wake(self, now):
-        self.dark, mail, self.mail = False, self.mail, []
-        self.turn = self.turn and max(self.turn, now)
-        got = [x for fn, *a in mail for x in fn(now, *a)]
-        return (*got, *self.tick(now))
-
-    def chill(self, now):
-        """Cold again, at any moment."""
-        self.cold_till = now + self.s.cold
-
-    def hangup(self, now, key):
-        """The connection of a request closed: it is dropped."""
-        if self.dark:
-            self.mail.append((self.hangup, key))
+        self._answers += [Cut(job.key) for job in (*self.running, *self.waiting)]
+        self._answers.append(Crashed())
+        self.running, self.waiting, self.prefix_cache, self._step_ends_at = [], [], PrefixCache(), None
+        return self._take_answers()
+
+    def pause(self) -> None:
+        """Take what comes and say nothing until it is resumed."""
+        self.paused = True
+
+    def resume(self, now: timedelta) -> Answers:
+        """Go on after a pause with all that came meanwhile."""
+        self.paused = False
+        postponed, self._postponed = self._postponed, []
+        if self._step_ends_at is not None:
+            self._step_ends_at = max(self._step_ends_at, now)
+        answers = [answer for handle in postponed for answer in handle(now)]
+        return (*answers, *self.tick(now))
+
+    def begin_slow_start(self, now: timedelta) -> None:
+        """Begin slow start again, at any moment."""
+        self.slow_start_until = now + self.spec.cold
+
+    def disconnect(self, now: timedelta, key: int) -> Answers:
+        """Drop a request whose connection was closed."""
+        if self.paused:
+            self._postponed.append(lambda later: self.disconnect(later, key))
             return ()
-        self.waiting = [j for j in self.waiting if j.key != key]
-        for j in [j for j in self.running if j.key == key and (self.s.drops or j.run is None)]:
-            self.leave(j)
+        self.waiting = [job for job in self.waiting if job.key != key]
+        for job in [job for job in self.running if job.key == key and (self.spec.drops or job.run is None)]:
+            self._stop(job)
         return self.tick(now)
 
-    def ask(self, now, key, a):
+    def submit(self, now: timedelta, key: int, request: ReplicaRequest) -> Answers:
+        """Take a request in, or refuse it."""
         if not self.up:
-            return (("cut", key),)
-        if self.dark:
-            self.mail.append((self.ask, key, a))
+            return (Cut(key),)
+        if self.paused:
+            self._postponed.append(lambda later: self.submit(later, key, request))
             return ()
-        self.num += 1
-        if not a.attempt:
-            return (("refuse", key, 400, None),)
-        if a.expect and a.expect != self.rid:
-            return (("refuse", key, 421, None),)
-        if self.cold(now):
-            self.came.append(now)
-            while now - self.came[0] >= SEC:
-                self.came.popleft()
-            if len(self.came) > self.s.falls * self.s.cold_per_s + 1:
-                return self.crash()
-        out = length(a.body, a.tokens[1])
-        trouble = next((k for k in KINDS if self.rng.random() < self.troubles.get(k, 0.0)), "")
-        j = Job(key=key, a=a, n=self.num, now=now, out=out, trouble=trouble)
-        if a.tokens[0] + out > self.s.cache_tokens or a.left is not None and a.left <= ZERO:
-            return (("refuse", key, 503, None),)
-        if len(self.waiting) >= self.s.queue:
+        self.requests += 1
+        if not request.attempt:
+            return (Refused(key, 400, None),)
+        if request.expect and request.expect != self.replica_id:
+            return (Refused(key, 421, None),)
+        if self._overwhelmed(now):
+            return self.crash()
+        return self._admit(now, self._new_job(now, key, request))
+
+    def _overwhelmed(self, now: timedelta) -> bool:
+        """Count an arrival during slow start; return whether there are more than the replica survives."""
+        if not self.slow_start_left(now):
+            return False
+        self._slow_start_arrivals.append(now)
+        while now - self._slow_start_arrivals[0] >= SEC:
+            self._slow_start_arrivals.popleft()
+        return len(self._slow_start_arrivals) > self.spec.falls * self.spec.cold_per_s + 1
+
+    def _new_job(self, now: timedelta, key: int, request: ReplicaRequest) -> Job:
+        return Job(
+            key=key,
+            request=request,
+            number=self.requests,
+            deadline=None if request.left is None else now + request.left,
+            answer_tokens=answer_tokens(request.body, request.tokens[1]),
+            fault=next((fault for fault in ANSWER_FAULTS if self.rng.random() < self.fault_rates.get(fault, 0.0)), None),
+        )
+
+    def _admit(self, now: timedelta, job: Job) -> Answers:
+        too_large = job.request.tokens[0] + job.answer_tokens > self.spec.cache_tokens
+        if too_large or (job.request.left is not None and job.request.left <= ZERO):
+            return (Refused(job.key, 503, None),)
+        if len(self.waiting) >= self.spec.queue:
             last = max(self.waiting, key=Job.rank)
-            if last.urgency <= j.urgency:
-                return (("refuse", key, 503, self.wait()),)
+            if last.urgency <= job.urgency:
+                return (Refused(job.key, 503, self._retry_after_s()),)
             self.waiting.remove(last)
-            self.out.append(("refuse", last.key, 503, self.wait()))
-        self.waiting.append(j)
-        self.took += 1
+            self._answers.append(Refused(last.key, 503, self._retry_after_s()))
+        self.waiting.append(job)
         return self.tick(now)
 
-    def wait(self):
-        """When one who is turned away may come back, in seconds."""
-        return round(0.1 + 0.5 * len(self.waiting) / max(1, self.s.queue), 2)
+    def _retry_after_s(self) -> float:
+        return round(0.1 + 0.5 * len(self.waiting) / max(1, self.spec.queue), 2)
 
     # time
-    def due(self):
-        """When it next has something to do."""
-        if not self.up or self.dark:
+    def next_wakeup(self) -> timedelta | None:
+        """Return when it next has something to do; None if nothing is pending."""
+        if not self.up or self.paused:
             return None
-        ts = [j.till for j in self.waiting if j.till is not None] + [t for t in (self.turn, self.gone) if t is not None]
-        ts += [j.end for j in self.running if j.end is not None]
-        return min(ts, default=None)
-
-    def tick(self, now):
-        """All that is due by now."""
-        if not self.up or self.dark:
-            return self.said()
-        if self.gone is not None and now >= self.gone:
+        times = [*(job.deadline for job in self.waiting), self._step_ends_at, self.ends_at, *(job.ends_at for job in self.running)]
+        return min((time for time in times if time is not None), default=None)
+
+    def tick(self, now: timedelta) -> Answers:
+        """Do all that is due by now."""
+        if not self.up or self.paused:
+            return self._take_answers()
+        if self.ends_at is not None and now >= self.ends_at:
             return self.crash()
-        for j in [j for j in self.waiting if j.till is not None and now >= j.till]:
-            self.waiting.remove(j)
-            self.out.append(("refuse", j.key, 503, None))
-        if self.s.work:
-            self.plain(now)
+        for job in [job for job in self.waiting if job.deadline is not None and now >= job.deadline]:
+            self.waiting.remove(job)
+            self._answers.append(Refused(job.key, 503, None))
+        if self.spec.work:
+            self._run_plain(now)
         else:
-            self.batch(now)
-        self.glance(now)
-        return self.said()
-
-    def plain(self, now):
-        for j in [j for j in self.running if now >= j.end]:
-            self.running.remove(j)
-            self.whole(j, j.till is not None and now > j.till)
-        while self.waiting and len(self.running) < self.s.capacity:
-            j = min(self.waiting, key=Job.rank)
-            self.waiting.remove(j)
-            self.running.append(j)
-            j.end = now + self.slow(now) * self.s.work * self.rng.uniform(0.5, 1.6)
-            self.begin(j)
-
-    def slow(self, now):
-        return self.s.speed * (self.s.cold_x if self.cold(now) else 1.0)
-
-    def batch(self, now):
-        while self.turn is not None and now >= self.turn:
-            at, self.turn = self.turn, None
-            self.step(at)
-            self.start(at)
-        if self.turn is None:
-            self.start(now)
-
-    def start(self, now):
-        """Let in whom there is room for, and begin the next step of all who run."""
-        while self.waiting and len(self.running) < self.s.capacity:
-            j = min(self.waiting, key=Job.rank)
-            if self.running and self.pinned() + j.a.tokens[0] + j.made + len(self.running) >= self.s.cache_tokens:
+            self._run_batch(now)
+        self._note_report(now)
+        return self._take_answers()
+
+    def _take_answers(self) -> Answers:
+        answers, self._answers = tuple(self._answers), []
+        return answers
+
+    def _slowness(self, now: timedelta) -> float:
+        return self.spec.speed * (self.spec.cold_x if self.slow_start_left(now) else 1.0)
+
+    def _next_waiting(self) -> Job:
+        return min(self.waiting, key=Job.rank)
+
+    # a plain service: each request takes its time
+    def _run_plain(self, now: timedelta) -> None:
+        for job in [job for job in self.running if job.ends_at is not None and now >= job.ends_at]:
+            self.running.remove(job)
+            self._answer_plain(job, job.overdue(now))
+        while self.waiting and len(self.running) < self.spec.capacity:
+            job = self._next_waiting()
+            self.waiting.remove(job)
+            self.running.append(job)
+            job.ends_at = now + self._slowness(now) * self.spec.work * self.rng.uniform(*WORK_RANGE)
+            self._begin_run(job)
+
+    # a model: all running requests advance by one token a step
+    def _run_batch(self, now: timedelta) -> None:
+        while self._step_ends_at is not None and now >= self._step_ends_at:
+            step_end, self._step_ends_at = self._step_ends_at, None
+            self._end_step(step_end)
+            self._begin_step(step_end)
+        if self._step_ends_at is None:
+            self._begin_step(now)
+
+    def _begin_step(self, now: timedelta) -> None:
+        """Start the waiting requests that there is capacity for, and begin the next step of all that run."""
+        while self.waiting and len(self.running) < self.spec.capacity:
+            job = self._next_waiting()
+            if self.running and self._pinned_tokens() + job.request.tokens[0] + job.made + len(self.running) >= self.spec.cache_tokens:
                 break
-            self.waiting.remove(j)
-            self.enter(j)
+            self.waiting.remove(job)
+            self._start(job)
         if not self.running:
             return
-        room, self.pace = self.s.chunk, []
-        for j in self.running:
-            if j.unread and room:
-                n = min(room, j.unread)
-                room -= n
-                self.pace.append((j, n))
-        took = self.s.step + self.s.per_slot * len(self.running)
-        took += (self.s.chunk - room) / self.s.read * MS
-        self.turn = now + took * self.slow(now)
-
-    def enter(self, j):
-        """What is kept of its prompt, all before it being kept too, is not read again."""
-        hit, kept = 0, True
-        for p, t in j.a.parts:
-            row = self.kept.setdefault(p, [t, 0, False])
-            kept = kept and row[2]
-            hit += t if kept else 0
-            row[1] += 1
-            self.kept.move_to_end(p)
-        j.held = tuple(p for p, _ in j.a.parts)
-        j.unread = max(1, j.a.tokens[0] - hit + j.made)
-        self.read += j.unread
-        self.running.append(j)
-        self.squeeze()
-
-    def leave(self, j):
-        self.running.remove(j)
-        for p in j.held:
-            if p in self.kept:
-                self.kept[p][1] -= 1
-                if self.kept[p][1:] == [0, False]:
-                    del self.kept[p]  # it was never read whole
-        j.held = ()
-
-    def squeeze(self):
-        """Memory is short: parts unused longest give way, then the newest of the least urgent."""
-        used = self.pinned() + sum(t for t, users, _ in self.kept.values() if not users)
-        for p in [p for p, (_, users, _) in self.kept.items() if not users]:
-            if used <= self.s.cache_tokens:
-                return
-            used -= self.kept.pop(p)[0]
-        while len(self.running) > 1 and self.pinned() > self.s.cache_tokens:
-            j = max(self.running, key=Job.rank)
-            self.leave(j)
-            j.unread = 0
-            self.again += 1
-            self.waiting.append(j)
-
-    def step(self, now):
-        """One token for each whose prompt is read; the pieces read meanwhile count."""
-        read, self.pace = self.pace, []
-        busy = {id(j) for j in self.running if j.unread}
-        for j, n in read:
-            if j in self.running:
-                j.unread -= n
-                if not j.unread:
-                    busy.discard(id(j))  # its first token comes with the last of its prompt
-                    for p in j.held:
-                        self.kept[p][2] = True
-        for j in [j for j in self.running if id(j) not in busy]:
-            if j.till is not None and now > j.till:
-                self.leave(j)
-                self.overdue(j)
+        budget, self._prefill = self.spec.chunk, []
+        for job in self.running:
+            if job.unread and budget:
+                tokens = min(budget, job.unread)
+                budget -= tokens
+                self._prefill.append((job, tokens))
+        duration = self.spec.step + self.spec.per_slot * len(self.running)
+        duration += (self.spec.chunk - budget) / self.spec.read * MS
+        self._step_ends_at = now + duration * self._slowness(now)
+
+    def _start(self, job: Job) -> None:
+        hit = self.prefix_cache.acquire(job.request.parts)
+        job.pinned_parts = tuple(part_id for part_id, _ in job.request.parts)
+        job.unread = max(1, job.request.tokens[0] - hit + job.made)
+        self.prefilled_tokens += job.unread
+        self.running.append(job)
+        self._free_memory()
+
+    def _stop(self, job: Job) -> None:
+        self.running.remove(job)
+        self.prefix_cache.release(job.pinned_parts)
+        job.pinned_parts = ()
+
+    def _free_memory(self) -> None:
+        """Evict cached parts while memory is short, then put the newest of the least urgent requests back into the queue."""
+        limit = self.spec.cache_tokens
+        if self.prefix_cache.evict(self._pinned_tokens() + self.prefix_cache.unused_tokens(), limit):
+            return
+        while len(self.running) > 1 and self._pinned_tokens() > limit:
+            job = max(self.running, key=Job.rank)
+            self._stop(job)
+            job.unread = 0
+            self.preemptions += 1
+            self.waiting.append(job)
+
+    def _end_step(self, now: timedelta) -> None:
+        """Count what was read, and make one token of each request whose prompt is read."""
+        for job in self._decoding_jobs():
+            if job.overdue(now):
+                self._stop(job)
+                self._answer_overdue(job)
+            else:
+                self._make_token(job)
+        self._free_memory()
+
+    def _decoding_jobs(self) -> list[Job]:
+        """Count what the step read; return the jobs that it made a token of: the first comes with the last of the prompt."""
+        prefill, self._prefill = self._prefill, []
+        reading = {id(job) for job in self.running if job.unread}
+        for job, tokens in prefill:
+            if job not in self.running:
                 continue
-            j.made += 1
-            if j.run is None:
-                self.begin(j)
-            if j.made % self.s.stride == 0 or j.made >= j.out:
-                self.tell(j)
-            if j.made >= j.out and j in self.running:
-                self.leave(j)
-                self.close(j)
-        self.squeeze()
+            job.unread -= tokens
+            if not job.unread:
+                reading.discard(id(job))
+                self.prefix_cache.mark_complete(job.pinned_parts)
+        return [job for job in self.running if id(job) not in reading]
+
+    def _make_token(self, job: Job) -> None:
+        job.made += 1
+        if job.run is None:
+            self._begin_run(job)
+        complete = job.made >= job.answer_tokens
+        if job.made % self.spec.stride == 0 or complete:
+            self._say_event(job)
+        if complete and job in self.running:
+            self._stop(job)
+            self._end_stream(job)
 
     # answers
-    def begin(self, j):
-        j.run = f"{self.rid}.{j.n}"
-        self.out.append(("run", j.key, j.run))
-
-    def seal(self, j):
-        return None if j.trouble == "unsealed" else word("seal", j.run, j.a.attempt)
-
-    def overdue(self, j):
-        """Its deadline passed: what never began is not run; what did is a failure of its own."""
-        if j.run is None:
-            self.out.append(("refuse", j.key, 503, None))
-        elif j.made >= self.s.stride:
-            self.out.append(("cut", j.key))
+    def _begin_run(self, job: Job) -> None:
+        job.run = f"{self.replica_id}.{job.number}"
+        self._answers.append(RunBegan(job.key, job.run))
+
+    def _success(self, job: Job) -> Head:
+        """The head of a success, with the seal that it ought to have or, by a fault, without it."""
+        assert job.run is not None
+        return Head(job.key, 200, None if job.fault is AnswerFault.UNSEALED else seal(job.run, job.request.attempt))
+
+    def _answer_overdue(self, job: Job) -> None:
+        """Answer a request whose deadline passed: what never began is not run; what did is a failure of its own."""
+        if job.run is None:
+            self._answers.append(Refused(job.key, 503, None))
+        elif job.made >= self.spec.stride:
+            self._answers.append(Cut(job.key))
         else:
-            self.out += [("head", j.key, 504, None), ("body", j.key, b"overdue"), ("end", j.key)]
+            self._answer_error(job, 504, OVERDUE_BODY)
 
-    def tell(self, j):
-        """An event is full. One that goes on behind another run's events leaves those out."""
-        n = -(-j.made // self.s.stride)
-        first = n == j.a.last + 1 or n == 1
-        if n <= j.a.last:
-            return None
-        if j.trouble in ("fail", "garbage", "lost"):
-            self.leave(j)
-            return self.spoil(j)
-        if first:
-            self.out.append(("head", j.key, 200, self.seal(j)))
-        self.out.append(("event", j.key, n, f"{j.run} {n}".encode()))
-        if j.trouble == "cut" and n > j.a.last + (pieces(j.a.body, j.a.tokens[1], self.s.stride) - j.a.last) // 2:
-            self.leave(j)
-            self.out.append(("cut", j.key))
-        return None
-
-    def spoil(self, j):
-        self.out += {
-            "fail": [("head", j.key, 500, None), ("body", j.key, b"failed"), ("end", j.key)],
-            "garbage": [("garbage", j.key)],
-            "lost": [("cut", j.key)],
-        }[j.trouble]
-
-    def close(self, j):
-        if -(-j.out // self.s.stride) <= j.a.last:  # it was whole already: nothing follows
-            self.out.append(("head", j.key, 200, self.seal(j)))
-        self.end(j)
-
-    def whole(self, j, late):
-        if late:
-            self.out += [("head", j.key, 504, None), ("body", j.key, b"overdue"), ("end", j.key)]
-            return None
-        if j.trouble in ("fail", "garbage", "lost"):
-            return self.spoil(j)
-        body = answer(j.run, j.a)
-        self.out.append(("head", j.key, 200, self.seal(j)))
-        if j.trouble == "cut":
-            self.out += [("body", j.key, body[: len(body) // 2]), ("cut", j.key)]
-            return None
-        self.out.append(("body", j.key, body))
-        return self.end(j)
+    def _answer_error(self, job: Job, status: int, body: bytes) -> None:
+        self._answers += [Head(job.key, status, None), Body(job.key, body), Ended(job.key)]
+
+    def _say_event(self, job: Job) -> None:
+        """Say an event that is full; a resumed stream leaves out those that its client has."""
+        resumed_after = job.request.last
+        number = -(-job.made // self.spec.stride)
+        if number <= resumed_after:
+            return
+        if job.fault in SPOILING_FAULTS:
+            self._stop(job)
+            self._spoil(job)
+            return
+        if number in (resumed_after + 1, 1):
+            self._answers.append(self._success(job))
+        self._answers.append(StreamEvent(job.key, number, f"{job.run} {number}".encode()))
+        if job.fault is AnswerFault.CUT and number > self._cut_after(job):
+            self._stop(job)
+            self._answers.append(Cut(job.key))
+
+    def _cut_after(self, job: Job) -> int:
+        """Return the number of the event in the middle of what is left of the stream."""
+        events = event_count(job.request.body, job.request.tokens[1], self.spec.stride)
+        return job.request.last + (events - job.request.last) // 2
+
+    def _spoil(self, job: Job) -> None:
+        match job.fault:
+            case AnswerFault.FAIL:
+                self._answer_error(job, 500, FAILED_BODY)
+            case AnswerFault.GARBAGE:
+                self._answers.append(Garbage(job.key))
+            case AnswerFault.LOST:
+                self._answers.append(Cut(job.key))
+
+    def _end_stream(self, job: Job) -> None:
+        if -(-job.answer_tokens // self.spec.stride) <= job.request.last:  # its client had all of it: nothing follows
+            self._answers.append(self._success(job))
+        self._end(job)
+
+    def _answer_plain(self, job: Job, overdue: bool) -> None:
+        if overdue:
+            self._answer_error(job, 504, OVERDUE_BODY)
+            return
+        if job.fault in SPOILING_FAULTS:
+            self._spoil(job)
+            return
+        assert job.run is not None
+        body = plain_answer(job.run, job.request)
+        self._answers.append(self._success(job))
+        if job.fault is AnswerFault.CUT:
+            self._answers += [Body(job.key, body[: len(body) // 2]), Cut(job.key)]
+            return
+        self._answers.append(Body(job.key, body))
+        self._end(job)
 
-    def end(self, j):
-        self.out.append(("end", j.key))
-        if j.trouble in ("again", "late"):
-            self.out.append(("more", j.key, j.trouble))
+    def _end(self, job: Job) -> None:
+        self._answers.append(Ended(job.key))
+        if job.fault in (AnswerFault.AGAIN, AnswerFault.LATE):
+            self._answers.append(Surplus(job.key, job.fault is AnswerFault.LATE))
--- a/silverglade/testbed/fake_servers/replica_process.py
+++ b/silverglade/testbed/fake_servers/replica_process.py
@@ -1,4 +1,10 @@
-"""A stand-in replica as a process of its own (design 10.2): the published protocol only."""
+"""A fake replica as a process of its own (design 10.2), which knows only the published protocol of the product's API.
+
+It appends each run's start and end to a file, one JSON array a line, which the checks of a local fleet read:
+`["run", time, dispatch, tenant, class, zone, replica, prefix, hit, running, done, key]` and `["end", time, dispatch, ok]`.
+"""
+
+from __future__ import annotations
 
 import argparse
 import contextlib
@@ -6,160 +12,224 @@
 import os
 import sys
 import time
+from collections.abc import Awaitable, Callable, Mapping, MutableMapping
+from typing import Any, NamedTuple
 
 import anyio
 import httpcore
 import uvicorn
 
-SLOW = {"connect": 1.0, "read": 2.0, "write": 2.0, "pool": 2.0}
+REGISTRATION_TIMEOUT = {"connect": 1.0, "read": 2.0, "write": 2.0, "pool": 2.0}  # seconds
+REGISTER_EVERY_S = 1.0
+WARM_AFTER = 4  # runs, until it says that it is warm
+UNKNOWN_PREFIX_FACTOR = 3  # prefill of a prefix that it has not seen takes so many times as long
+OVERLOAD_FACTOR = 2  # it refuses beyond so many requests a slot
+EVENTS = 5  # of a stream
+PLAIN_CLASSES = ("receipt", "roster")  # classes of requests that get a plain answer
+JSON = (b"content-type", b"application/json")
+
+Message = MutableMapping[str, Any]
+Receive = Callable[[], Awaitable[Message]]
+Send = Callable[[Message], Awaitable[None]]
+Header = tuple[bytes, bytes]
+
+
+class Run(NamedTuple):
+    """A request to run.
+
+    :ivar dispatch: id of the dispatch.
+    :ivar tenant: whose it is.
+    :ivar request_class: class of the request.
+    :ivar prefix: of its prompt; empty without one.
+    :ivar key: idempotency key, as the client put it into the body.
+    """
+
+    dispatch: str
+    tenant: str
+    request_class: str
+    prefix: str
+    key: str
+
+    @classmethod
+    def decode(cls, headers: Mapping[str, str], body: bytes) -> Run:
+        """Read it from the headers and the body."""
+        return cls(
+            dispatch=headers["silverglade-dispatch"],
+            tenant=headers["silverglade-tenant"],
+            request_class=headers["silverglade-class"],
+            prefix=headers.get("silverglade-prefix", ""),
+            key=json.loads(body).get("key", ""),
+        )
+
 
+class FakeReplica:
+    """The application: prefill, then decode in steps; a prefix seen before is cheap."""
 
-class Engine:
-    """Prefill, then decode in steps; a prefix seen before is cheap; cold at first."""
+    def __init__(self, options: argparse.Namespace) -> None:
+        """Open the file of runs.
 
-    def __init__(self, a):
-        self.a, self.running, self.done, self.cache, self.hits = a, 0, 0, set(), 0
-        self.out = open(a.runs, "ab", buffering=0)
-        self.leaving = False
+        :param options: see `parser`.
+        """
+        self.options = options
+        self.running, self.done = 0, 0
+        self.known_prefixes: set[str] = set()
+        self.runs = open(options.runs, "ab", buffering=0)
 
-    def note(self, *row):
-        row = (row[0], time.monotonic(), *row[1:])
-        os.write(self.out.fileno(), (json.dumps(row) + "\n").encode())
+    def record(self, kind: str, *values: object) -> None:
+        """Append a line to the file of runs, with the time."""
+        os.write(self.runs.fileno(), (json.dumps((kind, time.monotonic(), *values)) + "\n").encode())
 
-    def state(self):
+    def state(self) -> dict[str, object]:
+        """Return what it says of itself."""
         return dict(
-            incarnation=self.a.incarnation,
-            state="leaving" if self.leaving else "ready",
-            use=min(1.0, self.running / self.a.slots),
+            incarnation=self.options.incarnation,
+            state="ready",
+            use=min(1.0, self.running / self.options.slots),
             served=self.done,
             running=self.running,
-            warm=self.done >= 4,
+            warm=self.done >= WARM_AFTER,
         )
 
-    async def run(self, head, body, send):
-        key = json.loads(body).get("key", "")
-        did, prefix = head["silverglade-dispatch"], head.get("silverglade-prefix", "")
+    async def run(self, run: Run, send: Send) -> None:
+        """Do the work of a request and answer it."""
         self.running += 1
-        hit = prefix in self.cache
-        self.note(
-            "run",
-            did,
-            head["silverglade-tenant"],
-            head["silverglade-class"],
-            self.a.zone,
-            self.a.id,
-            prefix,
-            hit,
-            self.running,
-            self.done,
-            key,
-        )
-        self.cache.add(prefix)
-        mark = (b"silverglade-dispatch", did.encode())
-        ok = False
+        known_prefix = run.prefix in self.known_prefixes
+        replica = (self.options.zone, self.options.id)
+        counts = (self.running, self.done)
+        self.record("run", run.dispatch, run.tenant, run.request_class, *replica, run.prefix, known_prefix, *counts, run.key)
+        self.known_prefixes.add(run.prefix)
+        answered = False
         try:
-            slow = 1 + self.running / self.a.slots
-            await anyio.sleep(self.a.prefill / 1000 * slow * (1 if hit or not prefix else 3))
-            if head["silverglade-class"] in ("receipt", "roster"):
-                b = json.dumps({"dispatch": did, "words": ["one"] * 5}).encode()
-                await send(
-                    {
-                        "type": "http.response.start",
-                        "status": 200,
-                        "headers": [mark, (b"content-type", b"application/json"), (b"content-length", str(len(b)).encode())],
-                    }
-                )
-                await send({"type": "http.response.body", "body": b})
+            slowness = 1 + self.running / self.options.slots
+            prefill_factor = 1 if known_prefix or not run.prefix else UNKNOWN_PREFIX_FACTOR
+            await anyio.sleep(self.options.prefill / 1000 * slowness * prefill_factor)
+            if run.request_class in PLAIN_CLASSES:
+                await send_plain(send, run.dispatch)
             else:
-                await send({"type": "http.response.start", "status": 200, "headers": [mark, (b"content-type", b"text/event-stream")]})
-                for k in range(1, 6):
-                    await send({"type": "http.response.body", "more_body": True, "body": f"id: {k}\ndata: {did} {k}\n\n".encode()})
-                    await anyio.sleep(self.a.step / 1000 * slow)
-                await send({"type": "http.response.body", "body": b"event: done\nid: 5\ndata:\n\n"})
-            ok = True
+                await send_stream(send, run.dispatch, self.options.step / 1000 * slowness)
+            answered = True
         finally:
             self.running -= 1
             self.done += 1
-            self.note("end", did, ok)
+            self.record("end", run.dispatch, answered)
 
-    async def app(self, scope, receive, send):
+    async def app(self, scope: Mapping[str, Any], receive: Receive, send: Send) -> None:
+        """Answer a request, as an ASGI application."""
         if scope["type"] != "http":
             return
-        head = {k.decode().lower(): v.decode() for k, v in scope["headers"]}
+        headers = {name.decode().lower(): value.decode() for name, value in scope["headers"]}
         if scope["path"] == "/v1/state":
-            return await reply(send, 200, self.state())
+            return await send_json(send, 200, self.state())
         if scope["path"] == "/v1/run" and scope["method"] == "POST":
-            body, more = b"", True
-            while more:
-                m = await receive()
-                body, more = body + m.get("body", b""), m.get("more_body")
-            if self.running >= self.a.slots * 2:
-                return await reply(send, 503, {"ran": "no"}, (b"silverglade-ran", b"no"))
-            return await self.run(head, body, send)
-        return await reply(send, 404, {})
-
-
-async def reply(send, code, data, *extra):
-    b = json.dumps(data).encode()
-    await send(
-        {
-            "type": "http.response.start",
-            "status": code,
-            "headers": [(b"content-type", b"application/json"), (b"content-length", str(len(b)).encode()), *extra],
-        }
-    )
-    await send({"type": "http.response.body", "body": b})
+            body = await read_body(receive)
+            if self.running >= self.options.slots * OVERLOAD_FACTOR:
+                return await send_json(send, 503, {"ran": "no"}, (b"silverglade-ran", b"no"))
+            return await self.run(Run.decode(headers, body), send)
+        return await send_json(send, 404, {})
+
+
+async def read_body(receive: Receive) -> bytes:
+    """Receive the whole body of a request."""
+    body, more = b"", True
+    while more:
+        message = await receive()
+        body += message.get("body", b"")
+        more = message.get("more_body", False)
+    return body
+
+
+async def send_head(send: Send, status: int, *headers: Header) -> None:
+    """Begin an answer."""
+    await send({"type": "http.response.start", "status": status, "headers": list(headers)})
+
 
+async def send_json(send: Send, status: int, data: object, *headers: Header) -> None:
+    """Send a whole answer."""
+    body = json.dumps(data).encode()
+    await send_head(send, status, JSON, (b"content-length", str(len(body)).encode()), *headers)
+    await send({"type": "http.response.body", "body": body})
 
-async def renew(a):
-    """Declare homes and prefixes at some daemon, again and again."""
-    b = json.dumps(
+
+async def send_plain(send: Send, dispatch: str) -> None:
+    """Send the plain answer of a run."""
+    body = json.dumps({"dispatch": dispatch, "words": ["one"] * 5}).encode()
+    await send_head(send, 200, dispatch_header(dispatch), JSON, (b"content-length", str(len(body)).encode()))
+    await send({"type": "http.response.body", "body": body})
+
+
+async def send_stream(send: Send, dispatch: str, pause_s: float) -> None:
+    """Send the events of a run, with a pause behind each, and the one that ends the stream."""
+    await send_head(send, 200, dispatch_header(dispatch), (b"content-type", b"text/event-stream"))
+    for number in range(1, EVENTS + 1):
+        event = f"id: {number}\ndata: {dispatch} {number}\n\n".encode()
+        await send({"type": "http.response.body", "more_body": True, "body": event})
+        await anyio.sleep(pause_s)
+    await send({"type": "http.response.body", "body": b"event: done\nid: %d\ndata:\n\n" % EVENTS})
+
+
+def dispatch_header(dispatch: str) -> Header:
+    """Return the header by which a replica confirms which dispatch it answers."""
+    return (b"silverglade-dispatch", dispatch.encode())
+
+
+def registration(options: argparse.Namespace) -> bytes:
+    """Return what the replica declares of itself to a daemon."""
+    return json.dumps(
         dict(
-            incarnation=a.incarnation,
-            address=a.told or a.address,
-            zone=a.zone,
-            kind=a.kind,
-            homes=a.homes.split(","),
-            prefixes=[p for p in a.prefixes.split(",") if p],
-            slots=a.slots,
+            incarnation=options.incarnation,
+            address=options.told or options.address,
+            zone=options.zone,
+            kind=options.kind,
+            homes=options.homes.split(","),
+            prefixes=[prefix for prefix in options.prefixes.split(",") if prefix],
+            slots=options.slots,
         )
     ).encode()
-    n, key = 0, "none"
-    if a.key_file:
-        with open(a.key_file, encoding="utf-8") as f:
-            key = f.read().strip()
+
+
+def registration_key(file_name: str) -> str:
+    """Return the key with which it registers; "none" without a file."""
+    if not file_name:
+        return "none"
+    with open(file_name, encoding="utf-8") as file:
+        return file.read().strip()
+
+
+async def register(options: argparse.Namespace) -> None:
+    """Declare homes and prefixes at one daemon after another, until cancelled."""
+    body, key = registration(options), registration_key(options.key_file)
+    headers = [("Host", "x"), ("Content-Length", str(len(body))), ("Authorization", f"Bearer {key}")]
+    daemons = options.daemons.split(",")
+    attempts = 0
     async with httpcore.AsyncConnectionPool(max_keepalive_connections=0) as pool:
         while True:
-            at = a.daemons.split(",")
+            daemon = daemons[attempts % len(daemons)]
             with contextlib.suppress(httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException):
-                await pool.request(
-                    "PUT",
-                    f"http://{at[n % len(at)]}/v1/replicas/{a.id}",
-                    content=b,
-                    headers=[("Host", "x"), ("Content-Length", str(len(b))), ("Authorization", f"Bearer {key}")],
-                    extensions={"timeout": SLOW},
-                )
-            n += 1
-            await anyio.sleep(1)
-
-
-def parser():
-    p = argparse.ArgumentParser(prog="silverglade.testbed.fake_servers.replica_process")
-    for k in ("id", "address", "zone", "kind", "homes", "daemons", "runs"):
-        p.add_argument("--" + k, required=True)
-    p.add_argument("--told", default="")
-    p.add_argument("--key-file", default="", help="holds the key with which it registers")
-    p.add_argument("--prefixes", default="")
-    for k, v in (("slots", 4), ("incarnation", 1), ("prefill", 60), ("step", 20)):
-        p.add_argument("--" + k, type=int, default=v)
-    return p
-
-
-async def main(a):
-    ip, port = a.address.rsplit(":", 1)
-    cfg = uvicorn.Config(
-        Engine(a).app,
-        host=ip,
+                url = f"http://{daemon}/v1/replicas/{options.id}"
+                await pool.request("PUT", url, content=body, headers=headers, extensions={"timeout": REGISTRATION_TIMEOUT})
+            attempts += 1
+            await anyio.sleep(REGISTER_EVERY_S)
+
+
+def parser() -> argparse.ArgumentParser:
+    """Return the parser of its options; `--prefill` and `--step` are in milliseconds."""
+    parser = argparse.ArgumentParser(prog="silverglade.testbed.fake_servers.replica_process")
+    for name in ("id", "address", "zone", "kind", "homes", "daemons", "runs"):
+        parser.add_argument("--" + name, required=True)
+    parser.add_argument("--told", default="")
+    parser.add_argument("--key-file", default="", help="holds the key with which it registers")
+    parser.add_argument("--prefixes", default="")
+    for name, default in (("slots", 4), ("incarnation", 1), ("prefill", 60), ("step", 20)):
+        parser.add_argument("--" + name, type=int, default=default)
+    return parser
+
+
+async def main(options: argparse.Namespace) -> None:
+    """Serve and register until the process is told to stop."""
+    host, port = options.address.rsplit(":", 1)
+    configuration = uvicorn.Config(
+        FakeReplica(options).app,
+        host=host,
         port=int(port),
         log_config=None,
         lifespan="off",
@@ -168,14 +238,13 @@
         ws="none",
         interface="asgi3",
     )
-    async with anyio.create_task_group() as tg:
-        tg.start_soon(renew, a)
-        await uvicorn.Server(cfg).serve()
-        tg.cancel_scope.cancel()
+    async with anyio.create_task_group() as tasks:
+        tasks.start_soon(register, options)
+        await uvicorn.Server(configuration).serve()
+        tasks.cancel_scope.cancel()
 
 
 if __name__ == "__main__":
-    a_ = parser().parse_args()
     with contextlib.suppress(KeyboardInterrupt):
-        anyio.run(main, a_)
+        anyio.run(main, parser().parse_args())
     sys.exit(0)
--- a/silverglade/testbed/fake_servers/replica_server.py
+++ b/silverglade/testbed/fake_servers/replica_server.py
@@ -1,254 +1,381 @@
-"""Replicas that work by the engine as real servers on loopback, many in one process, and the list of them (design 15).
+"""Simulated replicas as real servers on loopback, many in one process (design 15); their time is the monotonic clock.
 
-They speak the names of a `Dialect`; the list and the reports take theirs from a table. `hear` is told what a judge
-wants to know: ("arrived", server, Ask), ("ran", server, Ask, run, seal), ("failed", server, Ask, run, status, body),
-("turned", server, Ask, status).
+They speak the header names of a `Dialect`; the names in their reports come from a table. A `ReplicaObserver` is told what
+a checker wants to know.
 """
 
+from __future__ import annotations
+
 import argparse
 import json
 import math
 import random
 import sys
+from collections.abc import Iterable, Mapping
+from datetime import timedelta
+from typing import Any
 
 import anyio
+import anyio.abc
 import h11
 
-from ...http.dialect import OWN
-from ..checkers.forwarding_rules import seal
-from .endpoint_list_server import Listing
-from .http_exchange import CLOSED, Box, Names, Talk, clock, reset
-from .replica_engine import Engine
-from .request_format import MS, SEC, Ask
+from ...http.dialect import OWN, Dialect
+from .endpoint_list_server import EndpointListServer
+from .http_exchange import CLOSED, AnswerQueue, FieldNames, Header, ReceivedRequest, ServerConnection, clock, listen, reset
+from .replica_answers import Answer, Body, Crashed, Cut, Ended, Garbage, Head, Refused, RequestAnswer, RunBegan, StreamEvent, Surplus
+from .replica_engine import ReplicaEngine
+from .request_format import MS, SEC, ReplicaRequest, ReplicaSpec, seal
 
 GARBAGE = b"\x16\x03\x01 nothing that is an answer\r\n\r\n"
+SURPLUS_BODY = b"second"
+SURPLUS_DELAY_S = (0.03, 0.3)
+RESET_RATE = 0.5  # how often a connection that is cut ends with a reset
+EVENT_STREAM = (b"content-type", b"text/event-stream")
+
+
+class ReplicaObserver:
+    """Is told what happens at a replica; this one does nothing with it."""
+
+    def arrived(self, server: ReplicaServer, request: ReplicaRequest) -> None:
+        """Handle that a request arrived."""
+
+    def ran(self, server: ReplicaServer, request: ReplicaRequest, run: str, run_seal: str) -> None:
+        """Handle that a run began."""
+
+    def failed(self, server: ReplicaServer, request: ReplicaRequest, run: str | None, status: int, body: bytes) -> None:
+        """Handle that a run ended in an error."""
 
+    def refused(self, server: ReplicaServer, request: ReplicaRequest, status: int) -> None:
+        """Handle that a request was refused."""
 
-class Server:
-    """One life of a replica at one address."""
+
+class ReplicaServer:
+    """One process of a replica at one address.
+
+    :ivar engine: the model that does the work.
+    :ivar address: where it listens, once it serves.
+    :ivar open_streams: its connections.
+    :ivar forget_rate: how often an idle connection is forgotten, so that what comes next on it is reset.
+    """
 
     def __init__(
-        self, *, id, service, zone, spec, seed=1, warm=True, dialect=OWN, names=None, keep=5, forgets=0.0, closes=0.02, hear=lambda *a: None
-    ):
-        self.id, self.service, self.zone, self.spec, self.d, self.hear = id, service, zone, spec, dialect, hear
-        self.names, self.keep, self.forgets, self.closes, self.rng = names or Names(), keep, forgets, closes, random.Random(seed)
-        self.e = Engine(rid=id, spec=spec, seed=seed, warm=warm, now=clock())
-        self.boxes, self.asks, self.n, self.open, self.news, self.addr = {}, {}, 0, set(), anyio.Event(), ""
-        self.leaves = None
-
-    async def serve(self, *, task_status=anyio.TASK_STATUS_IGNORED):
-        """Until it ends; the status is its address."""
-        lis = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
-        self.addr = "127.0.0.1:%d" % lis.extra(anyio.abc.SocketAttribute.local_port)
-        async with lis, anyio.create_task_group() as tg:
-            self.group = tg
-            tg.start_soon(self.turn)
-            task_status.started(self.addr)
-            await lis.serve(self.talk)
-
-    async def turn(self):
-        """The engine's time."""
-        while self.e.up:
-            due, self.news = self.e.due(), anyio.Event()
-            with anyio.move_on_after(math.inf if due is None else max(0.0, (due - clock()) / SEC)):
-                await self.news.wait()
+        self,
+        *,
+        id: str,
+        service: str,
+        zone: str,
+        spec: ReplicaSpec,
+        seed: int = 1,
+        warm: bool = True,
+        dialect: Dialect = OWN,
+        names: FieldNames | None = None,
+        keep_s: int = 5,
+        forget_rate: float = 0.0,
+        close_rate: float = 0.02,
+        observer: ReplicaObserver | None = None,
+    ) -> None:
+        """Start the model of a replica; `serve` makes it reachable.
+
+        :param id: of the replica.
+        :param service: that it serves.
+        :param zone: in which it is.
+        :param spec: what kind of replica it is.
+        :param seed: of its random decisions.
+        :param warm: False: it begins with slow start.
+        :param dialect: names of headers and paths.
+        :param names: of the fields of its report.
+        :param keep_s: seconds after which an idle connection is closed.
+        :param forget_rate: how often an idle connection is forgotten.
+        :param close_rate: how often a connection is closed behind an answer.
+        :param observer: is told what happens.
+        """
+        self.id, self.service, self.zone, self.spec, self.dialect = id, service, zone, spec, dialect
+        self.names, self.observer = names or FieldNames(), observer or ReplicaObserver()
+        self.keep_s, self.forget_rate, self.close_rate = keep_s, forget_rate, close_rate
+        self.rng = random.Random(seed)
+        self.engine = ReplicaEngine(replica_id=id, spec=spec, seed=seed, warm=warm, now=clock())
+        self.address = ""
+        self.open_streams: set[anyio.abc.SocketStream] = set()
+        self._queues: dict[int, AnswerQueue] = {}
+        self._requests: dict[int, ReplicaRequest] = {}
+        self._last_key = 0
+        self._engine_changed = anyio.Event()
+        self._tasks: anyio.abc.TaskGroup | None = None
+
+    async def serve(self, *, task_status: anyio.abc.TaskStatus[str] = anyio.TASK_STATUS_IGNORED) -> None:
+        """Serve until the replica ends; the status is its address."""
+        listener, self.address = await listen()
+        async with listener, anyio.create_task_group() as tasks:
+            self._tasks = tasks
+            tasks.start_soon(self._run_engine)
+            task_status.started(self.address)
+            await listener.serve(self._serve_connection)
+
+    async def _run_engine(self) -> None:
+        while self.engine.up:
+            wakeup, self._engine_changed = self.engine.next_wakeup(), anyio.Event()
+            with anyio.move_on_after(math.inf if wakeup is None else max(0.0, (wakeup - clock()) / SEC)):
+                await self._engine_changed.wait()
                 continue
-            self.said(self.e.tick(clock()))
-
-    def said(self, es):
-        for e in es:
-            if e == ("fell",):
-                for s in self.open:
-                    reset(s)
-                self.group.cancel_scope.cancel()
-            elif e[1] in self.boxes:
-                if e[0] == "run":
-                    self.hear("ran", self, self.asks[e[1]], e[2], seal(e[2], self.asks[e[1]].attempt))
-                self.boxes[e[1]].send_nowait(e)
-        self.news.set()
-
-    def crash(self):
-        self.said(self.e.crash())
-
-    def leave(self, left):
-        self.leaves = self.leaves or clock()
-        self.e.drain(clock(), left=left)
-        self.news.set()
-
-    def wake(self):
-        self.said(self.e.wake(clock()))
-
-    async def talk(self, stream):
+            self._handle(self.engine.tick(clock()))
+
+    def _handle(self, answers: Iterable[Answer]) -> None:
+        for answer in answers:
+            if isinstance(answer, Crashed):
+                self._reset_all()
+            elif answer.key in self._queues:
+                if isinstance(answer, RunBegan):
+                    request = self._requests[answer.key]
+                    self.observer.ran(self, request, answer.run, seal(answer.run, request.attempt))
+                self._queues[answer.key].put(answer)
+        self._engine_changed.set()
+
+    def _reset_all(self) -> None:
+        for stream in self.open_streams:
+            reset(stream)
+        if self._tasks is not None:
+            self._tasks.cancel_scope.cancel()
+
+    def crash(self) -> None:
+        """End at once."""
+        self._handle(self.engine.crash())
+
+    def drain(self, left: timedelta | None) -> None:
+        """Begin to drain.
+
+        :param left: after which it ends whatever still runs; None: it takes its own time.
+        """
+        self.engine.drain(clock(), left=left)
+        self._engine_changed.set()
+
+    def resume(self) -> None:
+        """Go on after the engine was paused."""
+        self._handle(self.engine.resume(clock()))
+
+    async def _serve_connection(self, stream: anyio.abc.SocketStream) -> None:
         async with stream:
-            if len(self.open) >= self.spec.conns:
-                return reset(stream)
-            self.open.add(stream)
-            t = Talk(stream)
+            if len(self.open_streams) >= self.spec.conns:
+                reset(stream)
+                return
+            self.open_streams.add(stream)
             try:
-                while (got := await t.request(self.keep)) and await self.answer(t, *got) and t.again():
-                    if self.rng.random() < self.forgets:  # an idle connection is forgotten: what comes is reset
-                        await stream.receive()
-                        return reset(stream)
+                await self._serve_requests(ServerConnection(stream))
             except CLOSED:
                 pass
             finally:
-                self.open.discard(stream)
-
-    async def answer(self, t, req, body):
-        path = req.target.decode("latin-1")
-        if req.method == b"GET" and path == self.d.health:
-            if self.e.dark:
-                await anyio.sleep_forever()
-            well, cold = self.e.health(clock())
-            await t.whole(200 if well else 503, [(self.d.replica, self.id.encode()), (self.d.cold_ms, b"%d" % cold)])
+                self.open_streams.discard(stream)
+
+    async def _serve_requests(self, connection: ServerConnection) -> None:
+        while received := await connection.receive_request(self.keep_s):
+            if not await self._answer(connection, received) or not connection.next_cycle():
+                return
+            if self.rng.random() < self.forget_rate:
+                await connection.stream.receive()
+                reset(connection.stream)
+                return
+
+    async def _answer(self, connection: ServerConnection, received: ReceivedRequest) -> bool:
+        """Answer a request; return whether the connection may be kept."""
+        if received.request.method == b"GET" and received.path == self.dialect.health:
+            await self._wait_while_paused()
+            await self._answer_health(connection)
             return True
-        if req.method == b"GET" and path == self.d.report:
-            if self.e.dark:
-                await anyio.sleep_forever()
-            n = self.names
-            b = json.dumps(dict(zip((n.waiting, n.running, n.used, n.memory), self.e.report(clock())))).encode()
-            await t.whole(200, [(b"content-type", b"application/json")], b)
+        if received.request.method == b"GET" and received.path == self.dialect.report:
+            await self._wait_while_paused()
+            await self._answer_report(connection)
             return True
-        return await self.work(t, self.read(req, body, path))
-
-    def read(self, req, body, path):
-        h, d = {k: v.decode("latin-1") for k, v in req.headers}, self.d
-
-        def num(k):
-            return int(h[k]) if h.get(k, "").isdigit() else None
-
-        parts = tuple((p.split(":")[0], int(p.split(":")[1])) for p in h.get(d.prefix, "").split(",") if ":" in p)
-        i, _, o = h.get(d.tokens, "100,80").partition(",")
-        left = num(d.deadline)
-        return Ask(
-            attempt=h.get(d.attempt, ""),
-            body=body,
-            parts=parts,
-            tokens=(int(i), int(o)),
-            urgency=num(d.urgency),
-            left=None if left is None else left * MS,
-            last=num(d.last_event) or 0,
-            expect=h.get(d.expect),
-            method=req.method.decode(),
-            path=path,
+        return await self._run(connection, self._decode(received))
+
+    async def _wait_while_paused(self) -> None:
+        if self.engine.paused:
+            await anyio.sleep_forever()
+
+    async def _answer_health(self, connection: ServerConnection) -> None:
+        well, cold_ms = self.engine.health(clock())
+        headers = [(self.dialect.replica, self.id.encode()), (self.dialect.cold_ms, b"%d" % cold_ms)]
+        await connection.respond(200 if well else 503, headers)
+
+    async def _answer_report(self, connection: ServerConnection) -> None:
+        names = self.names
+        fields = dict(zip((names.waiting, names.running, names.used, names.memory), self.engine.report(clock())))
+        await connection.respond(200, [(b"content-type", b"application/json")], json.dumps(fields).encode())
+
+    def _decode(self, received: ReceivedRequest) -> ReplicaRequest:
+        headers = {name: value.decode("latin-1") for name, value in received.request.headers}
+        dialect = self.dialect
+
+        def number(name: bytes) -> int | None:
+            return int(headers[name]) if headers.get(name, "").isdigit() else None
+
+        parts = (part.split(":") for part in headers.get(dialect.prefix, "").split(",") if ":" in part)
+        prompt_tokens, _, answer_tokens = headers.get(dialect.tokens, "100,80").partition(",")
+        left_ms = number(dialect.deadline)
+        return ReplicaRequest(
+            attempt=headers.get(dialect.attempt, ""),
+            body=received.body,
+            parts=tuple((fields[0], int(fields[1])) for fields in parts),
+            tokens=(int(prompt_tokens), int(answer_tokens)),
+            urgency=number(dialect.urgency),
+            left=None if left_ms is None else left_ms * MS,
+            last=number(dialect.last_event) or 0,
+            expect=headers.get(dialect.expect),
+            method=received.request.method.decode(),
+            path=received.path,
         )
 
-    async def work(self, t, a):
-        """Hand it to the engine; say what that says, as long as the caller is there. -> keep the connection?"""
-        self.n += 1
-        key, box = self.n, Box()
-        self.boxes[key], self.asks[key] = box.put, a
-        self.hear("arrived", self, a)
-        keep, rest = False, []
+    async def _run(self, connection: ServerConnection, request: ReplicaRequest) -> bool:
+        """Submit the request and relay what the engine says while the client is there; return whether the connection may be kept."""
+        self._last_key += 1
+        key, queue = self._last_key, AnswerQueue()
+        self._queues[key], self._requests[key] = queue, request
+        self.observer.arrived(self, request)
+        keep, received_early = False, list[bytes]()
         try:
-            async with anyio.create_task_group() as tg:
+            async with anyio.create_task_group() as tasks:
 
-                async def left():
+                async def watch_client() -> None:
                     try:
                         while True:
-                            rest.append(await t.s.receive())
+                            received_early.append(await connection.stream.receive())
                     except CLOSED:
-                        tg.cancel_scope.cancel()
+                        tasks.cancel_scope.cancel()
 
-                tg.start_soon(left)
-                self.said(self.e.ask(clock(), key, a))
-                keep = await self.relay(t, a, box)
-                tg.cancel_scope.cancel()
+                tasks.start_soon(watch_client)
+                self._handle(self.engine.submit(clock(), key, request))
+                keep = await _AnswerRelay(self, connection, request, queue).run()
+                tasks.cancel_scope.cancel()
         finally:
-            del self.boxes[key], self.asks[key]
-            if self.e.up:
-                self.said(self.e.hangup(clock(), key))
-        for b in rest:
-            t.h.receive_data(b)
+            del self._queues[key], self._requests[key]
+            if self.engine.up:
+                self._handle(self.engine.disconnect(clock(), key))
+        for data in received_early:
+            connection.http.receive_data(data)
         return keep
 
-    def headers(self, a, mark=None):
-        out = [(self.d.attempt, a.attempt.encode()), (b"keep-alive", b"timeout=%d" % self.keep)]
-        if self.e.going is not None or self.rng.random() < self.closes:
-            out.append((b"connection", b"close"))
-        return out + ([(self.d.seal, mark.encode())] if mark else [])
+    def answer_headers(self, request: ReplicaRequest, run_seal: str | None = None) -> list[Header]:
+        """Return the headers of every answer; on some the connection is closed."""
+        headers = [(self.dialect.attempt, request.attempt.encode()), (b"keep-alive", b"timeout=%d" % self.keep_s)]
+        if self.engine.draining_since is not None or self.rng.random() < self.close_rate:
+            headers.append((b"connection", b"close"))
+        if run_seal:
+            headers.append((self.dialect.seal, run_seal.encode()))
+        return headers
+
+
+class _AnswerRelay:
+    """Sends what the engine says of one request on its connection."""
 
-    async def relay(self, t, a, box):
-        """-> may the connection go on?"""
-        run, head, sent = None, None, False
+    def __init__(self, server: ReplicaServer, connection: ServerConnection, request: ReplicaRequest, queue: AnswerQueue) -> None:
+        self.server, self.connection, self.request, self.queue = server, connection, request, queue
+        self.run_id: str | None = None
+        self.status, self.headers = 0, list[Header]()
+        self.head_sent = False
+
+    async def run(self) -> bool:
+        """Relay until the answer is over; return whether the connection may be kept."""
         while True:
-            match await box.next():
-                case ("run", _, run):
-                    pass
-                case ("refuse", _, status, wait):
-                    more = [(b"retry-after", b"%.2f" % wait)] if wait is not None else []
-                    self.hear("turned", self, a, status)
-                    await t.whole(status, [*self.headers(a), (self.d.not_run, b"1"), *more])
-                    return True
-                case ("head", _, status, mark):
-                    head = (status, self.headers(a, mark))
-                case ("event", _, n, data):
-                    if not sent:
-                        await t.say(
-                            h11.Response(
-                                status_code=200,
-                                headers=[*head[1], (b"content-type", b"text/event-stream"), (b"transfer-encoding", b"chunked")],
-                            )
-                        )
-                    sent = True
-                    await t.say(h11.Data(data=b"id: %d\ndata: %s\n\n" % (n, data)))
-                case ("body", _, data):
-                    status, hs = head
-                    if status != 200:
-                        self.hear("failed", self, a, run, status, data)
-                    size = len(data) * (1 if (await box.peek())[0] == "end" else 2)
-                    await t.say(h11.Response(status_code=status, headers=[*hs, (b"content-length", b"%d" % size)]), h11.Data(data=data))
-                    sent = True
-                case ("end", _):
-                    if not sent:
-                        await t.say(
-                            h11.Response(
-                                status_code=200, headers=[*head[1], (b"content-type", b"text/event-stream"), (b"content-length", b"0")]
-                            )
-                        )
-                    await t.say(h11.EndOfMessage())
-                    more = box.now()
-                    return not more or await self.surplus(t, a, more[2])
-                case ("garbage", _):
-                    await t.s.send(GARBAGE)
-                    return False
-                case ("cut", _):
-                    if self.rng.random() < 0.5:
-                        reset(t.s)
-                    return False
-
-    async def surplus(self, t, a, when):
-        """A second answer to a request that was answered, at once or late."""
-        if when == "late":
-            await anyio.sleep(self.rng.uniform(0.03, 0.3))
-        await t.s.send(
-            b"HTTP/1.1 200 OK\r\n%s: %s\r\n%s: x\r\ncontent-length: 6\r\n\r\nsecond" % (self.d.attempt, a.attempt.encode(), self.d.seal)
-        )
+            keep = await self._relay(await self.queue.next())
+            if keep is not None:
+                return keep
+
+    async def _relay(self, answer: RequestAnswer) -> bool | None:
+        """Send one answer of the engine; None while more is to come."""
+        match answer:
+            case RunBegan(_, run):
+                self.run_id = run
+            case Refused():
+                return await self._refuse(answer)
+            case Head(_, status, run_seal):
+                self.status, self.headers = status, self.server.answer_headers(self.request, run_seal)
+            case StreamEvent(_, number, data):
+                await self._send_head(b"transfer-encoding", b"chunked")
+                await self.connection.send(h11.Data(data=b"id: %d\ndata: %s\n\n" % (number, data)))
+            case Body(_, data):
+                await self._send_body(data)
+            case Ended():
+                return await self._end()
+            case Garbage():
+                await self.connection.stream.send(GARBAGE)
+                return False
+            case Cut():
+                if self.server.rng.random() < RESET_RATE:
+                    reset(self.connection.stream)
+                return False
+        return None
+
+    async def _refuse(self, refused: Refused) -> bool:
+        retry_after = [] if refused.retry_after_s is None else [(b"retry-after", b"%.2f" % refused.retry_after_s)]
+        self.server.observer.refused(self.server, self.request, refused.status)
+        headers = [*self.server.answer_headers(self.request), (self.server.dialect.not_run, b"1"), *retry_after]
+        await self.connection.respond(refused.status, headers)
         return True
 
+    async def _send_head(self, length_name: bytes, length_value: bytes) -> None:
+        """Send the head of a stream unless it was sent."""
+        if not self.head_sent:
+            headers = [*self.headers, EVENT_STREAM, (length_name, length_value)]
+            await self.connection.send(h11.Response(status_code=200, headers=headers))
+        self.head_sent = True
 
-async def town(rows, **kw):
-    """A town's replicas and their list, until cancelled; prints where they are."""
-    async with anyio.create_task_group() as tg:
-        lst = Listing()
-        for i, r in enumerate(rows):
-            s = Server(id=f"{r['name']}-{i}", service=r["service"], zone=r["zone"], spec=r["spec"], seed=i, **kw)
-            await tg.start(s.serve)
-            lst.servers.append(s)
-            print(s.id, s.addr, flush=True)
-        print("list", await tg.start(lst.serve), flush=True)
+    async def _send_body(self, data: bytes) -> None:
+        if self.status != 200:
+            self.server.observer.failed(self.server, self.request, self.run_id, self.status, data)
+        cut_follows = not isinstance(await self.queue.peek(), Ended)
+        size = len(data) * (2 if cut_follows else 1)
+        head = h11.Response(status_code=self.status, headers=[*self.headers, (b"content-length", b"%d" % size)])
+        await self.connection.send(head, h11.Data(data=data))
+        self.head_sent = True
 
+    async def _end(self) -> bool:
+        await self._send_head(b"content-length", b"0")
+        await self.connection.send(h11.EndOfMessage())
+        following = self.queue.next_nowait()
+        if isinstance(following, Surplus):
+            await self._send_surplus(following)
+        return True
 
-if __name__ == "__main__":
+    async def _send_surplus(self, surplus: Surplus) -> None:
+        """Send a second answer to a request that was answered, at once or late."""
+        if surplus.late:
+            await anyio.sleep(self.server.rng.uniform(*SURPLUS_DELAY_S))
+        dialect = self.server.dialect
+        await self.connection.stream.send(
+            b"HTTP/1.1 200 OK\r\n%s: %s\r\n%s: x\r\ncontent-length: %d\r\n\r\n%s"
+            % (dialect.attempt, self.request.attempt.encode(), dialect.seal, len(SURPLUS_BODY), SURPLUS_BODY)
+        )
+
+
+async def serve_site(rows: Iterable[Mapping[str, Any]]) -> None:
+    """Serve the replicas of a site and their list until cancelled; print where they are.
+
+    :param rows: the replicas, with name, service, zone and spec.
+    """
+    async with anyio.create_task_group() as tasks:
+        endpoint_list = EndpointListServer()
+        for number, row in enumerate(rows):
+            server = ReplicaServer(id=f"{row['name']}-{number}", service=row["service"], zone=row["zone"], spec=row["spec"], seed=number)
+            await tasks.start(server.serve)
+            endpoint_list.servers.append(server)
+            print(server.id, server.address, flush=True)
+        print("list", await tasks.start(endpoint_list.serve), flush=True)
+
+
+def main() -> int:
+    """Serve a site's replicas until interrupted."""
     from ..sites import SITES
 
-    p = argparse.ArgumentParser(
+    parser = argparse.ArgumentParser(
         prog="python -m silverglade.testbed.fake_servers.replica_server", description="a town's replicas on loopback"
     )
-    p.add_argument("--town", choices=SITES, default="hamlet")
-    p.add_argument("--seed", type=int, default=1)
-    a_ = p.parse_args()
+    parser.add_argument("--town", choices=SITES, default="hamlet")
+    parser.add_argument("--seed", type=int, default=1)
+    options = parser.parse_args()
     try:
-        anyio.run(town, SITES[a_.town](a_.seed)["seats"])
+        anyio.run(serve_site, SITES[options.town](options.seed)["seats"])
     except KeyboardInterrupt:
-        sys.exit(0)
+        pass
+    return 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/silverglade/testbed/faults/forwarding_faults.py
+++ b/silverglade/testbed/faults/forwarding_faults.py
@@ -1,7 +1,7 @@
 """Faults of runs that forward (design 15): of daemons as ever, of replicas, lists, operators and clients."""
 
 from ...runtime.shutdown_timetable import timetable
-from ..fake_servers.request_format import KINDS, MS, SEC
+from ..fake_servers.request_format import ANSWER_FAULTS, MS, SEC
 from ..simulator.forwarding_path import HELD, LIST
 from .daemon_faults import Faults, secs
 
@@ -26,7 +26,7 @@
         ]
 
     def some(self):
-        ss = [s for s in self.f.up() if s.leaves is None and not s.e.dark]
+        ss = [s for s in self.f.up() if s.leaves is None and not s.e.paused]
         return self.rng.choice(ss) if ss else None
 
     def row(self, s):
@@ -162,9 +162,9 @@
         if s:
             t = self.rng.uniform(0.5, 7)
             self.unrest(t + 6)
-            s.e.freeze()
+            s.e.pause()
             self.w.note("dark", s.id)
-            self.later(t, lambda: s.said(s.e.wake(self.w.now)))
+            self.later(t, lambda: s.said(s.e.resume(self.w.now)))
 
     def release(self):
         """The replicas of a service are replaced one by one: each drains, then another life starts."""
@@ -199,19 +199,19 @@
                 self.later(t, lambda s=s: self.again(s))
             else:
                 if how == "dark":
-                    s.e.freeze()
-                self.later(t, lambda s=s: (s.e.chill(self.w.now), s.said(s.e.wake(self.w.now)) if s.e.dark else None))
+                    s.e.pause()
+                self.later(t, lambda s=s: (s.e.begin_slow_start(self.w.now), s.said(s.e.resume(self.w.now)) if s.e.paused else None))
 
     def spoil(self):
         """A part of some replicas' answers fail, end early, are garbled, doubled, late or lost."""
         for s in [x for x in (self.some(), self.some()) if x]:
-            kinds = self.rng.sample(KINDS, self.rng.randint(1, 3))
-            s.e.troubles.update(dict.fromkeys(kinds, self.rng.choice([0.1, 0.3, 1.0])))
-            s.e.liar = self.rng.random() < 0.5
+            kinds = self.rng.sample(ANSWER_FAULTS, self.rng.randint(1, 3))
+            s.e.fault_rates.update(dict.fromkeys(kinds, self.rng.choice([0.1, 0.3, 1.0])))
+            s.e.always_healthy = self.rng.random() < 0.5
             t = self.rng.uniform(1, 8)
             self.unrest(t + 6)
             self.w.note("spoil", s.id, *kinds)
-            self.later(t, lambda s=s: (s.e.troubles.clear(), setattr(s.e, "liar", False)))
+            self.later(t, lambda s=s: (s.e.fault_rates.clear(), setattr(s.e, "always_healthy", False)))
 
     def forget(self):
         """Replicas forget idle connections and do not say so."""
@@ -286,7 +286,7 @@
             self.s.empty(z)
             self.later(self.rng.uniform(7, 10), self.s.empty, z, False)
             if self.rng.random() < 0.5:
-                self.later(6.5, lambda: [s.e.chill(self.w.now) for s in self.f.up(zone=z)])
+                self.later(6.5, lambda: [s.e.begin_slow_start(self.w.now) for s in self.f.up(zone=z)])
 
     def lose_emptied(self):
         z = self.rng.choice(sorted(self.w.region))
--- a/silverglade/testbed/simulator/forwarding_io.py
+++ b/silverglade/testbed/simulator/forwarding_io.py
@@ -3,6 +3,7 @@
 from collections import Counter
 
 from ...runtime.effects import ZERO, milliseconds
+from ..fake_servers.replica_answers import Body, Crashed, Cut, Ended, Garbage, Head, Refused, StreamEvent, Surplus
 from ..fake_servers.request_format import MS, SEC
 
 KEEP, MARGIN = 5 * SEC, 0.5 * SEC  # how long a replica keeps an idle connection; how much sooner a daemon ends it
@@ -59,7 +60,7 @@
             if trip is not None:
                 self.seat.hangup(trip)
         elif self.stale or not self.seat.e.up:
-            self.down.push(trip, ("cut",))
+            self.down.push(trip, Crashed())
         else:
             self.seat.take(trip)
 
@@ -255,7 +256,7 @@
     def settle(self, c):
         """A whole answer came: the connection is kept, unless the replica ends it."""
         c.trip = None
-        if c.seat.e.going is not None or self.w.rng.random() < 0.02:
+        if c.seat.e.draining_since is not None or self.w.rng.random() < 0.02:
             return c.close()
         c.until = self.w.now + KEEP - MARGIN
         self.idle.setdefault((c.addr, c.seat.id), []).append(c)
@@ -277,33 +278,36 @@
         if c.trip is not trip:  # bytes that belong to no request, or another's answer
             if c.trip is None:
                 return c.close()
-            if e[0] == "more" and self.w.rng.random() < 0.5:
+            if isinstance(e, Surplus) and self.w.rng.random() < 0.5:
                 return None  # read past
             other = c.trip
             c.close()
             return self.broken(other, "not-ours")
         match e:
-            case ("refuse", _, status, wait):
+            case Refused(_, status, wait):
                 trip.way.held = (status, b"")
                 self.settle(c)
                 self.tell(trip, "not-run", status, wait)
-            case ("head", _, 200, None):
+            case Head(_, 200, None):
                 c.close()
                 self.tell(trip, "lost", "no-seal")
-            case ("head", _, status, seal):
+            case Head(_, status, seal):
                 trip.head = (status, seal)
                 if status == 200:
                     self.tell(trip, "began", 200)
-            case ("event", _, n, data):
+            case StreamEvent(_, n, data):
                 self.event(trip, n, data)
-            case ("body", _, data):
+            case Body(_, data):
                 trip.body += data
-            case ("end", _):
+            case Ended():
                 self.whole(c, trip)
-            case ("cut" | "garbage", *_):
+            case Cut() | Crashed():
                 c.close()
-                self.broken(trip, e[0])
-            case ("more", *_):
+                self.broken(trip, "cut")
+            case Garbage():
+                c.close()
+                self.broken(trip, "garbage")
+            case Surplus():
                 c.close()
         return None
 
--- a/silverglade/testbed/simulator/forwarding_path.py
+++ b/silverglade/testbed/simulator/forwarding_path.py
@@ -6,9 +6,10 @@
 from datetime import timedelta
 
 from ...runtime.effects import ZERO, to_milliseconds
-from ..checkers.forwarding_rules import Rules, seal
-from ..fake_servers.replica_engine import Engine
-from ..fake_servers.request_format import MS, SEC, Ask
+from ..checkers.forwarding_rules import Rules
+from ..fake_servers.replica_answers import LAST_ANSWERS, Body, Crashed, Cut, Garbage, Head, Refused, RunBegan, Surplus
+from ..fake_servers.replica_engine import ReplicaEngine
+from ..fake_servers.request_format import MS, SEC, ReplicaRequest, seal
 from .forwarding_io import CLIENT, SimulatedShell
 
 TTL = 2 * SEC  # how long clients hold on to where to go
@@ -24,12 +25,12 @@
     def __init__(self, field, *, id, name, service, zone, region, addr, spec, seed, warm):
         self.f, self.w, self.id, self.name, self.service = field, field.w, id, name, service
         self.zone, self.region, self.addr, self.spec = zone, region, addr, spec
-        self.e = Engine(rid=id, spec=spec, seed=seed, warm=warm, now=field.w.now)
+        self.e = ReplicaEngine(replica_id=id, spec=spec, seed=seed, warm=warm, now=field.w.now)
         self.conns, self.trips, self.num, self.leaves, self.at, self.ended = {}, {}, 0, None, None, None  # conns in order
 
     def record(self, now):
         """As the list shows it; see forward/replicas.py."""
-        left = -1 if self.e.gone is None else max(0, to_milliseconds(self.e.gone - now))
+        left = -1 if self.e.ends_at is None else max(0, to_milliseconds(self.e.ends_at - now))
         return (
             self.id,
             self.addr,
@@ -38,7 +39,7 @@
             self.service,
             self.spec.capacity,
             self.leaves is not None,
-            to_milliseconds(self.e.cold(now)),
+            to_milliseconds(self.e.slow_start_left(now)),
             left,
         )
 
@@ -60,13 +61,13 @@
             touch=calm,
             status=421 if other else None,
             left=t["deadline_ms"] * MS,
-            cold_per_s=self.spec.cold_per_s if self.e.cold(now) else 0.0,
+            cold_per_s=self.spec.cold_per_s if self.e.slow_start_left(now) else 0.0,
         )
         self.said(
-            self.e.ask(
+            self.e.submit(
                 now,
                 trip.key,
-                Ask(
+                ReplicaRequest(
                     attempt=s.attempt,
                     body=s.body,
                     parts=trip.way.parts,
@@ -84,20 +85,20 @@
     def hangup(self, trip):
         if trip.key in self.trips and self.e.up:
             del self.trips[trip.key]
-            self.said(self.e.hangup(self.w.now, trip.key))
+            self.said(self.e.disconnect(self.w.now, trip.key))
 
     def said(self, es):
         f, now = self.f, self.w.now
         for e in es:
-            if e == ("fell",):
+            if isinstance(e, Crashed):
                 self.fell()
                 continue
-            trip = self.trips.get(e[1])
+            trip = self.trips.get(e.key)
             if trip is None:
                 continue
             a = trip.way.sent.attempt
             match e:
-                case ("run", _, run):
+                case RunBegan(_, run):
                     trip.run = run
                     f.rules.ran(
                         now,
@@ -112,21 +113,21 @@
                         touch=f.touch(trip.conn.c.n),
                     )
                     continue
-                case ("refuse", _, status, _):
+                case Refused(_, status):
                     f.rules.turned(a, status)
-                case ("head", _, status, _) if status != 200:
+                case Head(_, status) if status != 200:
                     trip.fail = status
-                case ("body", _, data) if getattr(trip, "fail", None):
+                case Body(_, data) if getattr(trip, "fail", None):
                     f.rules.failed(a, trip.run, trip.fail, data)
-                case ("cut" | "garbage", *_) | ("head", _, 200, None):
+                case Cut() | Garbage() | Head(_, 200, None):
                     if not self.cut_short(trip):
                         f.rules.broke.add(a)
-            if e[0] == "more" and e[2] == "late":
+            if isinstance(e, Surplus) and e.late:
                 self.w.after(timedelta(milliseconds=self.w.rng.randrange(30, 400)), trip.conn.down.push, trip, e)
             else:
                 trip.conn.down.push(trip, e)
-            if e[0] in ("refuse", "end", "cut", "garbage"):
-                self.trips.pop(e[1], None)
+            if isinstance(e, LAST_ANSWERS):
+                self.trips.pop(e.key, None)
         self.wake()
 
     def cut_short(self, trip):
@@ -136,7 +137,7 @@
         return leaving and self.w.now >= given and given < has - SEC / 10
 
     def wake(self):
-        due = self.e.due()
+        due = self.e.next_wakeup()
         if due is not None and (self.at is None or due < self.at):
             self.at = due
             self.w.after(max(ZERO, due - self.w.now), self.turn, due)
@@ -150,7 +151,7 @@
         self.ended = self.w.now
         for c in self.conns:
             c.stale = True
-            c.down.push(None, ("cut",))
+            c.down.push(None, Crashed())
         self.w.note("replica-fell", self.id)
 
 
@@ -256,7 +257,7 @@
         ok = seat and seat.id == rid and seat.e.up and self.w.open(c.n.name, rid) and self.w.open(rid, c.n.name)
         state = None
         if ok:
-            waiting = seat.e.report(self.w.now)[0]
+            waiting = seat.e.report(self.w.now).waiting
             state = (len(seat.e.running), waiting, seat.spec.capacity)
         self.w.after(2 * self.w.hop(c.n.zone, seat.zone) + MS if ok else SEC, c.do, c.told, ("asked", rid, state))
 
--- a/silverglade/testbed/simulator/forwarding_scenario.py
+++ b/silverglade/testbed/simulator/forwarding_scenario.py
@@ -308,10 +308,10 @@
         for row in f.rows:
             now = [s for s in f.seats.values() if s.name == row["name"] and s.e.up]
             for s in now:
-                s.e.troubles.clear()
-                s.e.liar = False
-                if s.e.dark:
-                    s.said(s.e.wake(w.now))
+                s.e.fault_rates.clear()
+                s.e.always_healthy = False
+                if s.e.paused:
+                    s.said(s.e.resume(w.now))
             if not [s for s in now if s.leaves is None]:
                 f.start(row)
         for z in sorted(w.region):  # an evacuation holds until it is taken back, through any loss
--- a/silverglade/testbed/sites.py
+++ b/silverglade/testbed/sites.py
@@ -3,7 +3,7 @@
 import random
 
 from ..configuration.schema import key_digest
-from .fake_servers.request_format import MS, SEC, Spec
+from .fake_servers.request_format import MS, SEC, ReplicaSpec
 
 
 def tenant(name, homes, classes):
@@ -160,8 +160,8 @@
     return dict(daemons=daemons, seats=rows, config=cfg, delay=delay, mix=mix)
 
 
-MODEL = Spec(capacity=64, cache_tokens=250000, step=3 * MS, per_slot=0.1 * MS, read=57.0, stride=8, conns=370, cold_per_s=11.0)
-BOOKS = Spec(capacity=6, queue=24, work=20 * MS, conns=110, cold=0 * SEC, cold_per_s=0.0)
+MODEL = ReplicaSpec(capacity=64, cache_tokens=250000, step=3 * MS, per_slot=0.1 * MS, read=57.0, stride=8, conns=370, cold_per_s=11.0)
+BOOKS = ReplicaSpec(capacity=6, queue=24, work=20 * MS, conns=110, cold=0 * SEC, cold_per_s=0.0)
 
 
 def navrang_site():
--- a/tests/support/planted_breaches.py
+++ b/tests/support/planted_breaches.py
@@ -3,9 +3,8 @@
 from datetime import timedelta
 
 from silverglade.configuration import schema as config
-from silverglade.testbed.checkers import forwarding_rules as rules
 from silverglade.testbed.checkers.forwarding_rules import Bounds, Rules, Sent
-from silverglade.testbed.fake_servers.request_format import pieces
+from silverglade.testbed.fake_servers.request_format import event_count, seal
 
 SEC = timedelta(seconds=1)
 
@@ -64,11 +63,11 @@
         self.n += 1
         run = f"{rep}.{self.n}"
         self.arrive(attempt, rep, service=service)
-        self.r.ran(self.now, attempt, run=run, rep=rep, service=service, seal=rules.seal(run, attempt), **dict(dict(stride=1), **kw))
+        self.r.ran(self.now, attempt, run=run, rep=rep, service=service, seal=seal(run, attempt), **dict(dict(stride=1), **kw))
         return run
 
     def head(self, run, attempt="a", status=200):
-        self.r.head(self.now, attempt, status, rules.seal(run, attempt))
+        self.r.head(self.now, attempt, status, seal(run, attempt))
 
     def stream(self, run, ns, attempt="a"):
         for n in ns:
@@ -76,7 +75,7 @@
 
     def all(self, attempt="a"):
         s = self.r.sent[attempt]
-        return range(1, pieces(s.body, s.tokens[1], 1) + 1)
+        return range(1, event_count(s.body, s.tokens[1], 1) + 1)
 
     def end(self, attempt="a", **kw):
         self.r.ended(self.now, attempt, **dict(dict(whole=True), **kw))
--- a/tests/testbed/test_fleet_rules.py
+++ b/tests/testbed/test_fleet_rules.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from silverglade.testbed.fake_servers.request_format import answer
+from silverglade.testbed.fake_servers.request_format import plain_answer
 from tests.support.planted_breaches import SEC, cfg, judged, kept
 
 BREACHES = []
@@ -240,7 +240,7 @@
         if i < 20 or good and i % 3 == 0:
             run = p.run(f"a{i}")
             p.head(run, f"a{i}")
-            p.r.data(f"a{i}", answer(run, p.r.sent[f"a{i}"]))
+            p.r.data(f"a{i}", plain_answer(run, p.r.sent[f"a{i}"]))
             p.end(f"a{i}")
         p.later(1)
     p.r.recover(p.now, before=(60 * SEC, 80 * SEC), back=81 * SEC)
--- a/tests/testbed/test_forwarding_rules.py
+++ b/tests/testbed/test_forwarding_rules.py
@@ -6,7 +6,7 @@
 import pytest
 
 from silverglade.testbed.checkers import forwarding_rules as rules
-from silverglade.testbed.fake_servers.request_format import Ask, answer
+from silverglade.testbed.fake_servers.request_format import ReplicaRequest, plain_answer, seal
 from tests.support.planted_breaches import judged, kept
 
 BREACHES = []
@@ -40,7 +40,7 @@
     p.ask()
     p.ask("b")
     run, other = p.run(), p.run("b")
-    p.r.head(p.now, "a", 200, rules.seal(run, "a") if good else rules.seal(other, "b"))
+    p.r.head(p.now, "a", 200, seal(run, "a") if good else seal(other, "b"))
 
 
 @breach("MIXED")
@@ -56,7 +56,7 @@
 def success_where_the_replica_failed(p, good):
     p.ask(stream=False)
     run = p.run()
-    p.r.failed("a", run, 200 if good else 500, answer(run, p.r.sent["a"]))
+    p.r.failed("a", run, 200 if good else 500, plain_answer(run, p.r.sent["a"]))
     p.head(run)
 
 
@@ -65,7 +65,7 @@
     p.ask(stream=False)
     run = p.run()
     p.head(run)
-    body = answer(run, Ask(attempt="a", body=b"b", path="/r/x", tokens=(10, 80)))
+    body = plain_answer(run, ReplicaRequest(attempt="a", body=b"b", path="/r/x", tokens=(10, 80)))
     p.r.data("a", body if good else body[:-1])
     p.end()
 
--- a/tests/testbed/test_replica_servers.py
+++ b/tests/testbed/test_replica_servers.py
@@ -1,4 +1,4 @@
-"""Replicas as real servers on loopback, met by the real shell: what they say, their troubles, the list of them."""
+"""Replicas as real servers on loopback, met by the real forwarding I/O: what they say, their faults, the list of them."""
 
 import json
 from datetime import timedelta
@@ -9,18 +9,18 @@
 from silverglade.configuration import schema as config
 from silverglade.http.dialect import OWN
 from silverglade.testbed.checkers.forwarding_rules import Rules, Sent
-from silverglade.testbed.fake_servers.endpoint_list_server import Listing
-from silverglade.testbed.fake_servers.http_exchange import Names
-from silverglade.testbed.fake_servers.replica_server import Server
-from silverglade.testbed.fake_servers.request_format import MS, SEC, Spec, pieces
+from silverglade.testbed.fake_servers.endpoint_list_server import EndpointListServer
+from silverglade.testbed.fake_servers.http_exchange import FieldNames
+from silverglade.testbed.fake_servers.replica_server import ReplicaObserver, ReplicaServer
+from silverglade.testbed.fake_servers.request_format import MS, SEC, ReplicaSpec, event_count
 from tests.support.scripted_replicas import SEAL, front, play, simple
 
-FAST = Spec(step=MS, per_slot=0 * MS, stride=4, cache_tokens=100000)
-PLAIN = Spec(work=5 * MS, capacity=2, queue=2)
+FAST = ReplicaSpec(step=MS, per_slot=0 * MS, stride=4, cache_tokens=100000)
+PLAIN = ReplicaSpec(work=5 * MS, capacity=2, queue=2)
 TOKENS = f"{OWN.tokens.decode()}: 20,40"
 
 
-class Judge:
+class Judge(ReplicaObserver):
     """The rules, fed by real servers and a real client."""
 
     def __init__(self):
@@ -37,27 +37,30 @@
         assert not bad
         self.r.told(self.now, self.r.put(self.now, cfg, base=0), True)
 
-    def hear(self, what, server, a, *more):
-        match what:
-            case "arrived":
-                self.r.arrived(self.now, a.attempt, rep=server.id, service="s", zone="z", region="g", sent=self.now, touch=True)
-            case "ran":
-                self.r.ran(
-                    self.now,
-                    a.attempt,
-                    run=more[0],
-                    rep=server.id,
-                    service="s",
-                    seal=more[1],
-                    stride=server.spec.stride,
-                    last=a.last,
-                    method=a.method,
-                    path=a.path,
-                    body=a.body,
-                    plain=bool(server.spec.work),
-                )
-            case "failed" | "turned":
-                getattr(self.r, what)(a.attempt, *more)
+    def arrived(self, server, request):
+        self.r.arrived(self.now, request.attempt, rep=server.id, service="s", zone="z", region="g", sent=self.now, touch=True)
+
+    def ran(self, server, request, run, run_seal):
+        self.r.ran(
+            self.now,
+            request.attempt,
+            run=run,
+            rep=server.id,
+            service="s",
+            seal=run_seal,
+            stride=server.spec.stride,
+            last=request.last,
+            method=request.method,
+            path=request.path,
+            body=request.body,
+            plain=bool(server.spec.work),
+        )
+
+    def failed(self, server, request, run, status, body):
+        self.r.failed(request.attempt, run, status, body)
+
+    def refused(self, server, request, status):
+        self.r.turned(request.attempt, status)
 
     def asked(self, i, body):
         self.r.asked(Sent(attempt=i, at=self.now, life="d", host="h.example", path="/p", body=body, tokens=(20, 40), service="s"))
@@ -81,7 +84,7 @@
     """Some requests in turn to one server through the real shell; -> their statuses (None: broke off)."""
     out, at = [], []
     async with anyio.create_task_group() as tg:
-        s = Server(id="i1", service="s", zone="z", spec=spec, hear=judge.hear, closes=0.1)
+        s = ReplicaServer(id="i1", service="s", zone="z", spec=spec, observer=judge, close_rate=0.1)
         at.append(await tg.start(s.serve))
         setup(s)
         async with front(simple(at, replica="i1", deadline_ms=900)) as (d, client):
@@ -112,29 +115,29 @@
 )
 def test_troubles_keep_every_rule(spec, kind, want):
     j = Judge()
-    got = play(lambda: one(j, spec, lambda s: s.e.troubles.update({kind: 1.0}), gap=0.1 if kind == "late" else 0.0))
+    got = play(lambda: one(j, spec, lambda s: s.engine.fault_rates.update({kind: 1.0}), gap=0.1 if kind == "late" else 0.0))
     assert set(got) <= want and j.r.faults == []
     assert kind in ("again", "late") or set(got) == want
 
 
 def test_what_is_cut_does_not_look_complete():
     j = Judge()
-    assert set(play(lambda: one(j, FAST, lambda s: s.e.troubles.update(cut=1.0)))) <= {"cut", None}
+    assert set(play(lambda: one(j, FAST, lambda s: s.engine.fault_rates.update(cut=1.0)))) <= {"cut", None}
     assert j.r.faults == []
     j = Judge()
-    assert set(play(lambda: one(j, PLAIN, lambda s: s.e.troubles.update(cut=1.0)))) <= {"cut", None, 502}
+    assert set(play(lambda: one(j, PLAIN, lambda s: s.engine.fault_rates.update(cut=1.0)))) <= {"cut", None, 502}
     assert j.r.faults == []
 
 
 def test_a_kept_connection_that_the_replica_forgot_runs_nothing_twice():
     j = Judge()
-    assert set(play(lambda: one(j, PLAIN, lambda s: setattr(s, "forgets", 1.0)))) <= {200, 502}
+    assert set(play(lambda: one(j, PLAIN, lambda s: setattr(s, "forget_rate", 1.0)))) <= {200, 502}
     assert j.r.faults == []
 
 
 def test_one_that_is_not_meant_turns_it_away():
     j = Judge()
-    assert play(lambda: one(j, PLAIN, lambda s: setattr(s.e, "rid", "another"), count=1)) == [421]
+    assert play(lambda: one(j, PLAIN, lambda s: setattr(s.engine, "replica_id", "another"), count=1)) == [421]
     assert j.r.faults == [] and not j.r.runs
 
 
@@ -156,19 +159,19 @@
 def test_health_and_report_are_told_and_beyond_its_connections_it_resets():
     async def go():
         async with anyio.create_task_group() as tg:
-            s = Server(id="i1", service="s", zone="z", spec=FAST._replace(conns=1), warm=False)
+            s = ReplicaServer(id="i1", service="s", zone="z", spec=FAST._replace(conns=1), warm=False)
             addr = await tg.start(s.serve)
             status, h, _ = await get(addr, OWN.health)
             assert status == 200 and h[OWN.replica.decode()] == "i1" and 0 < int(h[OWN.cold_ms.decode()]) <= 3000
-            n = Names()
+            n = FieldNames()
             assert set(json.loads((await get(addr, OWN.report))[2])) == {n.waiting, n.running, n.used, n.memory}
             ip, port = addr.split(":")
             async with await anyio.connect_tcp(ip, int(port)) as a:
                 await a.send(b"GET ")
                 with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError, OSError)):
                     await get(addr, OWN.health)
-            s.leave(60 * SEC)
-            while len(s.open):
+            s.drain(60 * SEC)
+            while len(s.open_streams):
                 await anyio.sleep(0)
             assert (await get(addr, OWN.health))[0] == 503
             s.crash()
@@ -181,13 +184,13 @@
 
 def test_the_list_has_pages_a_rate_and_troubles():
     async def go():
-        n = Names(replicas="rows", next="then", page="from", id="name", service="of")
-        lst = Listing(names=n, size=2, rate=8, lag=0 * SEC)
-        lst.servers = [Server(id=f"i{k}", service="s", zone="z%d" % (k % 2), spec=PLAIN) for k in range(3)]
-        lst.servers[1].leave(60 * SEC)
+        n = FieldNames(replicas="rows", next="then", page="from", id="name", service="of")
+        lst = EndpointListServer(names=n, size=2, rate=8, lag=0 * SEC)
+        lst.servers = [ReplicaServer(id=f"i{k}", service="s", zone="z%d" % (k % 2), spec=PLAIN) for k in range(3)]
+        lst.servers[1].drain(60 * SEC)
         async with anyio.create_task_group() as tg:
             addr = await tg.start(lst.serve)
-            lst.glance()
+            lst.take_snapshot()
             _, _, b = await get(addr, n.list)
             d = json.loads(b)
             assert [r["name"] for r in d["rows"]] == ["i0", "i1"] and d["then"] == "2" and d["rows"][0]["of"] == "s"
@@ -196,12 +199,12 @@
             assert [r["name"] for r in d["rows"]] == ["i2"] and d["then"] is None
             d = json.loads((await get(addr, n.list + "?zone=z1"))[2])
             assert [r["name"] for r in d["rows"]] == ["i1"]
-            lst.mode = "part"
+            lst.fault = "part"
             assert [(await get(addr, n.list + q))[0] for q in ("", "?from=2")] == [200, 500]
-            lst.mode = "down"
+            lst.fault = "down"
             with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError, OSError)):
                 await get(addr, n.list)
-            lst.mode, lst.rate = "", 2
+            lst.fault, lst.rate = "", 2
             assert (await get(addr, n.list))[0] == 429
             tg.cancel_scope.cancel()
 
@@ -211,4 +214,4 @@
 def test_a_stream_has_all_its_events():
     j = Judge()
     play(lambda: one(j, FAST, lambda s: None, count=1))
-    assert len(j.r.got["a0"]["events"]) == pieces(b"hi", 40, 4)
+    assert len(j.r.got["a0"]["events"]) == event_count(b"hi", 40, 4)
