--- a/silverglade/testbed/checkers/forwarding_rules.py
+++ b/silverglade/testbed/checkers/forwarding_rules.py
@@ -1,351 +1,405 @@
 """The rules of the forwarding path, judged as things happen (design 15): what clients, replicas and operators saw.
 
-Whoever drives it says what was sent, arrived, ran, came back; `bad` collects what was broken. Each rule has a
+Whoever drives it says what was sent, arrived, ran, came back; `faults` collects what was broken. Each rule has a
 planted breach in tests/testbed/test_forwarding_rules.py. Times are timedeltas on one clock, bounds are parameters.
 """
 
-from bisect import bisect_left, bisect_right
-from collections import defaultdict, deque
+from __future__ import annotations
+
+from collections import defaultdict
 from datetime import timedelta
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 from ...runtime.effects import ZERO
 from ..fake_servers.request_format import event_count, plain_answer
-from .configuration_history import ConfigHistory
-
-SEC, MS = timedelta(seconds=1), timedelta(milliseconds=1)
-PROMISES = (408, 421, 429, 503)
-
-
-class Bounds(NamedTuple):
-    """By when and by how much; the sizes are those of a small deployment."""
-
-    contact: timedelta = 5 * SEC
-    drain: timedelta = 5 * SEC
-    lost: timedelta = 200 * MS  # after its last byte, a whole request that was read has to be answered
-    grace: timedelta = 8 * SEC  # from a SIGTERM to the kill
-    cut_streams_for: timedelta = 3 * SEC  # what is sent later after a SIGTERM ends whole, or is answered by the daemon
-    apply: timedelta = 3 * SEC
-    revert: timedelta = 250 * MS
-    ratio: float = 0.2
-    window: timedelta = 10 * SEC
-    slack: float = 50.0
-    cold_excess: float = 1.5
-    cold_slack: float = 5.0
-    evacuate: timedelta = 5 * SEC
-    recovery: timedelta = 12 * SEC
-    due: timedelta = 450 * MS  # what a replica is told to have may be older by a connection's coming up
-
-
-class Sent(NamedTuple):
-    """A client's try: each has an id of its own."""
-
-    attempt: str
-    at: timedelta
-    life: str  # of the daemon that it reached
-    host: str
-    path: str
-    body: bytes
-    method: str = "POST"
-    stream: bool = True
-    again: bool = False  # may it run more than once?
-    due: timedelta = 10 * SEC
-    tokens: tuple = (100, 80)
-    last: int = 0
-    service: str = ""  # for which the client means it: what budgets count it under
+from .configuration_history import Configuration, ConfigurationChange, ConfigurationHistory
+from .forwarding_records import SEC, Bounds, DrainedZone, End, NumberInEffect, Outage, Received, ReplicaAnswer, Run, Sent, StreamPosition
+from .request_rates import RetryRates, SlowStartRates
+
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # an answer with one of these promises that the request was not run
+OTHER_PROCESS = 421  # a replica refuses what was meant for another process at its address
+SHOWN_BODY = 60  # bytes of a body that are shown
+DENIED_ONE_IN = 500  # requests may be answered by the daemon itself with an error of the client, and `DENIED_SLACK` more
+DENIED_SLACK = 5
+Breach = tuple[Any, ...]  # seconds, the rule, and what broke it
+
+
+class Served(NamedTuple):
+    """How many requests were sent, and how many of them were served."""
+
+    served: int
+    sent: int
 
 
 class Rules:
-    def __init__(self, *, bounds=None):
-        self.b, self.faults, self.configs = bounds or Bounds(), [], ConfigHistory()
-        self.sent, self.runs = {}, {}  # attempt -> Sent; run -> dict(attempt, seal, status, stride, at, service)
-        self.by, self.reached = defaultdict(list), defaultdict(list)  # attempt -> its runs; replicas it reached
-        self.offered = defaultdict(list)  # attempt -> replicas that it reached and that were meant
-        self.got = {}  # attempt -> what its client has: status, seal, events, body, ended
-        self.asks, self.extras = defaultdict(list), defaultdict(list)  # service -> times
-        self.cold = defaultdict(deque)  # replica -> (sent, arrived) of a second
-        self.left, self.emptied, self.down = {}, [], []  # replica -> when listed as leaving; zones; list out of order
-        self.floor = {}  # daemon's life -> (number seen in effect, since when)
-        self.said = defaultdict(list)  # attempt -> failures and refusals of its replicas
-        self.broke = set()  # attempts whose replica broke off
-        self.stopped = {}  # daemon's life -> when it was told to stop
-        self.denied = 0
-
-    def bad(self, now, rule, *what):
-        self.faults.append((round(now / SEC, 3), rule, *what))
+    """Judges the forwarding path.
+
+    :ivar faults: what was broken.
+    :ivar configurations: what operators sent.
+    :ivar sent: attempts by id.
+    :ivar runs: by id.
+    :ivar runs_of: ids of the runs of each attempt.
+    :ivar got: what the client of each attempt has of its answer.
+    :ivar cut_attempts: attempts whose replica broke off.
+    :ivar stopped: when each process of a daemon was told to stop.
+    :ivar drained_zones: with the times of it.
+    """
+
+    def __init__(self, *, bounds: Bounds | None = None) -> None:
+        """Begin with nothing sent.
+
+        :param bounds: of times and rates.
+        """
+        self.bounds = bounds or Bounds()
+        self.faults: list[Breach] = []
+        self.configurations = ConfigurationHistory()
+        self.sent: dict[str, Sent] = {}
+        self.runs: dict[str, Run] = {}
+        self.runs_of: defaultdict[str, list[str]] = defaultdict(list)
+        self.got: dict[str, Received] = {}
+        self.cut_attempts: set[str] = set()
+        self.stopped: dict[str, timedelta] = {}
+        self.drained_zones: list[DrainedZone] = []
+        self._reached: defaultdict[str, list[str]] = defaultdict(list)  # attempt -> replicas
+        self._offered: defaultdict[str, list[str]] = defaultdict(list)  # attempt -> replicas that it reached and that were meant
+        self._replica_answers: defaultdict[str, list[ReplicaAnswer]] = defaultdict(list)
+        self._retry_rates = RetryRates(self.bounds)
+        self._slow_start_rates = SlowStartRates(self.bounds)
+        self._draining_since: dict[str, timedelta] = {}  # replica -> when listed so
+        self._list_outages: list[Outage] = []
+        self._in_effect: dict[str, NumberInEffect] = {}  # process of a daemon -> the number that it was seen to work under
+        self._denied = 0
+
+    def bad(self, now: timedelta, rule: str, *details: object) -> None:
+        """Note that a rule was broken."""
+        self.faults.append((round(now / SEC, 3), rule, *details))
 
     # clients
-    def asked(self, s):
-        self.sent[s.attempt] = s
-        self.got[s.attempt] = dict(status=None, seal=None, events=[], body=b"", ended=None)
-        self.asks[s.service].append(s.at)
-
-    def head(self, now, attempt, status, seal, touch=True):
-        g, s = self.got.get(attempt), self.sent.get(attempt)
-        if g is None or g["status"] is not None:
+    def asked(self, sent: Sent) -> None:
+        """Handle that a client sent an attempt."""
+        self.sent[sent.attempt] = sent
+        self.got[sent.attempt] = Received()
+        self._retry_rates.attempts[sent.service].append(sent.at)
+
+    def head(self, now: timedelta, attempt: str, status: int, seal: str | None, touch: bool = True) -> None:
+        """Handle that the head of an answer reached its client.
+
+        :param touch: whether its daemon was in touch.
+        """
+        got, sent = self.got.get(attempt), self.sent.get(attempt)
+        if got is None or sent is None or got.status is not None:
             return self.bad(now, "MIXED", attempt, "an answer that nobody waits for", status)
-        g["status"], g["seal"] = status, seal
-        if 200 <= status < 300 and seal not in self.seals(attempt):
+        got.status, got.seal = status, seal
+        if got.successful and seal not in self._success_seals(attempt):
             self.bad(now, "MIXED", attempt, "success without the replica's seal", status)
-        if status in PROMISES and not s.again and self.by[attempt]:
-            self.bad(now, "REFUSED", attempt, status, *self.by[attempt])
+        if status in NOT_RUN_STATUSES and not sent.again and self.runs_of[attempt]:
+            self.bad(now, "REFUSED", attempt, status, *self.runs_of[attempt])
         if status == 404:
-            self.handled(now, s, None, touch=touch)
+            self._handled(now, sent, None, touch=touch)
         return None
 
-    def seals(self, attempt):
-        return [self.runs[r]["seal"] for r in self.by[attempt] if self.runs[r]["seal"] and self.runs[r]["status"] == 200]
+    def _runs(self, attempt: str) -> list[Run]:
+        return [self.runs[run] for run in self.runs_of[attempt]]
 
-    def event(self, now, attempt, n, data):
-        """One event of a stream reached its client."""
-        g, s = self.got[attempt], self.sent[attempt]
-        run = bytes(data).split()[0].decode(errors="replace") if data else ""
-        if bytes(data) != f"{run} {n}".encode() or self.runs.get(run, {"attempt": None})["attempt"] != attempt:
+    def _success_seals(self, attempt: str) -> list[str]:
+        return [run.seal for run in self._runs(attempt) if run.seal and run.status == 200]
+
+    def event(self, now: timedelta, attempt: str, number: int, data: bytes) -> None:
+        """Handle that one event of a stream reached its client."""
+        got, sent = self.got[attempt], self.sent[attempt]
+        run_id = bytes(data).split()[0].decode(errors="replace") if data else ""
+        run = self.runs.get(run_id)
+        if bytes(data) != f"{run_id} {number}".encode() or run is None or run.attempt != attempt:
             return self.bad(now, "MIXED", attempt, "another's event", data)
-        was, of = g["events"][-1] if g["events"] else (s.last, run)
-        if n != was + 1:
-            self.bad(now, "ORDER", attempt, "lacks or repeats a piece", was, n)
-        if run != of and not (s.again and self.runs[run]["last"] == was):
-            self.bad(now, "ORDER", attempt, "joins runs", of, run)
-        g["events"].append((n, run))
+        before = got.events[-1] if got.events else StreamPosition(sent.last, run_id)
+        if number != before.number + 1:
+            self.bad(now, "ORDER", attempt, "lacks or repeats a piece", before.number, number)
+        if run_id != before.run and not (sent.again and run.last == before.number):
+            self.bad(now, "ORDER", attempt, "joins runs", before.run, run_id)
+        got.events.append(StreamPosition(number, run_id))
         return None
 
-    def data(self, attempt, data):
-        self.got[attempt]["body"] += data
+    def data(self, attempt: str, data: bytes) -> None:
+        """Handle that bytes of a plain answer reached its client."""
+        self.got[attempt].body += data
 
-    def ended(self, now, attempt, *, whole, calm=False, own=False):
-        """The client's answer ended: whole, or its connection closed. calm: nothing unplanned, see RULES' words.
+    def ended(self, now: timedelta, attempt: str, *, whole: bool, calm: bool = False, own: bool = False) -> None:
+        """Handle that the client's answer ended.
 
-        own: an answer of the system itself, not a replica's.
+        :param whole: it is complete; else its connection closed.
+        :param calm: nothing unplanned troubled what it depends on.
+        :param own: it is an answer of the daemon itself, not a replica's.
         """
-        g, s = self.got[attempt], self.sent[attempt]
-        if g["ended"] is not None:
+        got, sent = self.got[attempt], self.sent[attempt]
+        if got.ended is not None:
             return self.bad(now, "MIXED", attempt, "ended twice")  # no request waits there
-        g["ended"] = (now, whole)
+        got.ended = End(now, whole)
         if not whole:
-            if calm and now < s.at + s.due and attempt not in self.broke and (self.reached[attempt] or now > s.at + self.b.lost):
-                if not self.outlived(now, s):
-                    self.bad(now, "LOST", attempt, s.life, round((now - s.at) / SEC, 3))
-            return None
-        if not 200 <= g["status"] < 300:
-            if (
-                own
-                and g["status"] < 500
-                and g["status"] not in PROMISES
-                and all(self.configs.allows(p, s.host, s.path) for p in self.configs.sound())
-            ):
-                self.denied += 1
-            if not own and (g["status"], g["body"]) not in self.said[attempt]:
-                self.bad(now, "MIXED", attempt, "no failure of its replicas", g["status"], g["body"][:60])
+            if calm and self._lost(now, sent):
+                self.bad(now, "LOST", attempt, sent.life, round((now - sent.at) / SEC, 3))
             return None
-        if s.stream and not any(self.runs[r]["plain"] for r in self.by[attempt]):
-            return self.complete(now, g, s)
-        if g["body"] not in [self.runs[r]["body"] for r in self.by[attempt] if self.runs[r]["seal"] == g["seal"]]:
-            self.bad(now, "MIXED", attempt, "not the replica's whole body", g["body"][:60])
+        if not got.successful:
+            return self._ended_in_error(now, sent, got, own)
+        if sent.stream and not any(run.plain for run in self._runs(attempt)):
+            return self._stream_completed(now, sent, got)
+        if got.body not in [run.body for run in self._runs(attempt) if run.seal == got.seal]:
+            self.bad(now, "MIXED", attempt, "not the replica's whole body", got.body[:SHOWN_BODY])
         return None
 
-    def outlived(self, now, s):
+    def _lost(self, now: timedelta, sent: Sent) -> bool:
+        """Return whether an answer that broke off may not have."""
+        if now >= sent.at + sent.due or sent.attempt in self.cut_attempts:
+            return False
+        was_read = bool(self._reached[sent.attempt]) or now > sent.at + self.bounds.lost
+        return was_read and not self._outlived_grace(now, sent)
+
+    def _outlived_grace(self, now: timedelta, sent: Sent) -> bool:
         """Was a replica still at work on it in the last sixth of the daemon's grace, for a request sent soon after the stop?"""
-        told_at = self.stopped.get(s.life)
-        if told_at is None or not self.by[s.attempt]:
+        stopped_at = self.stopped.get(sent.life)
+        if stopped_at is None or not self.runs_of[sent.attempt]:
             return False
-        return s.at <= told_at + self.b.cut_streams_for and now >= told_at + self.b.grace * 5 / 6
+        return sent.at <= stopped_at + self.bounds.cut_streams_for and now >= stopped_at + self.bounds.grace * 5 / 6
 
-    def complete(self, now, g, s):
-        stride = max((self.runs[r]["stride"] for r in self.by[s.attempt]), default=1)
-        most = max(event_count(s.body, s.tokens[1], stride), s.last)
-        if (g["events"][-1][0] if g["events"] else s.last) < most:
-            self.bad(now, "ORDER", s.attempt, "complete before its last piece", len(g["events"]), most)
+    def _ended_in_error(self, now: timedelta, sent: Sent, got: Received, own: bool) -> None:
+        assert got.status is not None
+        if own and got.status < 500 and got.status not in NOT_RUN_STATUSES and self._always_has_route(sent):
+            self._denied += 1
+        if not own and ReplicaAnswer(got.status, got.body) not in self._replica_answers[sent.attempt]:
+            self.bad(now, "MIXED", sent.attempt, "no failure of its replicas", got.status, got.body[:SHOWN_BODY])
 
-    # replicas
-    def arrived(self, now, attempt, *, rep, service, zone, region, sent, touch, status=None, cold_per_s=0.0, left=None):
-        """A request reached a replica: sent by a daemon then; touch: that daemon was in touch.
+    def _always_has_route(self, sent: Sent) -> bool:
+        return all(change.services(sent.host, sent.path) for change in self.configurations.possible())
 
-        status: 421 when it was meant for another life. cold_per_s: what the replica bears, 0 while it is warm.
-        left: the time that the replica was told it has.
+    def _stream_completed(self, now: timedelta, sent: Sent, got: Received) -> None:
+        stride = max((run.stride for run in self._runs(sent.attempt)), default=1)
+        last = max(event_count(sent.body, sent.tokens[1], stride), sent.last)
+        if (got.events[-1].number if got.events else sent.last) < last:
+            self.bad(now, "ORDER", sent.attempt, "complete before its last piece", len(got.events), last)
+
+    # replicas
+    def arrived(
+        self,
+        now: timedelta,
+        attempt: str,
+        *,
+        rep: str,
+        service: str,
+        zone: str,
+        region: str,
+        sent: timedelta,
+        touch: bool,
+        status: int | None = None,
+        cold_per_s: float = 0.0,
+        left: timedelta | None = None,
+    ) -> None:
+        """Handle that a request reached a replica.
+
+        :param rep: the replica.
+        :param sent: when a daemon sent it.
+        :param touch: whether that daemon was in touch.
+        :param status: 421 when it was meant for another process at the replica's address.
+        :param cold_per_s: requests a second that the replica bears; 0 while it is warm.
+        :param left: the time that the replica was told the request has.
         """
-        s = self.sent.get(attempt)
-        if s is None:
+        request = self.sent.get(attempt)
+        if request is None:
             return self.bad(now, "UNASKED", attempt, rep)
-        if self.reached[attempt]:
-            self.extras[service].append(now)
-            self.budget(now, service)
-        self.reached[attempt].append(rep)
-        if status != 421:  # the word of another life: the most tries bound what may run
-            self.offered[attempt].append(rep)
-        if len(self.offered[attempt]) > self.configs.tries(s.host, s.path):
-            self.bad(now, "TRIES", attempt, *self.offered[attempt])
-        if left is not None and touch and left > s.due - (sent - s.at) + self.b.due:
-            self.bad(now, "DUE", attempt, left / SEC, (s.due - (sent - s.at)) / SEC)
-        homes = self.configs.homes(s.host, s.path, self.configs.newest(s.at - self.b.apply) if touch else None)
-        if homes is not None and homes and region not in homes:
+        self._count_attempt(now, request, rep, service, meant=status != OTHER_PROCESS)
+        remaining = request.due - (sent - request.at)
+        if left is not None and touch and left > remaining + self.bounds.due:
+            self.bad(now, "DUE", attempt, left / SEC, remaining / SEC)
+        least = self.configurations.newest(request.at - self.bounds.apply) if touch else None
+        homes = self.configurations.homes(request.host, request.path, least)
+        if homes and region not in homes:
             self.bad(now, "HOME", attempt, rep, region)
-        if status == 421:
+        if status == OTHER_PROCESS:
             return None
-        if cold_per_s:
-            self.chilled(now, rep, sent, cold_per_s)
-        t = self.left.get(rep)
-        if t is not None and touch and now > t + self.b.drain + self.platform(t, now):
-            self.bad(now, "DRAIN", attempt, rep, round((now - t) / SEC, 2))
-        for z, a, back in self.emptied:
-            if z == zone and touch and now > a + self.b.evacuate and (back is None or now < back):
-                self.bad(now, "EVAC", attempt, rep, z, round((now - a) / SEC, 2))
+        if cold_per_s and (excess := self._slow_start_rates.arrived(now, rep, sent, cold_per_s)):
+            self.bad(now, "FAILBACK", rep, *excess)
+        if touch:
+            self._check_draining(now, attempt, rep)
+            self._check_drained_zones(now, attempt, rep, zone)
         return None
 
+    def _count_attempt(self, now: timedelta, request: Sent, replica: str, service: str, *, meant: bool) -> None:
+        """Count it against the retry budget and against the attempts of its route; the latter only if it was meant for the replica."""
+        attempt = request.attempt
+        if self._reached[attempt] and (excess := self._retry_rates.retried(now, service)):
+            self.bad(now, "BUDGET", service, *excess)
+        self._reached[attempt].append(replica)
+        if meant:
+            self._offered[attempt].append(replica)
+        if len(self._offered[attempt]) > self.configurations.most_attempts(request.host, request.path):
+            self.bad(now, "TRIES", attempt, *self._offered[attempt])
+
+    def _check_draining(self, now: timedelta, attempt: str, replica: str) -> None:
+        since = self._draining_since.get(replica)
+        if since is not None and now > since + self.bounds.drain + self._list_outage(since, now):
+            self.bad(now, "DRAIN", attempt, replica, round((now - since) / SEC, 2))
+
+    def _check_drained_zones(self, now: timedelta, attempt: str, replica: str, zone: str) -> None:
+        for drained in self.drained_zones:
+            in_time = now <= drained.since + self.bounds.evacuate or (drained.until is not None and now >= drained.until)
+            if drained.zone == zone and not in_time:
+                self.bad(now, "EVAC", attempt, replica, zone, round((now - drained.since) / SEC, 2))
+
     def ran(
         self,
-        now,
-        attempt,
+        now: timedelta,
+        attempt: str,
         *,
-        run,
-        rep,
-        service,
-        seal,
-        stride=1,
-        last=0,
-        method=None,
-        path=None,
-        body=None,
-        touch=True,
-        status=200,
-        plain=False,
-    ):
-        """A replica began to work on it. What it was given is compared with what the client sent."""
-        s = self.sent.get(attempt)
-        if s is None:
+        run: str,
+        rep: str,
+        service: str,
+        seal: str | None,
+        stride: int = 1,
+        last: int = 0,
+        method: str | None = None,
+        path: str | None = None,
+        body: bytes | None = None,
+        touch: bool = True,
+        status: int = 200,
+        plain: bool = False,
+    ) -> None:
+        """Handle that a replica began to work on an attempt.
+
+        :param run: id of the run.
+        :param rep: the replica.
+        :param seal: with which it vouches for the run.
+        :param stride: tokens in one event.
+        :param last: number of the event behind which it begins.
+        :param method: that the replica was given; with `path` and `body` it is compared with what the client sent.
+        :param touch: whether the daemon was in touch.
+        :param plain: whether its answer is no stream.
+        """
+        sent = self.sent.get(attempt)
+        if sent is None:
             return self.bad(now, "UNASKED", attempt, rep, "of no client")
-        had = (s.method if method is None else method, s.path if path is None else path, s.body if body is None else body)
-        if had != (s.method, s.path, s.body):
-            self.bad(now, "UNASKED", attempt, rep, "changed", had[:2])
-        a = dict(attempt=attempt, seal=seal, status=status, stride=stride, at=now, service=service, last=last, plain=plain)
-        a["body"] = plain_answer(run, s)
-        self.runs[run] = a
-        self.by[attempt].append(run)
-        if not s.again and len(self.by[attempt]) > 1:
-            self.bad(now, "TWICE", attempt, *self.by[attempt])
-        if not s.again and self.got[attempt]["status"] in PROMISES:
-            self.bad(now, "REFUSED", attempt, self.got[attempt]["status"], run)
-        self.handled(now, s, service, touch=touch)
+        given = (sent.method if method is None else method, sent.path if path is None else path, sent.body if body is None else body)
+        if given != (sent.method, sent.path, sent.body):
+            self.bad(now, "UNASKED", attempt, rep, "changed", given[:2])
+        self.runs[run] = Run(attempt, seal, status, stride, last, plain, plain_answer(run, sent))
+        self.runs_of[attempt].append(run)
+        if not sent.again and len(self.runs_of[attempt]) > 1:
+            self.bad(now, "TWICE", attempt, *self.runs_of[attempt])
+        if not sent.again and self.got[attempt].status in NOT_RUN_STATUSES:
+            self.bad(now, "REFUSED", attempt, self.got[attempt].status, run)
+        self._handled(now, sent, service, touch=touch)
         return None
 
-    def failed(self, attempt, run, status, said):
-        """A run ended as a failure of the replica's own."""
-        self.runs[run]["status"] = status
-        self.said[attempt].append((status, said))
+    def failed(self, attempt: str, run: str, status: int, body: bytes) -> None:
+        """Handle that a run ended as a failure of the replica's own."""
+        self.runs[run].status = status
+        self._replica_answers[attempt].append(ReplicaAnswer(status, body))
 
-    def turned(self, attempt, status, said=b""):
-        """A replica said that it did not run it."""
-        self.said[attempt].append((status, said))
+    def refused(self, attempt: str, status: int, body: bytes = b"") -> None:
+        """Handle that a replica said that it did not run it."""
+        self._replica_answers[attempt].append(ReplicaAnswer(status, body))
 
     # operators
-    def put(self, now, cfg, *, base, valid=True, number=None):
-        return self.configs.asked(now, cfg, base=base, valid=valid, number=number)
-
-    def told(self, now, p, ok):
-        why = self.configs.told(now, p, ok)
-        if why:
-            self.bad(now, "CONFIG", why, p["number"])
-
-    def read(self, now, number, cfg=None):
-        """The configuration as it is read back at the end; number None: it did not come."""
-        newest = self.configs.newest(now)
-        if number is None or newest is not None and number < newest:
+    def put(
+        self, now: timedelta, configuration: Configuration, *, base: int, valid: bool = True, number: int | None = None
+    ) -> ConfigurationChange:
+        """Handle that an operator sends a configuration; see `ConfigurationHistory.asked`."""
+        return self.configurations.asked(now, configuration, base=base, valid=valid, number=number)
+
+    def told(self, now: timedelta, change: ConfigurationChange, ok: bool | None) -> None:
+        """Handle an operator's outcome: True taken, False refused, None unknown."""
+        broken = self.configurations.told(now, change, ok)
+        if broken:
+            self.bad(now, "CONFIG", broken, change.number)
+
+    def read(self, now: timedelta, number: int | None, configuration: Configuration | None = None) -> None:
+        """Handle the configuration as it is read back at the end.
+
+        :param number: its number; None: it did not come.
+        :param configuration: as it was read, where that is compared.
+        """
+        newest = self.configurations.newest(now)
+        if number is None or (newest is not None and number < newest):
             return self.bad(now, "CONFIG", "acknowledged one forgotten", number, newest)
-        of = [p for p in self.configs.puts if p["number"] == number]
-        if all(p not in self.configs.sound() for p in of):
+        changes = [change for change in self.configurations.changes if change.number == number]
+        possible = self.configurations.possible()
+        if all(change not in possible for change in changes):
             self.bad(now, "CONFIG", "invalid or refused one is in force", number)
-        elif cfg is not None and all(p["cfg"] != cfg for p in of):
+        elif configuration is not None and all(change.configuration != configuration for change in changes):
             self.bad(now, "CONFIG", "not as it was sent", number)
         return None
 
-    def empty(self, now, zone, on):
-        """An evacuation was acknowledged (on), or its end was sent."""
+    def drained(self, now: timedelta, zone: str, on: bool) -> None:
+        """Handle that the draining of a zone was acknowledged (on), or its end was sent."""
         if on:
-            self.emptied.append((zone, now, None))
-        else:
-            self.emptied = [(z, a, now if z == zone and b is None else b) for z, a, b in self.emptied]
+            self.drained_zones.append(DrainedZone(zone, now, None))
+            return
+        self.drained_zones = [row._replace(until=now) if row.zone == zone and row.until is None else row for row in self.drained_zones]
 
-    def leaving(self, now, rep):
-        """The platform's list shows it as draining, or as gone."""
-        self.left.setdefault(rep, now)
+    def leaving(self, now: timedelta, rep: str) -> None:
+        """Handle that the endpoint list shows a replica as draining, or as gone."""
+        self._draining_since.setdefault(rep, now)
 
-    def listing(self, now, ok):
-        """The platform's list is out of order from now on, or answers again."""
+    def listing(self, now: timedelta, ok: bool) -> None:
+        """Handle that the endpoint list does not answer from now on, or answers again."""
         if not ok:
-            self.down.append([now, None])
-        elif self.down and self.down[-1][1] is None:
-            self.down[-1][1] = now
-
-    def platform(self, a, b):
-        """How long the list was out of order between two moments."""
-        return sum((max(ZERO, min(b, y or b) - max(a, x)) for x, y in self.down), ZERO)
-
-    # worked out
-    def handled(self, now, s, service, *, touch):
-        """Under which configurations a request may have been handled so; service None: refused for want of a route."""
-        ok, ever = self.configs.handled(s.host, s.path, service)
-        if not ok:
-            if service is not None and not ever:
-                return self.bad(now, "ROUTE", s.attempt, service, s.host, s.path)
-            if self.configs.puts and (service is not None or any(p["acked"] for p in self.configs.puts)):
-                self.bad(now, "CONFIG", "as only an invalid or refused one allows" if ever else "as none allows", s.attempt, service)
-            return None
-        newest = self.configs.newest(s.at - self.b.apply)
-        if touch and newest is not None and max(ok) < newest:
-            self.bad(now, "CONFIG", "as only an older one allows", s.attempt, service, max(ok), newest)
-        number, since = self.floor.get(s.life, (None, None))
-        if number is not None and max(ok) < number and s.at > since + self.b.revert:
-            self.bad(now, "CONFIG", "went back", s.life, s.attempt, max(ok), number)
-        if number is None or min(ok) > number:
-            self.floor[s.life] = (min(ok), now)
+            self._list_outages.append(Outage(now))
+        elif self._list_outages and self._list_outages[-1].until is None:
+            self._list_outages[-1].until = now
+
+    def _list_outage(self, begin: timedelta, end: timedelta) -> timedelta:
+        """Return how long the endpoint list did not answer in between."""
+        return sum((outage.overlap(begin, end) for outage in self._list_outages), ZERO)
+
+    def _handled(self, now: timedelta, sent: Sent, service: str | None, *, touch: bool) -> None:
+        """Check under which configurations a request may have been handled so; service None: refused for want of a route."""
+        numbers, ever = self.configurations.handling(sent.host, sent.path, service)
+        if not numbers:
+            return self._handled_under_none(now, sent, service, ever)
+        newest = self.configurations.newest(sent.at - self.bounds.apply)
+        if touch and newest is not None and max(numbers) < newest:
+            self.bad(now, "CONFIG", "as only an older one allows", sent.attempt, service, max(numbers), newest)
+        seen = self._in_effect.get(sent.life)
+        if seen is not None and max(numbers) < seen.number and sent.at > seen.since + self.bounds.revert:
+            self.bad(now, "CONFIG", "went back", sent.life, sent.attempt, max(numbers), seen.number)
+        if seen is None or min(numbers) > seen.number:
+            self._in_effect[sent.life] = NumberInEffect(min(numbers), now)
         return None
 
-    def chilled(self, now, rep, sent, per_s):
-        d = self.cold[rep]
-        d.append((sent, now))
-        while now - d[0][1] >= SEC:
-            d.popleft()
-        n = sum(1 for a, _ in d if now - a < SEC)  # sent and arrived inside that second
-        if n > per_s * self.b.cold_excess + self.b.cold_slack:
-            self.bad(now, "FAILBACK", rep, n, per_s)
-
-    def budget(self, now, service):
-        """Windows that end with this arrival beyond the first, and those that began with an earlier one."""
-        w, xs, asks = self.b.window, self.extras[service], self.asks[service]
-
-        def asked(a, b):
-            return bisect_right(asks, b) - bisect_left(asks, a)
-
-        for end in {now, *(x + w for x in xs[-400:] if x + w <= now and x + w > now - w / 4)}:
-            n = bisect_right(xs, end) - bisect_left(xs, end - w)
-            most = max(asked(end - w, end), asked(end - 2 * w, end - w), asked(end - 1.5 * w, end - w / 2))
-            if n > self.b.ratio * most + self.b.slack:
-                self.bad(now, "BUDGET", service, n, most)
-                break
+    def _handled_under_none(self, now: timedelta, sent: Sent, service: str | None, ever: bool) -> None:
+        if service is not None and not ever:
+            return self.bad(now, "ROUTE", sent.attempt, service, sent.host, sent.path)
+        changes = self.configurations.changes
+        if changes and (service is not None or any(change.acknowledged for change in changes)):
+            detail = "as only an invalid or refused one allows" if ever else "as none allows"
+            self.bad(now, "CONFIG", detail, sent.attempt, service)
+        return None
 
     # the end of a run
-    def served(self, a, b):
-        """-> (served, sent) of what was sent in that time."""
-        ss = [s for s in self.sent.values() if a <= s.at < b]
-        return sum(1 for s in ss if self.whole(s.attempt)), len(ss)
-
-    def whole(self, attempt):
-        g = self.got[attempt]
-        return g["ended"] is not None and g["ended"][1] and 200 <= g["status"] < 300
-
-    def recover(self, now, *, before, back):
-        """After a loss: before, (from, to) of a time before it; back: when everything had returned."""
-        (n, of), (m, all_) = self.served(*before), self.served(back + self.b.recovery, now)
-        if of and all_ and 4 * n >= of and 4 * m < all_:
-            self.bad(now, "RECOVER", m, all_)
-
-    def close(self, now):
-        """The last counts."""
-        if self.denied > 5 + len(self.sent) / 500:
-            self.bad(now, "DENIED", self.denied, len(self.sent))
+    def served(self, begin: timedelta, end: timedelta) -> Served:
+        """Count what was sent in that time, and what of it was served."""
+        sent = [request for request in self.sent.values() if begin <= request.at < end]
+        return Served(sum(1 for request in sent if self.whole(request.attempt)), len(sent))
+
+    def whole(self, attempt: str) -> bool:
+        """Return whether the client has a complete answer that is a success."""
+        got = self.got[attempt]
+        return got.ended is not None and got.ended.complete and got.successful
+
+    def recover(self, now: timedelta, *, before: tuple[timedelta, timedelta], back: timedelta) -> None:
+        """Check that service came back after a loss.
+
+        :param before: begin and end of a time before it.
+        :param back: when everything had returned.
+        """
+        usual, after = self.served(*before), self.served(back + self.bounds.recovery, now)
+        if usual.sent and after.sent and 4 * usual.served >= usual.sent and 4 * after.served < after.sent:
+            self.bad(now, "RECOVER", after.served, after.sent)
+
+    def close(self, now: timedelta) -> list[Breach]:
+        """Check the last counts; return all that was broken."""
+        if self._denied > DENIED_SLACK + len(self.sent) / DENIED_ONE_IN:
+            self.bad(now, "DENIED", self._denied, len(self.sent))
         return self.faults
 
-    def forgotten(self, now, attempt):
-        """The client's deadline has passed, its daemon lived all the while, and nothing is under way for it."""
-        if self.got[attempt]["ended"] is None:
+    def forgotten(self, now: timedelta, attempt: str) -> None:
+        """Check an attempt whose deadline has passed, whose daemon lived all the while, and for which nothing is under way."""
+        if self.got[attempt].ended is None:
             self.bad(now, "SILENT", attempt, self.sent[attempt].life)
--- a/silverglade/testbed/faults/forwarding_faults.py
+++ b/silverglade/testbed/faults/forwarding_faults.py
@@ -123,7 +123,7 @@
         if n.hub is None or n.frozen is not None or not self.take(name):
             return
         self.planned.add(name)
-        life, b = n.life, self.f.rules.b
+        life, b = n.life, self.f.rules.bounds
         times = timetable(told_at=self.w.now, grace=b.grace, linger=HELD, cut_streams_for=b.cut_streams_for)
         self.f.rules.stopped[life] = self.w.now
         n.feed(("drain",))
@@ -173,7 +173,7 @@
             self.later(i * 1.5, self.replace, s)
 
     def replace(self, s):
-        t = self.f.rules.b.drain / SEC + 2
+        t = self.f.rules.bounds.drain / SEC + 2
         self.f.leave(s, secs(t))
         self.later(1, lambda: self.again(s))
 
@@ -282,7 +282,7 @@
 
     def evacuate(self):
         z = self.rng.choice(sorted(self.w.region))
-        if all(b is not None for _, _, b in self.f.rules.emptied) and not any(self.s.emptying.values()):
+        if all(drained.until is not None for drained in self.f.rules.drained_zones) and not any(self.s.emptying.values()):
             self.s.empty(z)
             self.later(self.rng.uniform(7, 10), self.s.empty, z, False)
             if self.rng.random() < 0.5:
@@ -290,7 +290,7 @@
 
     def lose_emptied(self):
         z = self.rng.choice(sorted(self.w.region))
-        if not self.busy and all(b is not None for _, _, b in self.f.rules.emptied) and not any(self.s.emptying.values()):
+        if not self.busy and all(drained.until is not None for drained in self.f.rules.drained_zones) and not any(self.s.emptying.values()):
             self.s.empty(z)
             self.later(self.rng.uniform(0.1, 3), lambda: self.lose_region(z, True))
             self.later(self.rng.uniform(10, 14), self.s.empty, z, False)
--- a/silverglade/testbed/simulator/forwarding_path.py
+++ b/silverglade/testbed/simulator/forwarding_path.py
@@ -6,6 +6,7 @@
 from datetime import timedelta
 
 from ...runtime.effects import ZERO, to_milliseconds
+from ..checkers.forwarding_records import End
 from ..checkers.forwarding_rules import Rules
 from ..fake_servers.replica_answers import LAST_ANSWERS, Body, Crashed, Cut, Garbage, Head, Refused, RunBegan, Surplus
 from ..fake_servers.replica_engine import ReplicaEngine
@@ -114,14 +115,14 @@
                     )
                     continue
                 case Refused(_, status):
-                    f.rules.turned(a, status)
+                    f.rules.refused(a, status)
                 case Head(_, status) if status != 200:
                     trip.fail = status
                 case Body(_, data) if getattr(trip, "fail", None):
                     f.rules.failed(a, trip.run, trip.fail, data)
                 case Cut() | Garbage() | Head(_, 200, None):
                     if not self.cut_short(trip):
-                        f.rules.broke.add(a)
+                        f.rules.cut_attempts.add(a)
             if isinstance(e, Surplus) and e.late:
                 self.w.after(timedelta(milliseconds=self.w.rng.randrange(30, 400)), trip.conn.down.push, trip, e)
             else:
@@ -215,7 +216,7 @@
 
     def troubled(self, at):
         """Was anything unplanned amiss from a while before that moment on?"""
-        return self.unrest > at - self.rules.b.contact
+        return self.unrest > at - self.rules.bounds.contact
 
     # the list
     def glance(self):
@@ -287,7 +288,7 @@
         """Is this daemon in touch: nothing in trouble that concerns it or the core?"""
         return (
             n.hub is not None
-            and n.steady(self.w.now - self.rules.b.contact)
+            and n.steady(self.w.now - self.rules.bounds.contact)
             and all(p in self.w.nodes and not self.w.nodes[p].core and p != n.name for p in self.busy)
         )
 
@@ -373,5 +374,5 @@
             if left and c.alive() and not c.box and self.node.steady(self.sent.at):
                 self.f.rules.forgotten(self.w.now, self.sent.attempt)
             self.ended = True
-            self.f.rules.got[self.sent.attempt]["ended"] = (self.w.now, False)
+            self.f.rules.got[self.sent.attempt].ended = End(self.w.now, False)
             self.w.after(CLIENT, c.do, c.gone, self)
--- a/silverglade/testbed/simulator/forwarding_scenario.py
+++ b/silverglade/testbed/simulator/forwarding_scenario.py
@@ -6,7 +6,7 @@
 from ...configuration import schema as config
 from ...control import replicated_state as bk
 from ...runtime.settings import tuning
-from ..checkers.forwarding_rules import Bounds, Sent
+from ..checkers.forwarding_records import Bounds, Sent
 from ..fake_servers.request_format import MS, SEC
 from ..sites import SITES
 from .daemons import World
@@ -58,7 +58,7 @@
         raw = dict(raw or self.raw())
         self.number = max(self.number, base or 0) + (step or self.rng.randint(1, 4))
         raw["number"] = number = self.number
-        base = self.r.configs.newest(self.w.now) or 0 if base is None else base
+        base = self.r.configurations.newest(self.w.now) or 0 if base is None else base
         cfg, bad = config.parse_configuration(raw)
         assert valid == (not bad), bad
         self.raws[number] = raw
@@ -85,7 +85,7 @@
 
     def raw(self):
         """The newest acknowledged configuration as it was sent."""
-        return self.raws.get(self.r.configs.newest(self.w.now), self.t["config"])
+        return self.raws.get(self.r.configurations.newest(self.w.now), self.t["config"])
 
     def change(self, how=""):
         """Moves, splits, times; routes added and taken out; many at once."""
@@ -163,7 +163,7 @@
             return self.w.after(SEC / 2, self.empty, zone, on)
         self.emptying[zone], change = on, f"evac-{zone}-{on}-{self.rng.getrandbits(30)}"
         if not on:
-            self.r.empty(self.w.now, zone, False)
+            self.r.drained(self.w.now, zone, False)
 
         def got(code, kw):
             self.w.note("evac", zone, on, code)
@@ -171,7 +171,7 @@
                 return self.w.after(SEC / 2, ask)
             self.emptying[zone] = False
             if on and code in GOOD:
-                self.r.empty(self.w.now, zone, True)
+                self.r.drained(self.w.now, zone, True)
             return None
 
         def ask():
@@ -276,9 +276,9 @@
         """The service for which the request counts: as the route's weights draw it."""
         from ...routing import route_table as routes
 
-        n = self.r.configs.newest(self.w.now)
-        p = next((p for p in self.r.configs.puts if p["number"] == n), None)
-        top = routes.find_route(p["table"], s.host, s.path) if p else None
+        n = self.r.configurations.newest(self.w.now)
+        p = next((p for p in self.r.configurations.changes if p.number == n), None)
+        top = routes.find_route(p.table, s.host, s.path) if p else None
         return routes.service(top, s.attempt) if top else r["shares"][0]["service"]
 
     def told(self):
--- a/silverglade/testbed/simulator/operators.py
+++ b/silverglade/testbed/simulator/operators.py
@@ -12,7 +12,7 @@
 
 from ...configuration.operator_calls import Calls
 from ...runtime.effects import ZERO, milliseconds
-from ..checkers.linearizability import Operation, Table, Verdict, Zone, judged
+from ..checkers.linearizability import Operation, Table, Verdict, Zone, check_history
 from .control_cluster import SEC, Council
 
 ZONES = ("za", "zb")
@@ -350,11 +350,11 @@
         return self.c.run(0.1)
 
     def verdicts(self) -> dict[str, Verdict]:
-        out = {"table": judged(self.history.of(table=True), Table())}
+        out = {"table": check_history(self.history.of(table=True), Table())}
         for zone in ZONES:
             ops = self.history.of(table=False, zone=zone)
             ops = [o._replace(action=("read",)) if o.action == ("set", "read") else o for o in ops]
-            out[zone] = judged(ops, Zone())
+            out[zone] = check_history(ops, Zone())
         return out
 
     def broken(self) -> list:
--- a/tests/routing/test_at_most_once.py
+++ b/tests/routing/test_at_most_once.py
@@ -17,9 +17,9 @@
     s, bad = forward_faults.run(town="hamlet", seed=31, kinds=DAYS[name], secs_=14, gap=0.8)
     assert bad == [] and s.told()["200"] > 1000
     once = [a for a, sent in s.r.sent.items() if not sent.again]
-    assert len(once) > 500 and all(len(s.r.by[a]) <= 1 for a in once)
-    unpromised = {a for a, g in s.r.got.items() if g["status"] not in (408, 421, 429, 503)}
-    assert all(a in unpromised for a in once if s.r.by[a])
+    assert len(once) > 500 and all(len(s.r.runs_of[a]) <= 1 for a in once)
+    unpromised = {a for a, g in s.r.got.items() if g.status not in (408, 421, 429, 503)}
+    assert all(a in unpromised for a in once if s.r.runs_of[a])
 
 
 def test_a_part_that_sends_again_after_a_loss_is_caught(monkeypatch):
--- a/tests/routing/test_reachability.py
+++ b/tests/routing/test_reachability.py
@@ -173,8 +173,8 @@
     got = []
     for a, sent in s.r.sent.items():
         g = s.r.got[a]
-        if g["ended"] and g["status"] == 503 and sent.life in zone and sent.at >= secs:
-            got.append(g["ended"][0] - sent.at)
+        if g.ended and g.status == 503 and sent.life in zone and sent.at >= secs:
+            got.append(g.ended.at - sent.at)
     return sorted(got)
 
 
@@ -207,6 +207,6 @@
     s.w.heal()
     healed, lives = s.w.now, {n.life for n in s.w.nodes.values() if n.zone == "kaohsiung"}
     s.w.run(8)
-    late = [x for x in s.r.sent.values() if x.life in lives and x.at > healed + PAUSE_MOST + 2 * WAIT and s.r.got[x.attempt]["ended"]]
-    refused = [x for x in late if s.r.got[x.attempt]["status"] == 503]
+    late = [x for x in s.r.sent.values() if x.life in lives and x.at > healed + PAUSE_MOST + 2 * WAIT and s.r.got[x.attempt].ended]
+    refused = [x for x in late if s.r.got[x.attempt].status == 503]
     assert len(late) > 20 and not refused
--- a/tests/routing/test_router_seeds.py
+++ b/tests/routing/test_router_seeds.py
@@ -14,7 +14,7 @@
 from silverglade.runtime import daemon_machine as hub
 from silverglade.runtime.effects import start
 from silverglade.runtime.settings import tuning
-from silverglade.testbed.checkers.forwarding_rules import Bounds
+from silverglade.testbed.checkers.forwarding_records import Bounds
 from silverglade.testbed.faults import forwarding_faults as forward_faults
 from silverglade.testbed.simulator.forwarding_scenario import Scene
 
--- a/tests/support/planted_breaches.py
+++ b/tests/support/planted_breaches.py
@@ -3,7 +3,8 @@
 from datetime import timedelta
 
 from silverglade.configuration import schema as config
-from silverglade.testbed.checkers.forwarding_rules import Bounds, Rules, Sent
+from silverglade.testbed.checkers.forwarding_records import Bounds, Sent
+from silverglade.testbed.checkers.forwarding_rules import Rules
 from silverglade.testbed.fake_servers.request_format import event_count, seal
 
 SEC = timedelta(seconds=1)
--- a/tests/testbed/test_fleet_rules.py
+++ b/tests/testbed/test_fleet_rules.py
@@ -46,7 +46,7 @@
     p.ask()
     run = p.run()
     if good:
-        p.r.broke.add("a")
+        p.r.cut_attempts.add("a")
     p.head(run)
     p.end(whole=False, calm=True)
 
@@ -216,7 +216,7 @@
 
 @breach("EVAC")
 def work_in_an_emptied_zone(p, good):
-    p.r.empty(p.now, "a1", True)
+    p.r.drained(p.now, "a1", True)
     p.later(4.9 if good else 5.1)
     p.ask()
     p.arrive()
@@ -224,10 +224,10 @@
 
 @breach("EVAC")
 def work_in_a_zone_before_it_is_taken_back(p, good):
-    p.r.empty(p.now, "a1", True)
+    p.r.drained(p.now, "a1", True)
     p.later(6)
     if good:
-        p.r.empty(p.now, "a1", False)
+        p.r.drained(p.now, "a1", False)
     p.later(1)
     p.ask()
     p.arrive()
--- a/tests/testbed/test_forwarding_rules.py
+++ b/tests/testbed/test_forwarding_rules.py
@@ -1,5 +1,6 @@
 """Rules about answers: each reports a planted breach, and is silent of the like done right."""
 
+import dataclasses
 import inspect
 import re
 
@@ -141,7 +142,7 @@
     a = p.run()
     p.head(a)
     p.stream(a, [1, 2])
-    p.r.runs["x"] = dict(p.r.runs[a], last=2)
+    p.r.runs["x"] = dataclasses.replace(p.r.runs[a], last=2)
     p.stream("x", [3])
 
 
--- a/tests/testbed/test_linearizability.py
+++ b/tests/testbed/test_linearizability.py
@@ -7,7 +7,7 @@
 
 from silverglade.control import outcomes
 from silverglade.runtime.effects import milliseconds
-from silverglade.testbed.checkers.linearizability import Operation, Table, Zone, judged
+from silverglade.testbed.checkers.linearizability import Operation, Table, Zone, check_history
 from silverglade.testbed.faults import control_faults as trials
 from silverglade.testbed.simulator.operators import Play, Trouble, played
 
@@ -19,7 +19,7 @@
 
 
 def fits(*ops, start=None):
-    return judged(ops, start or Zone()).order is not None
+    return check_history(ops, start or Zone()).order is not None
 
 
 OPEN, EMPTY, READ = ("set", False), ("set", True), ("read",)
--- a/tests/testbed/test_replica_servers.py
+++ b/tests/testbed/test_replica_servers.py
@@ -8,7 +8,8 @@
 
 from silverglade.configuration import schema as config
 from silverglade.http.dialect import OWN
-from silverglade.testbed.checkers.forwarding_rules import Rules, Sent
+from silverglade.testbed.checkers.forwarding_records import Sent
+from silverglade.testbed.checkers.forwarding_rules import Rules
 from silverglade.testbed.fake_servers.endpoint_list_server import EndpointListServer
 from silverglade.testbed.fake_servers.http_exchange import FieldNames
 from silverglade.testbed.fake_servers.replica_server import ReplicaObserver, ReplicaServer
@@ -60,7 +61,7 @@
         self.r.failed(request.attempt, run, status, body)
 
     def refused(self, server, request, status):
-        self.r.turned(request.attempt, status)
+        self.r.refused(request.attempt, status)
 
     def asked(self, i, body):
         self.r.asked(Sent(attempt=i, at=self.now, life="d", host="h.example", path="/p", body=body, tokens=(20, 40), service="s"))
@@ -214,4 +215,4 @@
 def test_a_stream_has_all_its_events():
     j = Judge()
     play(lambda: one(j, FAST, lambda s: None, count=1))
-    assert len(j.r.got["a0"]["events"]) == event_count(b"hi", 40, 4)
+    assert len(j.r.got["a0"].events) == event_count(b"hi", 40, 4)
