--- a/silverglade/testbed/local_fleet/fleet.py
+++ b/silverglade/testbed/local_fleet/fleet.py
@@ -39,7 +39,7 @@
         """
         self.other = os.path.abspath(other) if other else ""
         self.t, self.dir, self.tuning = TOWNS[town](), folder, tuning or {}
-        self.relay = Relay(delay=self.t["delay"])
+        self.relay = Relay(delay_ms=self.t["delay"])
         self.procs, self.daemons, self.reps, self.inc = {}, {}, {}, {}
         zs = list(self.t["config"]["zones"])
         for i, (name, zone, region, core) in enumerate(self.t["daemons"]):
--- a/silverglade/testbed/local_fleet/long_partitions.py
+++ b/silverglade/testbed/local_fleet/long_partitions.py
@@ -232,10 +232,10 @@
         relay, mine = self.fleet.relay, self.fleet.daemons[core]["real"]
         others = [d["real"] for n, d in self.fleet.daemons.items() if n != core]
         outwards, inwards = {(mine, o) for o in others}, {(o, mine) for o in others}
-        relay.severed = {"cut outwards": outwards, "cut inwards": inwards, "cut both ways": outwards | inwards}[kind]
+        relay.cut_addresses = {"cut outwards": outwards, "cut inwards": inwards, "cut both ways": outwards | inwards}[kind]
 
         def heal():
-            relay.severed = set()
+            relay.cut_addresses = set()
 
         return heal
 
--- a/silverglade/testbed/local_fleet/storm.py
+++ b/silverglade/testbed/local_fleet/storm.py
@@ -58,15 +58,15 @@
         rs = sorted(set(self.f.relay.region.values()))
         r = self.rng.choice(rs)
         self.note("cut", r)
-        self.f.relay.cut = {p for x in rs if x != r for p in ((x, r), (r, x))}
+        self.f.relay.cut_regions = {p for x in rs if x != r for p in ((x, r), (r, x))}
         await anyio.sleep(self.rng.uniform(2, 6))
-        self.f.relay.cut = set()
+        self.f.relay.cut_regions = set()
 
     async def slow_links(self):
         self.note("slow-links")
-        self.f.relay.delay, was = self.f.relay.delay * 5, self.f.relay.delay
+        self.f.relay.delay_ms, was = self.f.relay.delay_ms * 5, self.f.relay.delay_ms
         await anyio.sleep(self.rng.uniform(2, 5))
-        self.f.relay.delay = was
+        self.f.relay.delay_ms = was
 
     async def lose_disk(self):
         n = self.some(core=True)
--- a/tests/testbed/test_long_partitions.py
+++ b/tests/testbed/test_long_partitions.py
@@ -248,10 +248,10 @@
 
 
 def test_the_relay_cuts_one_direction_between_two_machines_alone():
-    relay = Relay(delay=1.0)
+    relay = Relay(delay_ms=1.0)
     relay.region = {"m1": "x", "m2": "x", "m3": "x"}
-    relay.severed = {("m1", "m2")}
-    assert relay.shut("m1", "m2") and not relay.shut("m2", "m1") and not relay.shut("m1", "m3")
+    relay.cut_addresses = {("m1", "m2")}
+    assert relay.is_cut("m1", "m2") and not relay.is_cut("m2", "m1") and not relay.is_cut("m1", "m3")
 
 
 def free_port():
@@ -262,7 +262,7 @@
 
 def test_the_relay_goes_on_when_a_caller_has_reset_before_it_is_accepted():
     async def play():
-        told, relay = ("127.0.0.1", free_port()), Relay(delay=0.0)
+        told, relay = ("127.0.0.1", free_port()), Relay(delay_ms=0.0)
         echo = await anyio.create_tcp_listener(local_host="127.0.0.1")
 
         async def answer(stream):
@@ -290,15 +290,15 @@
 
 
 def test_each_kind_of_cut_parts_one_machine_from_all_others_in_its_directions():
-    fleet = SimpleNamespace(relay=Relay(delay=1.0), daemons={n: {"real": n} for n in ("c1", "c2", "e1")})
+    fleet = SimpleNamespace(relay=Relay(delay_ms=1.0), daemons={n: {"real": n} for n in ("c1", "c2", "e1")})
     troubles = LongCuts(SimpleNamespace(f=fleet), seed=1)
     for kind, out, into in (("cut both ways", True, True), ("cut outwards", True, False), ("cut inwards", False, True)):
         heal = troubles.begin("c1", kind)
         for other in ("c2", "e1"):
-            assert (fleet.relay.shut("c1", other), fleet.relay.shut(other, "c1")) == (out, into), kind
-        assert not fleet.relay.shut("c2", "e1") and not fleet.relay.shut("e1", "c2")
+            assert (fleet.relay.is_cut("c1", other), fleet.relay.is_cut(other, "c1")) == (out, into), kind
+        assert not fleet.relay.is_cut("c2", "e1") and not fleet.relay.is_cut("e1", "c2")
         heal()
-        assert not fleet.relay.shut("c1", "c2") and not fleet.relay.shut("c2", "c1")
+        assert not fleet.relay.is_cut("c1", "c2") and not fleet.relay.is_cut("c2", "c1")
 
 
 def test_four_seeds_in_a_row_give_each_role_every_kind():
