--- a/silverglade/testbed/checkers/request_oracle.py
+++ b/silverglade/testbed/checkers/request_oracle.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from ...configuration.schema import key_digest
-from .invariant_monitor import Law, Retries, Watch
+from .invariant_monitor import InvariantMonitor, PutHistory, Retries
 
 SEC = timedelta(seconds=1)
 LEAVE = timedelta(seconds=5)
@@ -19,7 +19,7 @@
         self.runs, self.by_key = {}, defaultdict(list)
         self.ended, self.faults, self.events = set(), [], defaultdict(int)
         self.left, self.emptied, self.acked = {}, [], []
-        self.law, self.retries, self.watch = Law(), Retries(), Watch(world=world, bad=self.bad)
+        self.put_history, self.retries, self.monitor = PutHistory(), Retries(), InvariantMonitor(world=world, bad=self.bad)
         # An answer that was given while another ask of the same key was let run is still on its way
         # for two hops at most: owner to ingress, ingress to the daemon that the visitor called.
         self.flight = timedelta(milliseconds=2 * 1.3 * world.delay + 1)
@@ -94,9 +94,9 @@
             self.again += 1
             if got[0] > SHARE * got[1] + 1:
                 self.bad("retries", *got)
-        if rep.zone not in self.law.homes(o["tenant"], now):
+        if rep.zone not in self.put_history.homes(o["tenant"], now):
             self.bad("outside-homes", did, rep.zone)
-        if key_digest(o["bearer"]) not in self.law.keys(o["tenant"], o["at"]):  # as it was let in
+        if key_digest(o["bearer"]) not in self.put_history.keys(o["tenant"], o["at"]):  # as it was let in
             self.bad("key-not-in-force", did, o["tenant"])
         if meta["tenant"] != o["tenant"] or bytes(body) != o["body"]:
             self.bad("foreign-prompt", did)
@@ -123,9 +123,9 @@
         """An operator's outcome: acknowledged ones must last, refused ones never show."""
         v = tuple(kw.get("version", ()))
         self.acked.append((self.w.now, tag, code, v))
-        self.law.told(self.w.now, tag, code, v)
+        self.put_history.told(self.w.now, tag, code, v)
         if code == 100:
-            self.watch.acked(v)
+            self.monitor.acknowledged(v)
 
     def close(self, tag_of):
         """After everything is back: the last checks. tag_of(config) names a configuration."""
--- a/silverglade/testbed/simulator/daemons.py
+++ b/silverglade/testbed/simulator/daemons.py
@@ -194,7 +194,7 @@
             n.boot()
         for r in self.replicas.values():
             r.boot()
-        self.oracle.watch.glance()
+        self.oracle.monitor.check()
 
     def numbered(self):
         self.reps += 1
@@ -238,7 +238,7 @@
             return
         if self.num % 16 == 0:  # some go through the codec, all could
             body = wire.decode_frame(wire.encode_frame(frm=frm.name, life=frm.life, body=body)[4:])[2]
-        self.oracle.watch.sent(frm, n, body)
+        self.oracle.monitor.sent(frm, n, body)
         bulk = body[0] in wire.BULK_MESSAGES  # a connection of its own, as in daemons (3.1)
         way = (frm.life, n.name, "bulk" if bulk else queue_for(body[0]))
         if self.stuck.holds(way, self.now, self.open(frm.name, n.name)) or self.rng.random() < self.loss:
--- a/silverglade/testbed/simulator/scenario.py
+++ b/silverglade/testbed/simulator/scenario.py
@@ -62,7 +62,7 @@
             if grow:
                 extra = {f"tiny-{i}": dict(next(iter(self.t["config"]["tenants"].values())), keys=[f"{i:032x}"]) for i in range(grow)}
                 cfg["tenants"] = {**cfg["tenants"], **extra}
-            self.o.law.asked(self.w.now, tag, cfg)
+            self.o.put_history.asked(self.w.now, tag, cfg)
             ask.append((b, change, cfg))
             if self.w.nodes[who].hub is None:
                 return got(705, {})
@@ -119,8 +119,8 @@
     @property
     def known(self):
         """The newest acknowledged configuration: visitors hold its keys."""
-        p = max((p for p in self.o.law.puts if p["code"] == 100), key=lambda p: p["version"], default=None)
-        return p["cfg"] if p else None
+        newest = self.o.put_history.newest_acknowledged()
+        return newest.configuration if newest else None
 
     def traffic(self):
         for cls, rate, prefix in self.t["mix"]:
--- a/tests/testbed/test_request_oracle.py
+++ b/tests/testbed/test_request_oracle.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from silverglade.testbed.checkers import invariant_monitor as watch
+from silverglade.testbed.checkers import invariant_monitor
 from silverglade.testbed.checkers import request_oracle as oracle
 from silverglade.testbed.simulator import scenario as scene
 from silverglade.testbed.simulator.scenario import Scene
@@ -21,13 +21,13 @@
         self.s = Scene(town="hamlet")
         self.o, self.w = self.s.o, self.s.w
         self.cfg = dict(self.s.t["config"], body_cap=100001)
-        self.o.law.asked(self.w.now, 100001, self.cfg)
+        self.o.put_history.asked(self.w.now, 100001, self.cfg)
         self.put(100, (1, 1), 100001)
         self.w.now += 6 * SEC
         self.n = 0
 
     def put(self, code, v, tag):
-        self.o.law.told(self.w.now, tag, code, v)
+        self.o.put_history.told(self.w.now, tag, code, v)
         self.o.acked.append((self.w.now, tag, code, v))
 
     def ask(self, oid="a", tenant="pair", cls="chat", key="k", attempt=1, who="edge-middle-0", left=20, **kw):
@@ -146,7 +146,7 @@
 
 def homes_moved(p, good):
     cfg = dict(p.cfg, tenants={**p.cfg["tenants"], "pair": dict(p.cfg["tenants"]["pair"], homes=["south"])})
-    p.o.law.asked(p.w.now, 100002, cfg)
+    p.o.put_history.asked(p.w.now, 100002, cfg)
     p.put(100, (1, 2), 100002)
     p.later(4.9 if good else 5.1)
     p.ask()
@@ -155,7 +155,7 @@
 
 def key_revoked(p, good):
     cfg = dict(p.cfg, tenants={**p.cfg["tenants"], "pair": dict(p.cfg["tenants"]["pair"], keys=["0" * 32])})
-    p.o.law.asked(p.w.now, 100002, cfg)
+    p.o.put_history.asked(p.w.now, 100002, cfg)
     p.put(501 if good else 100, (1, 2), 100002)
     p.later(5.1)
     p.ask()
@@ -165,13 +165,13 @@
 def told_outside_homes(p, good):
     p.ask()
     n = p.w.nodes
-    p.o.watch.sent(n["edge-middle-0"], n["edge-south-0" if good else "edge-north-0"], ("ask", "a"))
+    p.o.monitor.sent(n["edge-middle-0"], n["edge-south-0" if good else "edge-north-0"], ("ask", "a"))
 
 
 def piece_outside_homes(p, good):
     p.ask(who="edge-north-0")  # its visitor called it: the one exception
     n = p.w.nodes
-    p.o.watch.sent(n["edge-middle-0"], n["edge-north-0" if good else "core-north"], ("res", "a", 1, "piece"))
+    p.o.monitor.sent(n["edge-middle-0"], n["edge-north-0" if good else "core-north"], ("res", "a", 1, "piece"))
 
 
 def foreign_prompt(p, good):
@@ -224,18 +224,18 @@
     n, v = p.w.nodes["core-north"], [(1, 5), (1, 6 if good else 4)]
     for i, x in enumerate(v):
         n.store["config"] = (x, p.cfg)
-        p.o.watch.versions()
+        p.o.monitor.check_versions()
         if not i:  # through a restart, too
             n.kill()
             n.boot()
-            p.o.watch.versions()
+            p.o.monitor.check_versions()
 
 
 def not_in_force(p, good):
     n = p.w.nodes["core-north"]
     n.store["config"] = ((1, 7 if good else 6), p.cfg)
-    p.o.watch.since = {(n.life, n.life): p.w.now - SEC}  # it alone could reach control
-    p.o.watch.forced((1, 7), p.w.now - SEC / 2, [n.life])
+    p.o.monitor.reachable_since = {(n.life, n.life): p.w.now - SEC}  # it alone could reach control
+    p.o.monitor.check_in_force((1, 7), p.w.now - SEC / 2, [n.life])
 
 
 def calls(p, version, tag):
@@ -322,5 +322,5 @@
 
 
 def test_every_rule_of_the_oracle_has_a_planted_breach():
-    src = "".join(inspect.getsource(m) for m in (oracle, scene, watch))
+    src = "".join(inspect.getsource(m) for m in (oracle, scene, invariant_monitor))
     assert set(re.findall(r'bad\("([a-z-]+)"', src)) == set(PLANTS.values())
