--- a/silverglade/control/role_assigner.py
+++ b/silverglade/control/role_assigner.py
@@ -113,7 +113,8 @@
                 continue
             candidates = apart_from_follower(candidates, held.follower, ready)
             holder = highest_ranked(f"{role.kind}/{role.name}", candidates)
-            yield AssignRole(role.kind, role.name, held.epoch, holder, held.follower)
+            if holder is not None:
+                yield AssignRole(role.kind, role.name, held.epoch, holder, held.follower)
 
     def candidates(self, role: WantedRole, ready: Mapping[str, MemberRecord]) -> list[str]:
         """Return the daemons that may hold a role; slot leases also those of the replica's region, where its zone has none."""
--- a/silverglade/routing/endpoint_list.py
+++ b/silverglade/routing/endpoint_list.py
@@ -262,7 +262,8 @@
     def note_ranks(self, kind: str, rows: Mapping[str, tuple[Any, Any]]) -> None:
         """Note the ranks that our own rows must exceed."""
         for name, (row_rank, _) in rows.items():
-            rank = RowRank(*row_rank)
+            state, number = (*row_rank, 0)[:2]  # a rank of another program may have fewer or more numbers
+            rank = RowRank(state, number)
             self.ranks[kind, name] = max(rank, self.ranks.get((kind, name), rank))
 
     def on_listed_rows(self, rows: Mapping[str, tuple[Any, Any]]) -> None:
--- a/silverglade/runtime/settings.py
+++ b/silverglade/runtime/settings.py
@@ -146,8 +146,8 @@
     :raises InvalidSettingsError: they have faults; all of them are named.
     """
     settings: dict[str, Any]
-    settings, faults = validate(record(SETTINGS), raw)
-    faults = faults or _core_faults(settings) or _key_faults(settings)
+    settings, errors = validate(record(SETTINGS), raw)
+    faults: FaultList = errors or _core_faults(settings) or _key_faults(settings)
     if faults:
         raise InvalidSettingsError(_message(faults))
     settings["tuning"] = settings["tuning"] or tuning()
--- a/silverglade/tenant_shards/shard.py
+++ b/silverglade/tenant_shards/shard.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import Any
 
-from boltons.cacheutils import LRI  # type: ignore[import-untyped]
+from boltons.cacheutils import LRI
 
 from ..runtime.effects import ZERO, Effect, LogRecord, Send, log_record
 from .claims import Claim, ClaimState, claims_of, expired_keys, rows_of
