--- a/silverglade/testbed/experiments/demand_day.py
+++ b/silverglade/testbed/experiments/demand_day.py
@@ -141,8 +141,7 @@
         self.log_lines = 0
         self.samples: list[Sample] = []
         self.crowd_s: float | None = None  # how long after the crowd came somebody wanted enough replicas
-        parts = [MachineComponent(ServiceScaler(region="m", tuning=opt)) for _ in range(daemons)]
-        self.scalers: list[Any] = parts
+        self.scalers = [MachineComponent(ServiceScaler(region="m", tuning=opt)) for _ in range(daemons)]
         self._begin(aim_ms)
 
     def _begin(self, aim_ms: int) -> None:
@@ -154,7 +153,7 @@
         }
         for daemon in range(self.daemons):
             self._feed(daemon, 0, ("roll", members))
-            self._feed(daemon, 0, ("routes", configuration))
+            self._feed(daemon, 0, ("book", {"config": ((1, 1), configuration)}, (1, 1)))
 
     def _feed(self, daemon: int, now: float, event: tuple[Any, ...]) -> None:
         """Hand a scaler an event, and note what it says."""
@@ -302,10 +301,12 @@
         k = room_of_replica(capacity=capacity, mu=mu, latency_target=aim)
         for replicas in (1, 2, 5):
             for x in range(1, 15 * replicas):
-                kw = dict(lam=x / 10 * mu, mu=mu, replicas=replicas, latency_target=aim, fan_out=50, max_load=0.8, fallback_load=0.65)
-                m = got[aim, replicas, x] = smallest_sufficient(room=k, **kw)
+                load: dict[str, Any] = dict(
+                    lam=x / 10 * mu, mu=mu, replicas=replicas, latency_target=aim, fan_out=50, max_load=0.8, fallback_load=0.65
+                )
+                m = got[aim, replicas, x] = smallest_sufficient(room=k, **load)
                 for name, n in (("capacity", capacity), ("20", 20), ("4 x capacity", 4 * capacity)):
-                    other[name] += smallest_sufficient(room=n, **kw) != m
+                    other[name] += smallest_sufficient(room=n, **load) != m
     return dict(
         rooms=[room_of_replica(capacity=capacity, mu=mu, latency_target=a) for a in (0.3, 0.6, 2.0)],
         cases=len(got),
