--- a/silverglade/membership/member.py
+++ b/silverglade/membership/member.py
@@ -365,16 +365,3 @@
             is_isolated=is_isolated,
             is_heard=is_heard,
         )
-
-
-# --- for components that still read member records by position
-
-ID, ZONE, REGION, CORE, STATE, ATTRIBUTES = [
-    MemberRecord._fields.index(field) for field in ("name", "zone", "region", "is_core", "state", "attributes")
-]
-
-
-def extra(record: tuple[Any, ...], name: str, default: Any = None) -> Any:
-    """Return the value of an attribute of a member record, or `default`."""
-    attributes = record[ATTRIBUTES]
-    return next((value for key, value in attributes if key == name), default)
--- a/tests/membership/test_messages.py
+++ b/tests/membership/test_messages.py
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize(("message", "array"), MESSAGES, ids=lambda value: type(value).__name__)
 def test_a_message_travels_as_its_kind_and_its_fields(message, array):
-    frame = encode_frame(frm="a", life="process", body=message.to_array())
+    frame = encode_frame(sender="a", process_id="process", body=message.to_array())
     sent = decode_frame(frame[4:])[2]
     assert sent == array and is_valid_message(sent) and decode(sent) == message
 
