--- a/silverglade/membership/core_table.py
+++ b/silverglade/membership/core_table.py
@@ -77,12 +77,16 @@
         """The rows of soft state that this core holds."""
         return self._rows.table
 
+    def on_start(self, now: timedelta) -> None:
+        """Note when the daemon started: what was not heard before then says nothing."""
+        self._has_started = True
+        self._last_timer = self._next_round = now
+        self._start_listening(now)
+
     def step(self, now: timedelta, event: Event) -> list[Effect]:
         """Handle one event and return its effects in their order."""
         if not self._has_started:
-            self._has_started = True
-            self._last_timer = self._next_round = now
-            self._start_listening(now)
+            self.on_start(now)
         match event:
             case TimerFired():
                 self._on_timer(now)
--- a/silverglade/routing/router.py
+++ b/silverglade/routing/router.py
@@ -90,6 +90,10 @@
         """The classes of the events that the router handles."""
         return tuple(self.handlers)
 
+    def on_start(self, now: timedelta) -> None:
+        """Note when the daemon started: the retry budget grows from then on."""
+        self.context.retry_budget.started_at = now
+
     def step(self, now: timedelta, event: Event) -> list[Effect]:
         """Handle one event and return its effects, in the order in which they are to be carried out."""
         context = self.context
--- a/silverglade/runtime/errors.py
+++ b/silverglade/runtime/errors.py
@@ -95,7 +95,7 @@
 
 
 class OverloadedError(SilvergladeError):
-    """This daemon has as many orders at its door as it can hold."""
+    """The daemon has as many orders at its door as it can hold."""
 
     CODE = result_codes.BUSY
 
--- a/silverglade/runtime/events.py
+++ b/silverglade/runtime/events.py
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DaemonStateChanged(Event):
-    """This daemon is to be in another state: "ready", "leaving" or "left"."""
+    """The daemon is to be in another state: "ready", "leaving" or "left"."""
 
     TAG: ClassVar[str] = "state"
     state: str
@@ -175,7 +175,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted(Event):
-    """This daemon is told to stop; the fields are moments of the shutdown timetable."""
+    """The daemon is told to stop; the fields are moments of the shutdown timetable."""
 
     TAG: ClassVar[str] = "leaving"
     streams_until: timedelta
@@ -215,7 +215,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainStarted(Event):
-    """This daemon takes no more tenants' requests."""
+    """The daemon takes no more tenants' requests."""
 
     TAG: ClassVar[str] = "drain"
 
@@ -245,7 +245,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessPaused(Event):
-    """This daemon stood still for so long that what it heard before says nothing of now."""
+    """The daemon stood still for so long that what it heard before says nothing of now."""
 
     TAG: ClassVar[str] = "froze"
 
@@ -362,7 +362,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreUpdated(Event):
-    """This daemon holds a newer version of what control has acknowledged.
+    """The daemon holds a newer version of what control has acknowledged.
 
     :ivar store: key to (version, value): configuration, evacuations, roles.
     """
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -1,4 +1,5 @@
 """Who lives and what is told of them (design 4): its steady cost, its bounds, and deltas against an oracle."""
+
 import random
 
 import pytest
@@ -61,8 +62,7 @@
     s = Scene(town=town, seed=seed)
     s.settle(5)
     s.w.nodes[name].kill()
-    return s, until(s, lambda: all(name not in {r[0] for r in n.members}
-                                   for n in s.w.nodes.values() if n.hub))
+    return s, until(s, lambda: all(name not in {r[0] for r in n.members} for n in s.w.nodes.values() if n.hub))
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -91,8 +91,10 @@
 def test_a_link_that_is_down_between_two_daemons_or_regions_kills_nobody():
     s = Scene(town="navrang")
     s.settle(5)
-    s.w.cut([n.name for n in s.w.nodes.values() if n.zone == "surat" and not n.core],
-            [n.name for n in s.w.nodes.values() if n.zone == "vadodara" and not n.core])
+    s.w.cut(
+        [n.name for n in s.w.nodes.values() if n.zone == "surat" and not n.core],
+        [n.name for n in s.w.nodes.values() if n.zone == "vadodara" and not n.core],
+    )
     s.w.run(8)
     assert s.o.events["daemon-dead"] == 0 and rolls(s) == {12}
 
@@ -140,8 +142,7 @@
 def test_two_watchers_or_the_silence_of_all_make_a_daemon_dead_not_one():
     s = hamlet()
     t = s.w.nodes["core-north"].hub.components["core_table"]
-    t.send((s.w.now, ("msg", "edge-south-0", ("told", (
-        ("doubt", "edge-north-0 edge-south-0", (1, 1), 1, ALL_CORES),)))))
+    t.send((s.w.now, ("msg", "edge-south-0", ("told", (("doubt", "edge-north-0 edge-south-0", (1, 1), 1, ALL_CORES),)))))
     s.w.run(2)
     assert rolls(s) == {6}
 
@@ -209,7 +210,7 @@
     assert {n.store["config"][0] for n in s.w.nodes.values() if n.hub} == {s.o.acked[-1][-1]}
     s.w.run(6)
     assert rolls(s) == {99} and s.w.now > t
-    assert s.o.events["daemon-dead"] == 99         # the proxy alone, told by each
+    assert s.o.events["daemon-dead"] == 99  # the proxy alone, told by each
     fresh = [s.w.now - n.store_proved_at for n in s.w.nodes.values() if n.hub]
     assert max(fresh) < 3 * SEC
     two = relay_of_zone(zone, s.w.nodes[mates[0] if mates[0] != who else mates[1]].members)
@@ -289,7 +290,7 @@
             c.t.take(row, ZERO)
             if supersedes(row, truth.get(key)):
                 truth[key] = row
-        elif k < 0.8:                            # a delta leaves, and may arrive late, twice or never
+        elif k < 0.8:  # a delta leaves, and may arrive late, twice or never
             d = rng.choice(cores)
             told = dict(d.t.vector)
             ways.append((d, told, dict(c.t.vector), rows_since(c.t, told)))
@@ -316,7 +317,7 @@
 def test_a_vector_adopted_without_its_rows_loses_some():
     a, b = ReplicatedTable(process_id="a"), ReplicatedTable(process_id="b")
     a.take(SoftStateRow("thing", "k", (1,), 1, ""), ZERO)
-    b.adopt(a.vector)                            # the breach: what covers() guards against
+    b.adopt(a.vector)  # the breach: what covers() guards against
     b.merge(rows_since(a, b.vector), ZERO)
     assert b.rows != a.rows
 
@@ -348,10 +349,13 @@
             r[rng.randrange(len(r))] = some(rng)
         pend = n.pending_update_request
         body = dict(
-            alive=(some(rng), some(rng)), doubted=(), told=((tuple(r[:5]), some(rng))[:rng.randrange(1, 3)],),
+            alive=(some(rng), some(rng)),
+            doubted=(),
+            told=((tuple(r[:5]), some(rng))[: rng.randrange(1, 3)],),
             sync=(1, (("o", 1),), some(rng, 1) if rng.random() < 0.3 else (), (tuple(r),)),
-            get=(1, (0, 0), some(rng)), news=(pend[0] if pend else 1, (0, 0), (), 5, 0, (
-                7, (("o", 1),), (tuple(r),), ("edge-south-0",))[:rng.randrange(5)]))[kind]
+            get=(1, (0, 0), some(rng)),
+            news=(pend[0] if pend else 1, (0, 0), (), 5, 0, (7, (("o", 1),), (tuple(r),), ("edge-south-0",))[: rng.randrange(5)]),
+        )[kind]
         n.feed(("msg", rng.choice(("edge-south-0", "core-south", "x")), (kind, *body)))
         if rng.random() < 0.05:
             s.w.run(0.1)
@@ -370,9 +374,13 @@
 
 def test_an_idle_daemon_is_woken_for_what_is_due_alone(monkeypatch):
     assert measure(daemons=12, secs=5)["woken_edge"] < 18
-    without(monkeypatch, "silverglade.tenant_shards.owner",
-            "context.effects.append(WakeAt(self._next_round if is_needed else IDLE))", "pass",
-            "silverglade.runtime.daemon_components.ShardOwner")
+    without(
+        monkeypatch,
+        "silverglade.tenant_shards.owner",
+        "context.effects.append(WakeAt(self._next_round if is_needed else IDLE))",
+        "pass",
+        "silverglade.runtime.daemon_components.ShardOwner",
+    )
     assert measure(daemons=12, secs=5)["woken_edge"] > 25
 
 
