--- a/silverglade/control/core.py
+++ b/silverglade/control/core.py
@@ -16,7 +16,7 @@
 from typing import Any, ClassVar
 
 from ..membership.records import MemberState, members_of
-from ..runtime.effects import AllowExit, Effect, to_tuple
+from ..runtime.effects import AllowExit, Effect
 from ..runtime.events import (
     AssignRoles,
     DaemonStateChanged,
@@ -294,14 +294,11 @@
 
     machine: ControlCore
 
-    def send(self, value: tuple[timedelta, RawEvent] | None, /) -> tuple[Any, ...]:
+    def handle(self, now: timedelta, event: Event | RawEvent) -> Iterable[Effect]:
         """Handle one event; the first of any kind starts the core, also one that it does not handle."""
-        if value is None:
-            return ()
-        now, _ = value
         self.machine.start_once(now)
-        started = [to_tuple(effect) for effect in self.machine.taken_effects()]
-        return (*started, *super().send(value)) if started else super().send(value)
+        started = self.machine.taken_effects()
+        return (*started, *super().handle(now, event)) if started else super().handle(now, event)
 
     @property
     def state(self) -> CoreState:
--- a/silverglade/runtime/daemon_components.py
+++ b/silverglade/runtime/daemon_components.py
@@ -23,7 +23,6 @@
 from ..tenant_shards.follower import ClaimFollower
 from ..tenant_shards.owner import ShardOwner
 from .components import Component
-from .effects import start
 from .state_machine import MachineComponent, StateMachine
 
 
@@ -55,7 +54,7 @@
     reads_endpoint_list: bool,
     tolerance: tuple[int, int, int],
     may_form_first_view: bool,
-) -> dict[str, Any]:
+) -> dict[str, MachineComponent]:
     """Make the components of a daemon, ready to be sent events, by their names (`Component`).
 
     A timer event reaches them in this order. The control core is made first, since it draws from `rng` before the others do.
@@ -68,8 +67,6 @@
         components.update(core_components)
     else:
         components[Component.ZONE_RELAY] = MachineComponent(ZoneRelay(zone=identity.zone, tuning=tuning))
-    for component in components.values():
-        start(component)
     return components
 
 
@@ -80,7 +77,7 @@
     rng: random.Random,
     is_core: bool,
     reads_endpoint_list: bool,
-) -> dict[str, Any]:
+) -> dict[str, MachineComponent]:
     """The components that every daemon has."""
     name, zone, region = identity.name, identity.zone, identity.region
     membership = Membership(
@@ -129,7 +126,7 @@
     saved: Mapping[str, Mapping[str, Any]],
     tolerance: tuple[int, int, int],
     may_form_first_view: bool,
-) -> dict[str, Any]:
+) -> dict[str, MachineComponent]:
     """The components that only a daemon with a disk has."""
     control = control_component(
         name=identity.name,
--- a/silverglade/runtime/daemon_machine.py
+++ b/silverglade/runtime/daemon_machine.py
@@ -8,7 +8,7 @@
 
 import random
 from collections import deque
-from collections.abc import Generator, Iterable, Mapping
+from collections.abc import Iterable, Mapping
 from datetime import timedelta
 from typing import Any
 
@@ -16,7 +16,7 @@
 from ..transport.message_schemas import is_valid_message, known_fields
 from .components import Component
 from .daemon_components import DaemonIdentity, build_components
-from .effects import ZERO, Broadcast, Post, Send, WakeAt, log
+from .effects import ZERO, Broadcast, Post, Send, WakeAt, log, to_tuple
 from .events import (
     ApiCall,
     AttemptProgressed,
@@ -29,6 +29,7 @@
     DispatchProgressed,
     DrainStarted,
     EndpointListRead,
+    Event,
     ForwardingRequested,
     MessageReceived,
     ReachabilityTested,
@@ -40,10 +41,10 @@
     TimerFired,
     event_to_tuple,
 )
+from .state_machine import MachineComponent
 
 RawEvent = tuple[Any, ...]
 RawEffect = tuple[Any, ...]
-RawComponent = Generator[Iterable[RawEffect], "tuple[timedelta, RawEvent] | None", None]
 
 MESSAGE_RECEIVERS: dict[Component, tuple[str, ...]] = {
     Component.MEMBERSHIP: ("alive", "doubted"),
@@ -164,7 +165,7 @@
     ) -> None:
         self.name = me
         identity = DaemonIdentity(name=me, process_id=life, zone=zone, region=region, peer_address=addr, http_address=http)
-        self.components: dict[str, RawComponent] = build_components(
+        self.components: dict[str, MachineComponent] = build_components(
             identity=identity,
             seeds=tuple(seeds),
             first_cores=cores,
@@ -181,10 +182,10 @@
         }
         self._wake_at = dict.fromkeys(self.components, ZERO)
         """Component -> when it wants the next `TimerFired` (design 1.5)."""
-        self.queue: deque[tuple[str, RawEvent]] = deque()
-        self.queue.append((Component.MEMBERSHIP, event_to_tuple(AttributeSet("version", __version__))))
+        self.queue: deque[tuple[str, Event | RawEvent]] = deque()
+        self.queue.append((Component.MEMBERSHIP, AttributeSet("version", __version__)))
         if front:
-            self.queue.append((Component.MEMBERSHIP, event_to_tuple(AttributeSet("front", front))))
+            self.queue.append((Component.MEMBERSHIP, AttributeSet("front", front)))
 
     def next_timer(self) -> timedelta:
         """Return when the next `TimerFired` is wanted."""
@@ -224,20 +225,19 @@
                 return (CALL_RECEIVERS.get(operation, Component.OPERATOR_API),)
         return EVENT_RECEIVERS.get(event[0], ())
 
-    def _run_component(self, now: timedelta, component: str, event: RawEvent, effects: list[RawEffect]) -> None:
-        """Let one component handle an event; effects that leave the daemon are appended to `effects`."""
-        self._wake_at[component] = ZERO
-        for effect in self.components[component].send((now, event)):
-            match effect:
-                case (WakeAt.TAG, time):
-                    self._wake_at[component] = time
-                case (Post.TAG, receiver, posted):
-                    self.queue.append((receiver, posted))
-                case (Broadcast.TAG, posted):
-                    self.queue.extend((receiver, posted) for receiver in self.components)
-                case (Send.TAG, to, body) if to == self.name:
-                    heard_by = self._message_receivers.get(body[0])
-                    if heard_by:
-                        self.queue.append((heard_by, (MessageReceived.TAG, self.name, body)))
-                case _:
-                    effects.append(effect)
+    def _run_component(self, now: timedelta, name: str, event: Event | RawEvent, effects: list[RawEffect]) -> None:
+        """Let one component handle an event; effects that leave the daemon are appended to `effects` in tuple form."""
+        self._wake_at[name] = ZERO
+        for effect in self.components[name].handle(now, event):
+            if isinstance(effect, WakeAt):
+                self._wake_at[name] = effect.time
+            elif isinstance(effect, Post):
+                self.queue.append((effect.component, effect.event))
+            elif isinstance(effect, Broadcast):
+                self.queue.extend((receiver, effect.event) for receiver in self.components)
+            elif isinstance(effect, Send) and effect.to == self.name:
+                heard_by = self._message_receivers.get(effect.body[0])
+                if heard_by:
+                    self.queue.append((heard_by, MessageReceived(self.name, effect.body)))
+            else:
+                effects.append(to_tuple(effect))
--- a/silverglade/runtime/effects.py
+++ b/silverglade/runtime/effects.py
@@ -1,7 +1,8 @@
 """Effects that a component asks for (design 1.2): one class a kind, beside the tuple form that untyped components use.
 
-Effects are immutable. `TAG` is the first word of the tuple form. The daemon machine itself settles `Post`, `Broadcast` and
-`WakeAt`; all others leave it for I/O (server/ in a daemon, testbed/simulator/ in tests), in the order in which they were returned.
+Effects are never changed once they are made. `TAG` is the first word of the tuple form, in which effects leave the daemon
+machine. It settles `Post`, `Broadcast` and `WakeAt` itself; all others go to I/O (server/ in a daemon, testbed/simulator/ in
+tests), in the order in which they were returned.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 """("put", table, key, value), ("del", table, key) or ("wipe", table)."""
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class Effect:
     """Base class of all effects.
 
@@ -33,8 +34,14 @@
     TAG: ClassVar[str]
     SPREADS_REST: ClassVar[bool] = False
 
+    def __eq__(self, other: object) -> bool:
+        return type(other) is type(self) and fields_of(self) == fields_of(other)
 
-@dataclass(frozen=True, slots=True)
+    def __repr__(self) -> str:
+        return f"{type(self).__name__}{fields_of(self)!r}"
+
+
+@dataclass(slots=True, eq=False, repr=False)
 class Send(Effect):
     """Send a message to a daemon by its name, or to "@address" where its name is not known.
 
@@ -46,7 +53,7 @@
     body: tuple[Any, ...]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class Post(Effect):
     """Hand an event to one component of this daemon, after the events that wait already."""
 
@@ -55,7 +62,7 @@
     event: Event
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class Broadcast(Effect):
     """Hand an event to every component of this daemon."""
 
@@ -63,7 +70,7 @@
     event: Event
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class WakeAt(Effect):
     """No `TimerFired` is needed before this time, unless another event comes first (design 1.5)."""
 
@@ -71,7 +78,7 @@
     time: timedelta
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class LogRecord(Effect):
     """A line of the log: an event's name and its key=value pairs."""
 
@@ -80,7 +87,7 @@
     pairs: tuple[tuple[str, Any], ...] = ()
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class WriteToDisk(Effect):
     """Write these operations in one transaction and sync it; `DiskWriteCompleted` with the token follows."""
 
@@ -89,7 +96,7 @@
     operations: tuple[DiskOperation, ...]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class SetPeerAddress(Effect):
     """Where a daemon listens for other daemons."""
 
@@ -98,7 +105,7 @@
     address: str
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class Reply(Effect):
     """Answer an `ApiCall` with a result code (docs/faults.md) and fields."""
 
@@ -108,14 +115,14 @@
     fields: Mapping[str, Any]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class AllowExit(Effect):
     """A core that leaves is no longer needed and may end."""
 
     TAG: ClassVar[str] = "released"
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ProbeReplica(Effect):
     """Health-check a tenants' replica; `ReplicaProbed` follows."""
 
@@ -125,14 +132,14 @@
     address: str
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ReadEndpointList(Effect):
     """Read the platform's endpoint list; `EndpointListRead` follows."""
 
     TAG: ClassVar[str] = "list"
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ReadReplicaReport(Effect):
     """Health-check a replica of a service; `ReplicaReportRead` follows."""
 
@@ -141,7 +148,7 @@
     address: str
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class TestReachability(Effect):
     """Open a bare connection to a replica's machine; `ReachabilityTested` follows within `timeout`."""
 
@@ -152,7 +159,7 @@
     timeout: timedelta
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class StartAttempt(Effect):
     """Send a client's request to a replica; `AttemptProgressed` follows."""
 
@@ -162,7 +169,7 @@
     target: Mapping[str, Any]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class PassResponse(Effect):
     """Hand the response of this attempt to the client."""
 
@@ -171,7 +178,7 @@
     attempt: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class CancelAttempt(Effect):
     """Give up an attempt; its response is not wanted any more."""
 
@@ -180,7 +187,7 @@
     attempt: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class AnswerClient(Effect):
     """Answer a client with a status and a result code of our own.
 
@@ -194,7 +201,7 @@
     code: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class BreakResponse(Effect):
     """Break a response off, so that the client does not take it for complete."""
 
@@ -202,7 +209,7 @@
     request_id: str
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ForgetReplica(Effect):
     """Close all connections to a replica that is gone."""
 
@@ -210,7 +217,7 @@
     replica: str
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class RenewConnections(Effect):
     """Use no idle connection to a replica again that was opened before now."""
 
@@ -218,7 +225,7 @@
     replica: str
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class SetClientLimits(Effect):
     """What clients may send from here on; None for the defaults."""
 
@@ -226,7 +233,7 @@
     limits: Mapping[str, Any] | None
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class Dispatch(Effect):
     """Send a tenant's request to a replica; `DispatchProgressed` follows."""
 
@@ -238,7 +245,7 @@
     body: bytes
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class AbortDispatch(Effect):
     """Break a dispatch off."""
 
@@ -246,7 +253,7 @@
     dispatch_id: str
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class TenantResult(Effect):
     """A part of what the client of a tenant's request is answered."""
 
@@ -257,7 +264,7 @@
     details: tuple[Any, ...] = ()
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class SetBackpressure(Effect):
     """Whether the replica's answer to a tenant's request is read on."""
 
--- a/silverglade/runtime/events.py
+++ b/silverglade/runtime/events.py
@@ -1,7 +1,8 @@
 """Events that the components of a daemon handle (design 1.2): one class a kind.
 
-Events are immutable. `TAG` is the first word of the event's tuple form, in which components that are not typed yet, the
-simulators and their tests still pass it. The sections below name the sender; "I/O" is the program round the state machines:
+Events are never changed once they are made. Equality and representation stand in the base class alone: generating them for
+each of some sixty classes would take a third of a daemon's start. `TAG` is the first word of the event's tuple form, in which
+events cross the border of the daemon machine. The sections below name the sender; "I/O" is the program round the state machines:
 `server/` in a daemon, `testbed/simulator/` in tests. Names of daemons, replicas and requests are text; times are timedeltas on
 the daemon's monotonic clock unless the field says otherwise.
 """
@@ -22,7 +23,7 @@
 """An event in tuple form: its tag, then its fields."""
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class Event:
     """Base class of all events.
 
@@ -33,18 +34,24 @@
     TAG: ClassVar[str]
     COLLECTS_REST: ClassVar[bool] = False
 
+    def __eq__(self, other: object) -> bool:
+        return type(other) is type(self) and fields_of(self) == fields_of(other)
+
+    def __repr__(self) -> str:
+        return f"{type(self).__name__}{fields_of(self)!r}"
+
 
 # --- from I/O, or from the daemon machine itself
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class TimerFired(Event):
     """The time has come that the component asked for with `WakeAt`, or a fixed interval has passed."""
 
     TAG: ClassVar[str] = "pulse"
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class MessageReceived(Event):
     """A message from another daemon, or from this one; its shape was checked (transport/message_schemas.py).
 
@@ -56,7 +63,7 @@
     body: tuple[Any, ...]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class DiskWriteCompleted(Event):
     """A write that was begun with `WriteToDisk` has ended.
 
@@ -70,7 +77,7 @@
     detail: Any = None
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ApiCall(Event):
     """A call of the control API (design 2.2, 2.3) that this daemon took.
 
@@ -85,7 +92,7 @@
     arguments: tuple[Any, ...]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class CallerDisconnected(Event):
     """The caller of an API call has closed its connection."""
 
@@ -93,7 +100,7 @@
     call_id: str
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class DaemonStateChanged(Event):
     """The daemon is to be in another state: "ready", "leaving" or "left"."""
 
@@ -101,7 +108,7 @@
     state: str
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class SeedsChanged(Event):
     """The settings were read again and name other seed addresses."""
 
@@ -109,7 +116,7 @@
     seeds: tuple[str, ...]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ReplicaProbed(Event):
     """A health check of a tenants' replica has ended; `report` is None without an answer."""
 
@@ -119,7 +126,7 @@
     report: Any
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class EndpointListRead(Event):
     """The platform's endpoint list was read; `records` is None where that failed."""
 
@@ -127,7 +134,7 @@
     records: Any
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ReplicaReportRead(Event):
     """A replica of a service answered a health check: (active, queued, slots), or None without an answer."""
 
@@ -136,7 +143,7 @@
     report: tuple[int, int, int] | None
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ReachabilityTested(Event):
     """Whether a replica's machine took (or refused) a bare connection."""
 
@@ -145,7 +152,7 @@
     reachable: bool
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ForwardingRequested(Event):
     """A client's request for a route arrived.
 
@@ -158,7 +165,7 @@
     facts: Any
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class AttemptProgressed(Event):
     """What became of one attempt at a replica so far.
 
@@ -173,7 +180,7 @@
     details: tuple[Any, ...] = ()
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ShutdownStarted(Event):
     """The daemon is told to stop; the fields are moments of the shutdown timetable."""
 
@@ -183,7 +190,7 @@
     end_at: timedelta
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class TenantRequestArrived(Event):
     """A tenant's request arrived at this daemon.
 
@@ -195,7 +202,7 @@
     facts: Any
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ClientDisconnected(Event):
     """The client of a tenant's request has closed its connection."""
 
@@ -203,7 +210,7 @@
     request_id: str
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class DispatchProgressed(Event):
     """What a replica made of a dispatched tenant's request so far."""
 
@@ -213,14 +220,14 @@
     outcome: tuple[Any, ...] = ()
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class DrainStarted(Event):
     """The daemon takes no more tenants' requests."""
 
     TAG: ClassVar[str] = "drain"
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ClientCaughtUp(Event):
     """The client has taken the answer's events up to `position`."""
 
@@ -232,7 +239,7 @@
 # --- from membership
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class MembershipChanged(Event):
     """The live daemons are now these.
 
@@ -243,14 +250,14 @@
     members: tuple[Any, ...]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ProcessPaused(Event):
     """The daemon stood still for so long that what it heard before says nothing of now."""
 
     TAG: ClassVar[str] = "froze"
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class SoftStateChanged(Event):
     """Rows of one kind of soft state are new here.
 
@@ -262,7 +269,7 @@
     rows: Mapping[str, tuple[Any, Any]]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class TablePositionMoved(Event):
     """The table of soft state stands at another position, named by its token."""
 
@@ -270,7 +277,7 @@
     position: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class PositionReported(Event):
     """Where this daemon's table of soft state stands: a token, a vector as pairs, or None when it did not move."""
 
@@ -281,7 +288,7 @@
 # --- to membership
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class AttributeSet(Event):
     """An attribute of this daemon's member record, told to all others when it changes."""
 
@@ -290,7 +297,7 @@
     value: Any
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class SoftStatePublished(Event):
     """A row of soft state that this daemon publishes; the value None takes it back."""
 
@@ -302,7 +309,7 @@
     scope: str = ""
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class QueriedCoreChanged(Event):
     """The core that this daemon asks for updates from here on ("@address" for a seed)."""
 
@@ -310,7 +317,7 @@
     core: str
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class RelayedCoreChanged(Event):
     """For the zone relay: whom this daemon asks from here on, and whether that is a core."""
 
@@ -319,7 +326,7 @@
     is_core: bool
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class DeltaReceived(Event):
     """What an answer brought of soft state."""
 
@@ -328,7 +335,7 @@
     delta: tuple[Any, ...]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class AnswerRequested(Event):
     """Send this message, with the soft state that the daemon lacks appended.
 
@@ -341,7 +348,7 @@
     position: Any
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class HeartbeatReceived(Event):
     """For a core's table: a heartbeat of this daemon reached the core, so it lives."""
 
@@ -349,7 +356,7 @@
     daemon: str
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class DaemonAskedHere(Event):
     """A daemon has asked this core for updates: it lives."""
 
@@ -360,7 +367,7 @@
 # --- from configuration
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class StoreUpdated(Event):
     """The daemon holds a newer version of what control has acknowledged.
 
@@ -372,7 +379,7 @@
     version: Version
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ProofRenewed(Event):
     """The store is proved to have been the newest at that time; None: no proof is held."""
 
@@ -380,7 +387,7 @@
     proved_at: timedelta | None
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ItemsReceived(Event):
     """For the zone relay: items that an answer brought, and the version held now."""
 
@@ -389,7 +396,7 @@
     version: Version
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class UpdateRequestReady(Event):
     """For the updater itself: the core knows this daemon by now, so it may be asked."""
 
@@ -399,7 +406,7 @@
     version: Version
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class OwnOperationRequested(Event):
     """An operation that this daemon itself asks the primary for."""
 
@@ -407,7 +414,7 @@
     operation: tuple[Any, ...]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class StatusRequested(Event):
     """For the operator API itself: every component has reported by now."""
 
@@ -415,7 +422,7 @@
     call_id: str
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ReportRequested(Event):
     """Components are to report their figures to the operator API."""
 
@@ -425,7 +432,7 @@
 # --- figures for the operator API
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class StatusFieldSet(Event):
     """A field of the daemon's status."""
 
@@ -434,7 +441,7 @@
     value: Any
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class TenantRequestCounts(Event):
     """How many tenants' requests run here, were forwarded to another daemon, and ran outside their first home."""
 
@@ -444,7 +451,7 @@
     overflowed: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class RetryCounts(Event):
     """Totals of the retry budget, by name."""
 
@@ -452,7 +459,7 @@
     totals: Mapping[str, int]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ShardReport(Event):
     """The shards owned here: (tenant, epoch, follower, is open, claims, waiting requests) each."""
 
@@ -463,7 +470,7 @@
 # --- to control
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class AssignRoles(Event):
     """The primary's role assigner wants these holders: (kind, name, epoch it builds on, holder, follower) each."""
 
@@ -471,7 +478,7 @@
     assignments: tuple[tuple[str, str, int, str, str], ...]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class DropRoles(Event):
     """Nobody needs these roles any more."""
 
@@ -480,7 +487,7 @@
     names: tuple[str, ...]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ViewChosen(Event):
     """For the control core itself: this view was chosen in an agreement that it led."""
 
@@ -491,7 +498,7 @@
 # --- from replicas/
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ReplicasChanged(Event):
     """The replicas that tenants' requests may be sent to.
 
@@ -502,7 +509,7 @@
     replicas: Mapping[str, tuple[Any, Any, timedelta | None]]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ReplicaZonesChanged(Event):
     """For the role assigner: every registered replica with its zone, sorted."""
 
@@ -510,7 +517,7 @@
     replicas: tuple[tuple[str, str], ...]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ReplicaStatusMeasured(Event):
     """For the registry: the status of a replica, from the holder of its slot leases."""
 
@@ -521,7 +528,7 @@
 # --- from autoscaling and routing
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class RequiredReplicasChanged(Event):
     """How many replicas must be ready: (region, kind) to count."""
 
@@ -529,7 +536,7 @@
     required: Mapping[tuple[str, str], int]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ServicesShort(Event):
     """Services whose ready replicas are fewer than required here."""
 
@@ -537,7 +544,7 @@
     services: Any
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class TenantRequestObserved(Event):
     """For the scaler: a tenant's request of this kind arrived for the first time."""
 
@@ -545,7 +552,7 @@
     kind: str
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class TenantRetryObserved(Event):
     """For the scaler: an arrival of this kind turned out to be a retry."""
 
@@ -553,7 +560,7 @@
     kind: str
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class TenantRequestServed(Event):
     """For the scaler: a tenant's request has ended.
 
@@ -567,7 +574,7 @@
     since_arrival: timedelta
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ServiceRequestObserved(Event):
     """For the scaler of services: a request arrived."""
 
@@ -576,7 +583,7 @@
     is_retry: bool
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ServiceRequestServed(Event):
     """For the scaler of services: a request has ended after so many seconds."""
 
@@ -585,7 +592,7 @@
     seconds: float
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class LoadsReported(Event):
     """What is known of the load of each replica of a service."""
 
@@ -593,7 +600,7 @@
     loads: Mapping[str, tuple[Any, ...]]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class EndpointsListed(Event):
     """Endpoint records; `is_complete`: replicas that are not among them are gone."""
 
@@ -602,7 +609,7 @@
     is_complete: bool
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class EndpointsRemoved(Event):
     """Replicas that the endpoint list no longer names."""
 
@@ -610,7 +617,7 @@
     replicas: Any
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True, eq=False, repr=False)
 class ReplicaSuspected(Event):
     """A request to this replica failed; it should be health-checked out of turn."""
 
@@ -631,22 +638,22 @@
     """
 
     def __init__(self, handled: Iterable[type[Event]]) -> None:
-        self._classes: dict[str, tuple[type[Event], int, float]] = {
-            event_class.TAG: (event_class, *_field_counts(event_class)) for event_class in handled
-        }
+        self._classes: dict[str, tuple[Callable[..., Event], int, float, int]] = {}
+        for event_class in handled:
+            least, most = _field_counts(event_class)
+            first_of_rest = len(field_names(event_class)) if event_class.COLLECTS_REST else 0
+            self._classes[event_class.TAG] = (event_class, least + 1, most + 1, first_of_rest)
 
     def __call__(self, raw: RawEvent) -> Event | None:
         """The typed event, or None for one that the component does not handle."""
         known = self._classes.get(raw[0])
         if known is None:
             return None
-        event_class, least, most = known
-        if not least < len(raw) <= most + 1:
+        construct, shortest, longest, first_of_rest = known
+        if not shortest <= len(raw) <= longest:
             return None
-        construct: Callable[..., Event] = event_class
-        if event_class.COLLECTS_REST:
-            last = len(field_names(event_class))
-            return construct(*raw[1:last], tuple(raw[last:]))
+        if first_of_rest:
+            return construct(*raw[1:first_of_rest], raw[first_of_rest:])
         return construct(*raw[1:])
 
 
--- a/silverglade/runtime/state_machine.py
+++ b/silverglade/runtime/state_machine.py
@@ -3,8 +3,8 @@
 A component of a daemon is a state machine: `step(now, event)` takes a typed event (events.py) and returns typed effects
 (effects.py). It never reads a clock, a socket or a file. `now` is a timedelta on a monotonic clock.
 
-`MachineComponent` adapts such a machine to the tuple form in which the daemon machine passes events and effects between
-components: the event's tag first, then its fields. It is the only place that knows both forms.
+`MachineComponent` also takes and gives the tuple form of events and effects (the tag first, then the fields), in which they cross
+the border of the daemon machine.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from typing import Any, Protocol, runtime_checkable
 
 from .effects import Effect, to_tuple
-from .events import Event, EventDecoder
+from .events import Event, EventDecoder, RawEvent
 
 
 class StateMachine(Protocol):
@@ -36,29 +36,37 @@
         """Note the time of the first event that reaches the component, one that it does not handle included."""
 
 
-class MachineComponent(Generator[tuple[Any, ...], "tuple[timedelta, tuple[Any, ...]] | None", None]):
-    """A typed state machine in the form that the daemon machine drives: primed with None, then sent (now, event tuple).
+class MachineComponent(Generator[tuple[Any, ...], "tuple[timedelta, RawEvent] | None", None]):
+    """A state machine as a component of a daemon. The daemon machine calls `handle`; simulators and tests may use `send`.
 
-    :ivar machine: the typed state machine, open to inspection by the test bed.
+    :ivar machine: the state machine, open to inspection by the test bed.
     """
 
     def __init__(self, machine: StateMachine) -> None:
         self.machine = machine
+        self._handled = frozenset(machine.handled_events)
         self._decode = EventDecoder(machine.handled_events)
         self._waits_for_start = isinstance(machine, StartableStateMachine)
 
-    def send(self, value: tuple[timedelta, tuple[Any, ...]] | None, /) -> tuple[Any, ...]:
-        """Handle one event in tuple form and return its effects in tuple form."""
-        if value is None:
-            return ()
-        now, raw_event = value
+    def handle(self, now: timedelta, event: Event | RawEvent) -> Iterable[Effect]:
+        """Let the machine handle an event, typed or in tuple form, and return its effects; none for one that it does not handle."""
         if self._waits_for_start and isinstance(self.machine, StartableStateMachine):
             self._waits_for_start = False
             self.machine.on_start(now)
-        event = self._decode(raw_event)
-        if event is None:
+        if isinstance(event, tuple):
+            decoded = self._decode(event)
+        elif type(event) in self._handled:
+            decoded = event
+        else:
+            return ()
+        return self.machine.step(now, decoded) if decoded is not None else ()
+
+    def send(self, value: tuple[timedelta, RawEvent] | None, /) -> tuple[Any, ...]:
+        """Handle one event in tuple form and return its effects in tuple form; None, which primes a generator, does nothing."""
+        if value is None:
             return ()
-        return tuple([to_tuple(effect) for effect in self.machine.step(now, event)])
+        now, event = value
+        return tuple([to_tuple(effect) for effect in self.handle(now, event)])
 
     def throw(self, typ: Any, val: Any = None, tb: Any = None, /) -> Any:
         """Raise at once; a state machine catches nothing from outside."""
--- a/tests/routing/test_router_seeds.py
+++ b/tests/routing/test_router_seeds.py
@@ -12,7 +12,9 @@
 from silverglade.routing.retry_budget import RetryBudget
 from silverglade.routing.router import Router
 from silverglade.routing.slow_start import SlowStart
-from silverglade.runtime import daemon_machine
+from silverglade.runtime import daemon_components
+from silverglade.runtime.effects import to_tuple
+from silverglade.runtime.events import event_to_tuple
 from silverglade.runtime.settings import tuning
 from silverglade.testbed.checkers.forwarding_records import Bounds
 from silverglade.testbed.faults import forwarding_faults as forward_faults
@@ -56,21 +58,20 @@
 
 def warped(monkeypatch, turn, ev=lambda now, ev: ev):
     """The part with its effects, and what it hears, changed on the way."""
-    real = daemon_machine.MachineComponent
+    real = daemon_components.MachineComponent
 
     class Warped(real):
-        def send(self, value):
-            if value is None:
-                return ()
-            now, raw_event = value
-            raw_event = ev(now, raw_event)
-            effects = super().send((now, raw_event)) if raw_event else ()
-            return tuple(changed for effect in effects for changed in turn(now, effect))
+        def handle(self, now, event):
+            raw_event = ev(now, event if isinstance(event, tuple) else event_to_tuple(event))
+            for effect in super().handle(now, raw_event) if raw_event else ():
+                raw_effect = to_tuple(effect)
+                for changed in turn(now, raw_effect):
+                    yield effect if changed == raw_effect else changed
 
     def component(machine):
         return (Warped if isinstance(machine, Router) else real)(machine)
 
-    monkeypatch.setattr(daemon_machine, "MachineComponent", component)
+    monkeypatch.setattr(daemon_components, "MachineComponent", component)
 
 
 def usable(**wrong):
