--- a/silverglade/runtime/daemon_machine.py
+++ b/silverglade/runtime/daemon_machine.py
@@ -16,7 +16,7 @@
 from ..transport.message_schemas import is_valid_message, known_fields
 from .components import Component
 from .daemon_components import DaemonIdentity, build_components
-from .effects import ZERO, Broadcast, Post, Send, WakeAt, log, to_tuple
+from .effects import ZERO, Broadcast, Effect, Post, Send, WakeAt, log, to_tuple
 from .events import (
     ApiCall,
     AttemptProgressed,
@@ -30,6 +30,7 @@
     DrainStarted,
     EndpointListRead,
     Event,
+    EventDecoder,
     ForwardingRequested,
     MessageReceived,
     ReachabilityTested,
@@ -121,6 +122,31 @@
 
 TIMER_FIRED = event_to_tuple(TimerFired())
 
+DECODE_OUTSIDE_EVENT = EventDecoder(
+    (
+        ApiCall,
+        AttemptProgressed,
+        CallerDisconnected,
+        ClientCaughtUp,
+        ClientDisconnected,
+        DaemonStateChanged,
+        DiskWriteCompleted,
+        DispatchProgressed,
+        DrainStarted,
+        EndpointListRead,
+        ForwardingRequested,
+        MessageReceived,
+        ReachabilityTested,
+        ReplicaProbed,
+        ReplicaReportRead,
+        SeedsChanged,
+        ShutdownStarted,
+        TenantRequestArrived,
+        TimerFired,
+    )
+)
+"""From the tuple form of an event from outside to its class; None for one of another form."""
+
 
 class DaemonMachine:
     """A daemon without I/O.
@@ -204,12 +230,17 @@
             return [log("message-refused", sender=str(event[1:2])[:40], what=str(event)[:80])]
         if is_message:
             event = (*event[:2], known_fields(event[2]))
-        self.queue.extend((component, event) for component in receivers)
+        typed_event = DECODE_OUTSIDE_EVENT(event) or event
+        queue = self.queue
+        queue.extend([(receiver, typed_event) for receiver in receivers])
         effects: list[RawEffect] = []
-        while self.queue:
-            component, queued_event = self.queue.popleft()
-            if component in self.components:
-                self._run_component(now, component, queued_event, effects)
+        while queue:
+            name, queued_event = queue.popleft()
+            component = self.components.get(name)
+            if component is not None:
+                self._wake_at[name] = ZERO
+                for effect in component.handle(now, queued_event):
+                    self._settle(name, effect, effects)
         return effects
 
     def _receivers(self, now: timedelta, event: RawEvent) -> tuple[str, ...]:
@@ -225,19 +256,18 @@
                 return (CALL_RECEIVERS.get(operation, Component.OPERATOR_API),)
         return EVENT_RECEIVERS.get(event[0], ())
 
-    def _run_component(self, now: timedelta, name: str, event: Event | RawEvent, effects: list[RawEffect]) -> None:
-        """Let one component handle an event; effects that leave the daemon are appended to `effects` in tuple form."""
-        self._wake_at[name] = ZERO
-        for effect in self.components[name].handle(now, event):
-            if isinstance(effect, WakeAt):
-                self._wake_at[name] = effect.time
-            elif isinstance(effect, Post):
-                self.queue.append((effect.component, effect.event))
-            elif isinstance(effect, Broadcast):
-                self.queue.extend((receiver, effect.event) for receiver in self.components)
-            elif isinstance(effect, Send) and effect.to == self.name:
-                heard_by = self._message_receivers.get(effect.body[0])
-                if heard_by:
-                    self.queue.append((heard_by, MessageReceived(self.name, effect.body)))
-            else:
-                effects.append(to_tuple(effect))
+    def _settle(self, name: str, effect: Effect, effects: list[RawEffect]) -> None:
+        """Settle an effect of the component `name`; one that leaves the daemon is appended to `effects` in tuple form."""
+        if isinstance(effect, WakeAt):
+            self._wake_at[name] = effect.time
+        elif isinstance(effect, Post):
+            self.queue.append((effect.component, effect.event))
+        elif isinstance(effect, Broadcast):
+            event = effect.event
+            self.queue.extend([(receiver, event) for receiver in self.components])
+        elif isinstance(effect, Send) and effect.to == self.name:
+            heard_by = self._message_receivers.get(effect.body[0])
+            if heard_by:
+                self.queue.append((heard_by, MessageReceived(self.name, effect.body)))
+        else:
+            effects.append(to_tuple(effect))
--- a/silverglade/runtime/state_machine.py
+++ b/silverglade/runtime/state_machine.py
@@ -44,22 +44,23 @@
 
     def __init__(self, machine: StateMachine) -> None:
         self.machine = machine
+        self._step = machine.step
         self._handled = frozenset(machine.handled_events)
         self._decode = EventDecoder(machine.handled_events)
-        self._waits_for_start = isinstance(machine, StartableStateMachine)
+        self._starts = machine if isinstance(machine, StartableStateMachine) else None
 
     def handle(self, now: timedelta, event: Event | RawEvent) -> Iterable[Effect]:
         """Let the machine handle an event, typed or in tuple form, and return its effects; none for one that it does not handle."""
-        if self._waits_for_start and isinstance(self.machine, StartableStateMachine):
-            self._waits_for_start = False
-            self.machine.on_start(now)
+        if self._starts is not None:
+            self._starts.on_start(now)
+            self._starts = None
+        if type(event) in self._handled:
+            return self._step(now, event)  # type: ignore[arg-type]
         if isinstance(event, tuple):
             decoded = self._decode(event)
-        elif type(event) in self._handled:
-            decoded = event
-        else:
-            return ()
-        return self.machine.step(now, decoded) if decoded is not None else ()
+            if decoded is not None:
+                return self._step(now, decoded)
+        return ()
 
     def send(self, value: tuple[timedelta, RawEvent] | None, /) -> tuple[Any, ...]:
         """Handle one event in tuple form and return its effects in tuple form; None, which primes a generator, does nothing."""
