--- a/silverglade/tenant_requests/request.py
+++ b/silverglade/tenant_requests/request.py
@@ -50,7 +50,7 @@
 MIN_TIME_FOR_RETRY = milliseconds(50)
 
 
-class Phase(Enum):
+class Stage(Enum):
     """Where a request is on its way."""
 
     ASKING = "asking"
@@ -88,7 +88,7 @@
 class TenantRequest:
     """A request under way; every method that an event calls returns the effects in their order.
 
-    :ivar phase: where the request is.
+    :ivar stage: where the request is.
     """
 
     __slots__ = (
@@ -113,7 +113,7 @@
         "_request_id",
         "_trace",
         "_tuning",
-        "phase",
+        "stage",
     )
 
     def __init__(
@@ -137,7 +137,7 @@
         self._trace = trace
         self._arrived_at = now
         self._deadline = now + facts.time_left
-        self.phase = Phase.ASKING
+        self.stage = Stage.ASKING
         self._effects: list[Effect] = []
         # all attempts: their number, the worst that is known of whether one ran, pieces passed on, how the last one failed
         self._attempt = 0
@@ -156,7 +156,7 @@
     @property
     def is_finished(self) -> bool:
         """Whether nothing more is to be done for it."""
-        return self.phase is Phase.FINISHED
+        return self.stage is Stage.FINISHED
 
     def start(self, now: timedelta) -> Sequence[Effect]:
         """Begin the first attempt."""
@@ -165,7 +165,7 @@
 
     def on_timer(self, now: timedelta) -> Sequence[Effect]:
         """Look at the clock."""
-        if self.phase is Phase.ASKING:
+        if self.stage is Stage.ASKING:
             self._seek_grant(now)
         else:
             self._ends_late(now)
@@ -173,7 +173,7 @@
 
     def on_owner_message(self, now: timedelta, message: OwnerMessage) -> Sequence[Effect]:
         """Handle an owner's answer; one to an earlier attempt only makes the request look at the clock."""
-        if self.phase is Phase.DISPATCHED:
+        if self.stage is Stage.DISPATCHED:
             self._ends_late(now)
         elif message.attempt != self._attempt:
             self._seek_grant(now)
@@ -189,7 +189,7 @@
 
     def on_dispatch_progress(self, now: timedelta, outcome: tuple[Any, ...]) -> Sequence[Effect]:
         """Handle what the replica made of the dispatch so far."""
-        if self.phase is Phase.ASKING:
+        if self.stage is Stage.ASKING:
             self._seek_grant(now)
         elif not self._ends_late(now):
             self._on_outcome(now, decode_outcome(outcome, is_streamed=self._facts.is_streamed))
@@ -197,9 +197,9 @@
 
     def on_client_left(self, now: timedelta) -> Sequence[Effect]:
         """Nobody waits for the answer any more."""
-        if self.phase is Phase.ASKING:
+        if self.stage is Stage.ASKING:
             self._withdraw()
-            self.phase = Phase.FINISHED
+            self.stage = Stage.FINISHED
         elif not self._ends_late(now):
             self._end_attempt(now, AttemptEnd.CLIENT_LEFT, RAN_MAYBE)
         return self._take_effects()
@@ -218,7 +218,7 @@
     # --- asking for a replica
 
     def _begin_attempt(self, now: timedelta) -> None:
-        self.phase = Phase.ASKING
+        self.stage = Stage.ASKING
         self._attempt += 1
         self._asked_owner = None
         self._must_ask = False
@@ -291,7 +291,7 @@
 
     def _dispatch(self, now: timedelta, grant: Grant) -> None:
         """Send the request to the granted replica, unless something has come between (design 7.2)."""
-        self.phase = Phase.DISPATCHED
+        self.stage = Stage.DISPATCHED
         self._dispatched_at = now
         self._dispatch_id = f"{self._request_id}.{self._attempt}"
         barrier = self._context.dispatch_barrier(grant.replica, grant.incarnation, self._facts, now)
@@ -354,7 +354,7 @@
             return
         self._note_failure(end, ran)
         if end is AttemptEnd.CLIENT_LEFT:
-            self.phase = Phase.FINISHED
+            self.stage = Stage.FINISHED
         elif self._may_run_again(end) and self._deadline - now > MIN_TIME_FOR_RETRY:
             self._begin_attempt(now)
         else:
@@ -369,7 +369,7 @@
         if self._facts.is_streamed:
             self._effects.append(done_result(self._request_id, self._pieces))
             self._record(now, "told done")
-        self.phase = Phase.FINISHED
+        self.stage = Stage.FINISHED
 
     def _may_run_again(self, end: AttemptEnd) -> bool:
         """Whether another attempt cannot run the request twice, nor join two answers."""
@@ -402,7 +402,7 @@
         told_ran = self._ran if self._ran != RAN_NO else self._promise(now, ran)
         self._effects.append(fault_result(self._request_id, code, told_ran, retry_after_ms))
         self._record(now, f"told {code} ran={told_ran}")
-        self.phase = Phase.FINISHED
+        self.stage = Stage.FINISHED
 
     def _promise(self, now: timedelta, ran: str) -> str:
         """What the client may be told of whether a request ran that no attempt of ours has run.
--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -50,5 +50,5 @@
     assert result.encode() == raw
 
 
-def test_a_result_of_no_known_shape_says_nothing():
-    assert results.decode_result(("later", 1)) == results.OutcomeUnknown()
+def test_a_result_of_no_known_shape_is_kept_apart_from_an_unknown_outcome():
+    assert results.decode_result(("later", 1)) == results.UnrecognizedResult(("later", 1))
--- a/tests/system/test_closing_fault.py
+++ b/tests/system/test_closing_fault.py
@@ -33,7 +33,7 @@
     before = (scene.w.now - 4 * SEC, scene.w.now)
     last = scene.put(then=strike)
     scene.w.run(6)
-    assert struck and last["number"] in scene.taken
+    assert struck and last.number in scene.taken
     scene.w.run(8)
     return scene, scene.finish(before)
 
--- a/tests/tenant_requests/test_messages.py
+++ b/tests/tenant_requests/test_messages.py
@@ -46,7 +46,7 @@
     effect = send("to", message)
     assert (effect.to, effect.body) == ("to", body)
     assert is_valid_message(body) and body[0] == message.TAG
-    assert framing.encode_frame(frm="a", life="l", body=effect.body)
+    assert framing.encode_frame(sender="a", process_id="l", body=effect.body)
 
 
 @pytest.mark.parametrize("body,message", RECEIVED)
