--- a/tests/system/test_known_red.py
+++ b/tests/system/test_known_red.py
@@ -28,7 +28,7 @@
         ("", "pass", 0),
     ],
 )
-@pytest.mark.parametrize("workers", [(), ("-n", "2", "--dist", "loadfile")], ids=["alone", "workers"])  # as .ci/run calls it
+@pytest.mark.parametrize("workers", [(), ("-n", "4", "--dist", "loadfile")], ids=["alone", "workers"])  # as .ci/run calls it
 def test_only_what_is_listed_and_fails_is_passed_over(tmp_path, red, body, code, workers):
     (tmp_path / "tests").mkdir()
     (tmp_path / "tests" / "conftest.py").write_text((HERE / "conftest.py").read_text())
