--- a/silverglade/configuration/messages.py
+++ b/silverglade/configuration/messages.py
@@ -24,7 +24,7 @@
 """An operation as an array: what is to be done, then its arguments (control/operations.py)."""
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class UpdateRequest:
     """Asks a core, or a zone relay, for what it knows beyond a version.
 
@@ -43,7 +43,7 @@
         return (self.TAG, self.number, self.version, self.position)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class UpdateAnswer:
     """Answers an `UpdateRequest`.
 
@@ -71,7 +71,7 @@
         return cls(*body[1:])
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class FencingTokenRequest:
     """Asks the primary for the fencing token of an operation: the version on which the operation would rest now.
 
@@ -87,7 +87,7 @@
         return (self.TAG, self.number, self.operation)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class FencingTokenAnswer:
     """Answers a `FencingTokenRequest`."""
 
@@ -96,7 +96,7 @@
     token: Version
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class OperationRequest:
     """Asks the primary to carry out an operation.
 
@@ -116,7 +116,7 @@
         return (self.TAG, self.number, self.change_id, self.operation, self.digest)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class OperationAnswer:
     """Answers an `OperationRequest`, or a `FencingTokenRequest` to a daemon that is not primary."""
 
--- a/silverglade/control/judgements.py
+++ b/silverglade/control/judgements.py
@@ -11,21 +11,21 @@
 """Keys and the values that they get."""
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Take:
     """The operation is taken: the store gets these values."""
 
     values: Values
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Read:
     """The operation reads: its client is told this text, once the backups have confirmed the view."""
 
     source: Any
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class AheadOfBase:
     """The operation rests on a base that is still to come, so it is refused."""
 
--- a/silverglade/control/operation_results.py
+++ b/silverglade/control/operation_results.py
@@ -11,7 +11,7 @@
 from .operations import Version
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Acknowledged:
     """The change is synced by all members; the store has this version."""
 
@@ -22,7 +22,7 @@
         return ("ok", self.version)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class SourceRead:
     """The text of the configuration in force, in a store of this version."""
 
@@ -34,7 +34,7 @@
         return ("ok", self.version, self.source)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Refused:
     """The operation was not taken and will not be.
 
@@ -49,7 +49,7 @@
         return ("refuse", self.code, self.detail)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Redirected:
     """The core that was asked is not the primary; `primary` is, as far as it knows ("" where it knows none)."""
 
@@ -60,7 +60,7 @@
         return ("elsewhere", self.primary)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class OutcomeUnknown:
     """The operation may have been taken, or may be under a later view."""
 
@@ -69,7 +69,7 @@
         return ("unknown",)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Stale:
     """The operation can't be judged on its base; this copy of it changed nothing."""
 
@@ -78,7 +78,7 @@
         return ("stale",)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class UnrecognizedResult:
     """An array of no known shape, as from a later program; it is never sent."""
 
--- a/silverglade/control/operations.py
+++ b/silverglade/control/operations.py
@@ -13,7 +13,7 @@
 """(epoch, number) of a change."""
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class ConfigurationChange:
     """Put a configuration in force in place of the one of version `base`."""
 
@@ -26,7 +26,7 @@
         return (self.TAG, self.base, self.raw)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class TableChange:
     """Put a configuration in force whose versions the operator numbers (design 15.2).
 
@@ -46,7 +46,7 @@
         return (self.TAG, self.base, self.number, self.raw, self.source)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class ReadSource:
     """Read the text of the configuration in force."""
 
@@ -57,7 +57,7 @@
         return (self.TAG,)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Evacuate:
     """Drain a zone, or take it back.
 
@@ -75,7 +75,7 @@
         return fields if self.base is None else (*fields, self.base)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class ReopenShard:
     """Give up a shard's follower, and with it the claims that it holds alone (design 6.4).
 
@@ -92,7 +92,7 @@
         return fields if self.base is None else (*fields, self.base)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class AssignRole:
     """Name the holder of a singleton role (design 5.6).
 
@@ -117,7 +117,7 @@
         return (self.kind, self.name, self.base_epoch, self.holder, self.follower)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class AssignRoles:
     """Name the holders of several singleton roles; those whose base has changed meanwhile are left out."""
 
@@ -129,7 +129,7 @@
         return (self.TAG, tuple([assignment.row() for assignment in self.assignments]))
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class DropRoles:
     """Drop singleton roles of one kind that nobody needs any more."""
 
@@ -142,7 +142,7 @@
         return (self.TAG, self.kind, self.names)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class UnknownOperation:
     """An operation of a later program, or a malformed one."""
 
--- a/silverglade/membership/messages.py
+++ b/silverglade/membership/messages.py
@@ -31,7 +31,7 @@
     ANSWER = 2  # to `SuspicionCheck`
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Heartbeat:
     """A daemon's sign of life.
 
@@ -47,7 +47,7 @@
         return (self.TAG, self.incarnation, int(self.kind))
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class SuspicionCheck:
     """A core asks a daemon that its watchers suspect for a sign of life."""
 
@@ -58,7 +58,7 @@
         return (self.TAG,)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class PublishRows:
     """A daemon's own rows, for a core to take, or for a zone relay to pass on.
 
@@ -81,7 +81,7 @@
         return readable_rows([row[:PUBLISHED_FIELDS] for row in self.rows if row[0] == kind])
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class SyncTables:
     """Between cores: where the sender's table stands, with rows that the receiver lacks.
 
@@ -105,7 +105,7 @@
         return readable_rows(self.rows)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class UpdateRequest:
     """A daemon asks a core, or its zone's relay, for updates after a version.
 
@@ -119,7 +119,7 @@
     position: Position
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Update:
     """The answer to an `UpdateRequest`; whoever sends it appends a delta of soft state.
 
@@ -140,7 +140,7 @@
         return (self.TAG, self.number, self.version, self.items, self.proof_age_ms, self.waited_ms)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Delta:
     """What an `Update` brings of soft state to a daemon whose table stands elsewhere.
 
--- a/silverglade/runtime/daemon_components.py
+++ b/silverglade/runtime/daemon_components.py
@@ -10,9 +10,6 @@
 from ..autoscaling.tenant_scaler import TenantScaler
 from ..configuration.operator_api import OperatorApi
 from ..configuration.updater import Updater
-from ..control.core import control_component
-from ..control.role_assigner import RoleAssigner
-from ..membership.core_table import CoreTable
 from ..membership.member import Membership
 from ..membership.zone_relay import ZoneRelay
 from ..replicas.registry import ReplicaRegistry
@@ -20,7 +17,6 @@
 from ..routing.endpoint_list import EndpointList
 from ..routing.router import Router
 from ..tenant_requests.ingress import TenantIngress
-from ..tenant_shards.follower import ClaimFollower
 from ..tenant_shards.owner import ShardOwner
 from .components import Component
 from .state_machine import MachineComponent, StateMachine
@@ -127,7 +123,15 @@
     tolerance: tuple[int, int, int],
     may_form_first_view: bool,
 ) -> dict[str, MachineComponent]:
-    """The components that only a daemon with a disk has."""
+    """The components that only a daemon with a disk has.
+
+    Their modules are loaded here: the many daemons without a disk start sooner without them.
+    """
+    from ..control.core import control_component
+    from ..control.role_assigner import RoleAssigner
+    from ..membership.core_table import CoreTable
+    from ..tenant_shards.follower import ClaimFollower
+
     control = control_component(
         name=identity.name,
         disk=disk,
--- a/tests/system/test_safety_rules.py
+++ b/tests/system/test_safety_rules.py
@@ -61,7 +61,7 @@
                 "silverglade.tenant_shards.follower",
                 "if held is not None and held.request_id != request.request_id:",
                 "if False:",
-                "silverglade.runtime.daemon_components.ClaimFollower",
+                "silverglade.tenant_shards.follower.ClaimFollower",
             ),
         ],
     ),
