--- a/silverglade/__main__.py
+++ b/silverglade/__main__.py
@@ -13,7 +13,7 @@
 from .runtime import structured_logging
 from .runtime.errors import SilvergladeError
 
-EXIT_FAULT = 2
+EXIT_ERROR = 2
 
 TEXT_SETTINGS = (
     "name",
@@ -35,12 +35,12 @@
 
 
 def parse_list(text: str) -> list[str]:
-    """Return the values of a comma-separated list."""
+    """Split a comma-separated list."""
     return text.split(",")
 
 
 def parse_tolerance(text: str) -> dict[str, int]:
-    """Return a tolerance, given as machines,zones,regions."""
+    """Parse a fault tolerance given as MACHINES,ZONES,REGIONS."""
     return dict(zip(settings_module.TOLERANCE, map(int, text.split(","))))
 
 
@@ -58,20 +58,30 @@
 
 def _add_run_parser(subparsers: Any) -> None:
     run_parser = subparsers.add_parser("run", help="run a daemon")
-    run_parser.add_argument("--settings", help="a JSON file of settings; flags go before it")
+    run_parser.add_argument("--settings", help="a JSON file of settings; flags override it")
     for name in TEXT_SETTINGS:
         run_parser.add_argument("--" + name.replace("_", "-"), dest=name)
     for name in LIST_SETTINGS:
         run_parser.add_argument("--" + name, type=parse_list, help="comma-separated")
     run_parser.add_argument("--log-level", dest="log_level")
-    run_parser.add_argument("--open", dest="open", action="store_true", default=None, help="listen beyond loopback without keys")
-    run_parser.add_argument("--not-first", dest="first", action="store_false", default=None, help="an empty core joins, it forms nothing")
-    run_parser.add_argument("--tolerance", type=parse_tolerance, help="machines,zones,regions that may be lost at once, as 2,1,1")
-    run_parser.add_argument("--check", action="store_true", help="check the settings and stop")
+    run_parser.add_argument(
+        "--open", dest="open", action="store_true", default=None, help="allow listening on other addresses than loopback without keys"
+    )
+    run_parser.add_argument(
+        "--not-first",
+        dest="first",
+        action="store_false",
+        default=None,
+        help="a core with an empty data folder joins the existing cores, and never forms the first view",
+    )
+    run_parser.add_argument(
+        "--tolerance", type=parse_tolerance, help="MACHINES,ZONES,REGIONS that may fail at the same time, such as 2,1,1"
+    )
+    run_parser.add_argument("--check", action="store_true", help="check the settings and exit")
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Run a daemon, or check its settings."""
+    """Run a daemon, or only check its settings; returns the exit code."""
     flags = {name: getattr(arguments, name) for name in settings_module.SETTINGS if name != "tuning"}
 
     def read_settings() -> dict[str, Any]:
@@ -81,7 +91,7 @@
     if arguments.check:
         print("settings are sound")
         return 0
-    from .server.daemon import start  # loads the HTTP server: not for commands that need none
+    from .server.daemon import start  # imports the HTTP server, which the other commands do not need
 
     logger = structured_logging.setup(level=settings["log_level"])
     start(settings=settings, logger=logger, read_settings=read_settings, settings_file=arguments.settings or "")
@@ -96,7 +106,7 @@
         return commands.get(arguments.cmd, operator.run)(arguments)
     except SilvergladeError as error:
         print(f"silverglade: {error}", file=sys.stderr)
-        return EXIT_FAULT
+        return EXIT_ERROR
 
 
 if __name__ == "__main__":
--- a/silverglade/cli/__init__.py
+++ b/silverglade/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line's verbs (design 8.5, 11, 12)."""
+"""The subcommands of the command line (design 8.5, 11, 12)."""
--- a/silverglade/cli/client.py
+++ b/silverglade/cli/client.py
@@ -1,4 +1,4 @@
-"""Calls of the operator's command line to daemons (design 11)."""
+"""HTTP client of the operator's command line (design 11)."""
 
 from __future__ import annotations
 
@@ -13,33 +13,38 @@
 from ..runtime.result_codes import BAD_CALL
 
 TIMEOUTS = {"connect": 2.0, "read": 8.0, "write": 5.0, "pool": 5.0}
-"""In seconds."""
+"""Timeouts of one HTTP call, in seconds."""
 
 MAX_THREADS = 16
 
 
-class Answer(NamedTuple):
-    """A daemon's answer."""
+class Response(NamedTuple):
+    """A daemon's response: HTTP status and decoded JSON body."""
 
     status: int
     data: Any
 
 
-def ask(at: str, method: str, path: str, body: Any = None, *, key: str = "", headers: Sequence[tuple[str, str]] = ()) -> Answer:
-    """Make one call.
+def send_request(
+    address: str, method: str, path: str, body: Any = None, *, key: str = "", headers: Sequence[tuple[str, str]] = ()
+) -> Response:
+    """Send one HTTP request to a daemon and return its response, whatever its status.
 
-    :param at: IP:PORT of a daemon's HTTP address.
+    :param address: IP:PORT of the daemon's HTTP server.
+    :param body: a value to be sent as JSON; None: an empty body.
     :param key: the operator's key, or empty.
-    :raises UnreachableError: nobody answers there.
+    :raises UnreachableError: the daemon gave no valid HTTP response with a JSON body.
     """
     content = json.dumps(body).encode() if body is not None else b""
-    all_headers = [("Host", at), ("Content-Length", str(len(content))), *headers]
+    all_headers = [("Host", address), ("Content-Length", str(len(content))), *headers]
     if key:
         all_headers.append(("Authorization", f"Bearer {key}"))
     try:
         with httpcore.ConnectionPool(max_keepalive_connections=0) as pool:
-            response = pool.request(method, f"http://{at}{path}", content=content, headers=all_headers, extensions={"timeout": TIMEOUTS})
-            return Answer(response.status, json.loads(response.content))
+            response = pool.request(
+                method, f"http://{address}{path}", content=content, headers=all_headers, extensions={"timeout": TIMEOUTS}
+            )
+            return Response(response.status, json.loads(response.content))
     except (
         httpcore.NetworkError,
         httpcore.ProtocolError,
@@ -48,33 +53,33 @@
         ValueError,
         OSError,
     ) as error:
-        raise UnreachableError(f"{at}: {type(error).__name__}") from error
+        raise UnreachableError(f"{address}: {type(error).__name__}") from error
 
 
-def accepted(answer: Answer) -> Any:
-    """Return the data of a call that was accepted.
+def require_success(response: Response) -> Any:
+    """Return the data of a successful response.
 
-    :raises RemoteError: it was not; with the daemon's own code.
+    :raises RemoteError: the status is not 200; the error has the result code that the daemon gave.
     """
-    if answer.status == 200:
-        return answer.data
-    if not isinstance(answer.data, dict):
+    if response.status == 200:
+        return response.data
+    if not isinstance(response.data, dict):
         raise RemoteError(BAD_CALL)
-    raise RemoteError(answer.data.get("code", BAD_CALL), answer.data.get("detail", "") or "")
+    raise RemoteError(response.data.get("code", BAD_CALL), response.data.get("detail", "") or "")
 
 
-def ask_everywhere(at: str, path: str, *, key: str = "") -> tuple[dict[str, Any], dict[str, Any]]:
-    """Ask every live daemon that `at` knows of.
+def query_all_daemons(address: str, path: str, *, key: str = "") -> tuple[dict[str, Any], dict[str, Any]]:
+    """Send a GET request to every live daemon that is a member in the view of the daemon at `address`.
 
-    :returns: the fleet as `at` knows it, and each daemon's answer by its name; None of a silent one.
+    :returns: the members by name, and the data of each daemon's response by name; None for a daemon that gave no successful response.
     """
-    fleet = accepted(ask(at, "GET", "/v1/fleet", key=key))["fleet"]
+    fleet = require_success(send_request(address, "GET", "/v1/fleet", key=key))["fleet"]
 
-    def ask_one(name: str) -> tuple[str, Any]:
+    def query_one(name: str) -> tuple[str, Any]:
         try:
-            return name, accepted(ask(fleet[name]["http"], "GET", path, key=key))
+            return name, require_success(send_request(fleet[name]["http"], "GET", path, key=key))
         except SilvergladeError:
             return name, None
 
     with ThreadPoolExecutor(MAX_THREADS) as pool:
-        return fleet, dict(pool.map(ask_one, sorted(fleet)))
+        return fleet, dict(pool.map(query_one, sorted(fleet)))
--- a/silverglade/cli/place.py
+++ b/silverglade/cli/place.py
@@ -1,6 +1,6 @@
-"""`silverglade place` (design 12): tenants' homes over zones, by a solver library.
+"""`silverglade place` (design 12): assigns home zones to tenants with a constraint solver.
 
-The result is a configuration to be reviewed and put by the operator; nothing is changed here.
+The command prints the result for the operator to review and apply; it changes nothing in the fleet.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 SOLVER_TIMEOUT_S = 20.0
 LOAD_SCALE = 1000
-"""Loads are whole numbers in the model: in thousandths."""
+"""The model has integer variables only, so loads are scaled to thousandths."""
 
 MAX_USE = 10**12
 
 Constraints = dict[str, Any]
-"""A constraints file, checked against `SPECIFICATION`."""
+"""The content of a constraints file, validated against `SPECIFICATION`."""
 
 SPECIFICATION = record(
     {
@@ -43,10 +43,10 @@
 )
 
 
-def checked(raw: Any) -> Constraints:
-    """Return checked constraints.
+def parse_constraints(raw: Any) -> Constraints:
+    """Validate constraints and fill in their defaults.
 
-    :raises InvalidConstraintsError: they have faults; all are named.
+    :raises InvalidConstraintsError: the constraints have errors, all of which are listed.
     """
     constraints: Constraints
     constraints, found = validate(SPECIFICATION, raw)
@@ -76,19 +76,19 @@
 
 
 class PlacementModel:
-    """The constraints as a model of the solver.
+    """The constraints as a model for the solver.
 
-    :param explains: each constraint hangs on an assumption, to find which of them conflict.
-    :ivar is_home: (tenant, zone) -> whether the zone is a home of the tenant, a variable.
-    :ivar reasons: index of an assumption -> the constraint that hangs on it.
+    :param is_explaining: make each constraint conditional on an assumption, so that the solver can return the conflicting ones.
+    :ivar is_home: (tenant, zone) -> the variable that is true if the zone is a home of the tenant.
+    :ivar reasons: index of an assumption -> description of the constraint that is conditional on it.
     """
 
-    def __init__(self, constraints: Constraints, *, explains: bool) -> None:
+    def __init__(self, constraints: Constraints, *, is_explaining: bool) -> None:
         from ortools.sat.python import cp_model
 
         self.model = cp_model.CpModel()
         self.reasons: dict[int, str] = {}
-        self._explains = explains
+        self._is_explaining = is_explaining
         self._zones: dict[str, dict[str, Any]] = constraints["zones"]
         self._tenants: dict[str, dict[str, Any]] = constraints["tenants"]
         self.is_home = {(tenant, zone): self.model.new_bool_var(f"{tenant}@{zone}") for tenant in self._tenants for zone in self._zones}
@@ -98,60 +98,62 @@
             self._add_group_apart(group)
         self._add_loads(survives_loss=constraints["survive"] != "none")
 
-    def _add(self, reason: str, constraint: Any) -> None:
-        """Let a constraint hang on an assumption, if conflicts are looked for."""
-        if self._explains:
+    def _add_conditional(self, reason: str, constraint: Any) -> None:
+        """Make a constraint conditional on an assumption, if conflicts are to be explained."""
+        if self._is_explaining:
             assumption = self.model.new_bool_var(reason)
             self.reasons[assumption.index] = reason
             constraint.only_enforce_if(assumption)
             self.model.add_assumption(assumption)
 
     def _add_homes(self, tenant: str) -> None:
-        """One tenant: the number of its homes, zones to keep or avoid, the number of its regions."""
+        """Add the constraints of one tenant: number of homes, zones to keep or avoid, least number of regions."""
         wanted, model, is_home = self._tenants[tenant], self.model, self.is_home
         homes = [is_home[tenant, zone] for zone in self._zones]
-        self._add(f"{tenant} wants {wanted['homes']} homes", model.add(sum(homes) == wanted["homes"]))
+        self._add_conditional(f"{tenant} requires {wanted['homes']} homes", model.add(sum(homes) == wanted["homes"]))
         for zone in wanted["keep"]:
-            self._add(f"{tenant} keeps {zone}", model.add(is_home[tenant, zone] == 1))
+            self._add_conditional(f"{tenant} keeps {zone}", model.add(is_home[tenant, zone] == 1))
         for zone in wanted["avoid"]:
-            self._add(f"{tenant} avoids {zone}", model.add(is_home[tenant, zone] == 0))
+            self._add_conditional(f"{tenant} avoids {zone}", model.add(is_home[tenant, zone] == 0))
         zones_by_region: dict[str, list[str]] = {}
         for zone, row in self._zones.items():
             zones_by_region.setdefault(row["region"], []).append(zone)
         in_region = {region: model.new_bool_var(f"{tenant}#{region}") for region in zones_by_region}
         for region, zones in zones_by_region.items():
             model.add_max_equality(in_region[region], [is_home[tenant, zone] for zone in zones])
-        self._add(f"{tenant} wants {wanted['regions']} regions", model.add(sum(in_region.values()) >= wanted["regions"]))
+        self._add_conditional(f"{tenant} requires {wanted['regions']} regions", model.add(sum(in_region.values()) >= wanted["regions"]))
 
     def _add_group_apart(self, group: list[str]) -> None:
-        """No two tenants of a group share a zone."""
+        """Add the constraints that no two tenants of a group share a zone."""
         for zone in self._zones:
             constraint = self.model.add(sum(self.is_home[tenant, zone] for tenant in group) <= 1)
-            self._add(f"{' and '.join(group)} apart in {zone}", constraint)
+            self._add_conditional(f"{' and '.join(group)} apart in {zone}", constraint)
 
     def _add_loads(self, *, survives_loss: bool) -> None:
-        """Each zone's capacity, and the fullest zone as empty as can be.
+        """Add the capacity of each zone, and the objective to minimize the load of the most loaded zone relative to its capacity.
 
-        A tenant's load is shared by its homes, and carried by the rest when one is lost.
+        A tenant's load is divided equally between its homes. If the placement must survive a loss, each home gets the share that it
+        carries when one of the others has failed.
         """
         shares = {}
         for tenant, wanted in self._tenants.items():
-            carriers = max(1, wanted["homes"] - (survives_loss and wanted["homes"] > 1))
-            shares[tenant] = -(-wanted["burden"] * LOAD_SCALE // carriers)
+            remaining_homes = max(1, wanted["homes"] - (survives_loss and wanted["homes"] > 1))
+            shares[tenant] = -(-wanted["burden"] * LOAD_SCALE // remaining_homes)
         loads = {zone: sum(shares[tenant] * self.is_home[tenant, zone] for tenant in self._tenants) for zone in self._zones}
         for zone, row in self._zones.items():
-            self._add(f"capacity of {zone}", self.model.add(loads[zone] <= row["capacity"] * LOAD_SCALE))
-        highest_use = self.model.new_int_var(0, MAX_USE, "top")
+            self._add_conditional(f"capacity of {zone}", self.model.add(loads[zone] <= row["capacity"] * LOAD_SCALE))
+        peak_use = self.model.new_int_var(0, MAX_USE, "top")
         for zone, row in self._zones.items():
-            self.model.add(loads[zone] * 1000 <= highest_use * max(1, row["capacity"]))
-        if not self._explains:
-            self.model.minimize(highest_use)
+            self.model.add(loads[zone] * 1000 <= peak_use * max(1, row["capacity"]))
+        if not self._is_explaining:
+            self.model.minimize(peak_use)
 
 
 def solve(constraints: Constraints, *, seconds: float = SOLVER_TIMEOUT_S) -> dict[str, list[str]]:
-    """Return each tenant's homes, in their order.
+    """Return each tenant's homes, in order of preference.
 
-    :raises NoPlacementError: the constraints that it names cannot stand together, or no placement was found in time.
+    :param seconds: time limit of the solver.
+    :raises NoPlacementError: the listed constraints contradict each other, or no placement was found within the time limit.
     """
     from ortools.sat.python import cp_model
 
@@ -159,17 +161,17 @@
     solver.parameters.max_time_in_seconds = seconds
     solver.parameters.num_workers = 1
     solver.parameters.random_seed = 1
-    placement = PlacementModel(constraints, explains=False)
+    placement = PlacementModel(constraints, is_explaining=False)
     if solver.solve(placement.model) in (cp_model.OPTIMAL, cp_model.FEASIBLE):
         return {tenant: _homes_in_order(constraints, tenant, solver, placement) for tenant in constraints["tenants"]}
-    placement = PlacementModel(constraints, explains=True)
+    placement = PlacementModel(constraints, is_explaining=True)
     solver.solve(placement.model)
     conflict = [placement.reasons[index] for index in solver.sufficient_assumptions_for_infeasibility() if index in placement.reasons]
-    raise NoPlacementError("; ".join(sorted(set(conflict))) or "no placement was found in time")
+    raise NoPlacementError("; ".join(sorted(set(conflict))) or "no placement was found within the time limit")
 
 
 def _homes_in_order(constraints: Constraints, tenant: str, solver: Any, placement: PlacementModel) -> list[str]:
-    """Return a tenant's homes: those to keep first, then by capacity, then by name."""
+    """Return a tenant's homes: zones to keep first, then by descending capacity, then by name."""
     capacities = {zone: row["capacity"] for zone, row in constraints["zones"].items()}
     homes = [zone for zone in capacities if solver.value(placement.is_home[tenant, zone])]
     kept = constraints["tenants"][tenant]["keep"]
@@ -178,12 +180,12 @@
 
 def add_parsers(subparsers: Any) -> None:
     """Add the command to the command line."""
-    parser = subparsers.add_parser("place", help="solve placements from a constraints file")
+    parser = subparsers.add_parser("place", help="compute tenants' homes from a constraints file")
     parser.add_argument("file")
-    parser.add_argument("--config", default="", help="a configuration whose tenants get the homes found")
+    parser.add_argument("--config", default="", help="a configuration file to print with the computed homes")
 
 
-def _load(path: str) -> Any:
+def _load_json(path: str) -> Any:
     try:
         with open(path, encoding="utf-8") as file:
             return json.load(file)
@@ -192,10 +194,10 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Solve a constraints file and print the homes, or a configuration with them."""
-    raw = _load(arguments.file)
-    configuration = _load(arguments.config) if arguments.config else None
-    homes = solve(checked(raw))
+    """Compute the homes for a constraints file and print them, or a configuration with these homes; returns the exit code."""
+    raw = _load_json(arguments.file)
+    configuration = _load_json(arguments.config) if arguments.config else None
+    homes = solve(parse_constraints(raw))
     if configuration is None:
         print(json.dumps({"homes": homes}, indent=1, sort_keys=True))
         return 0
--- a/silverglade/configuration/__init__.py
+++ b/silverglade/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration that operators put: its schema, the calls that change it, and how it reaches every daemon (design 5.7, 8.2)."""
+"""The operators' configuration: its schema, the API calls that change it, and its distribution to every daemon (design 5.7, 8.2)."""
--- a/silverglade/configuration/core_selection.py
+++ b/silverglade/configuration/core_selection.py
@@ -1,4 +1,4 @@
-"""Which daemon is asked for updates (design 5.7): the zone's relay, else the nearest core, else a seed."""
+"""Selection of the daemon that is queried for updates (design 5.7): the zone's relay, else the nearest core, else a seed."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from ..runtime.effects import ZERO
 
 SEED_PREFIX = "@"
-"""Marks an address in place of a daemon's name."""
+"""Prefix of a seed's address where it is used in place of a daemon's name."""
 
 Location = tuple[str, str]
-"""Zone and region of a daemon."""
+"""(zone, region) of a daemon."""
 
 
 class CoreSelector:
-    """Selects whom to ask, and passes daemons over for a time that did not answer well.
+    """Selects the daemon to query for updates, and avoids for a time those that gave no answer or a stale one.
 
     :ivar members: the live daemons.
     """
@@ -27,8 +27,8 @@
     ) -> None:
         """Start without members.
 
-        :param own_address: where this daemon listens for others; it is passed over among the seeds.
-        :param seeds: addresses to ask while no core can be.
+        :param own_address: the address at which this daemon accepts peer connections; it is skipped among the seeds.
+        :param seeds: addresses to query while no core is available.
         """
         self.members: tuple[MemberRecord, ...] = ()
         self._own_name = own_name
@@ -38,27 +38,27 @@
         self._own_address = own_address
         self._seeds = seeds
         self._rng = rng
-        self._seed_turn = rng.randrange(len(seeds) or 1)  # daemons that start together do not all ask the same seed
+        self._seed_index = rng.randrange(len(seeds) or 1)  # random, so that daemons that start together do not all query the same seed
         self._avoided_until: dict[str, timedelta] = {}
 
     def replace_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Use other seeds from here on."""
+        """Use these seeds instead of the present ones, none of which is avoided any longer."""
         self._seeds = seeds
         self._avoided_until = {name: until for name, until in self._avoided_until.items() if not name.startswith(SEED_PREFIX)}
 
     def avoid(self, name: str, until: timedelta) -> None:
-        """Pass a daemon over until then, if another can be asked."""
+        """Prefer other daemons to this one until the given time; it is still selected if there is no other."""
         self._avoided_until[name] = until
 
     def is_core_member(self, name: str) -> bool:
-        """Whether a live daemon of this name is a core."""
+        """Return whether a live daemon of this name is a core."""
         return any(member.name == name and member.is_core for member in self.members)
 
     def select(self, now: timedelta, *, last_queried: str | None) -> str | None:
-        """Select whom to ask.
+        """Select the daemon to query.
 
-        :param last_queried: whom this daemon asked last.
-        :returns: the name of a daemon, "@address" of a seed, or None where there is none of either.
+        :param last_queried: the daemon that was queried last; it is preferred among equally near cores.
+        :returns: the name of a daemon, "@address" of a seed, or None if there is neither.
         """
         relay: str | None = relay_of_zone(self._zone, self.members)
         if relay is not None and relay != self._own_name and not self._is_avoided(relay, now):
@@ -72,7 +72,7 @@
         return self._avoided_until.get(name, ZERO) > now
 
     def _nearest_core(self, now: timedelta, last_queried: str | None) -> str | None:
-        """The nearest core that is not passed over; else the one whose time to be passed over ends first."""
+        """Return the nearest core that is not avoided, else the one that is avoided for the shortest remaining time; None without cores."""
         locations = {member.name: (member.zone, member.region) for member in self.members if member.is_core}
         if self._is_core:
             locations[self._own_name] = (self._zone, self._region)
@@ -91,9 +91,9 @@
         return min(locations, default=None, key=rank)
 
     def _next_seed(self) -> str | None:
-        """The next seed in turn, or None where this daemon is the only one."""
+        """Return the next seed, round-robin; None if there is no seed but this daemon itself."""
         others = [seed for seed in self._seeds if seed != self._own_address]
         if not others:
             return None
-        self._seed_turn += 1
-        return SEED_PREFIX + others[self._seed_turn % len(others)]
+        self._seed_index += 1
+        return SEED_PREFIX + others[self._seed_index % len(others)]
--- a/silverglade/configuration/messages.py
+++ b/silverglade/configuration/messages.py
@@ -1,7 +1,7 @@
-"""Messages between daemons that the updater and the operator API send or handle, one class a kind (design 5.4, 5.7).
+"""Messages between daemons that the updater and the operator API send or handle, one class for each kind (design 5.4, 5.7).
 
-On the wire each is an array of its `TAG` and its fields in the order given here; transport/message_schemas.py has checked their
-shapes before a component sees them. `encode` gives the array to send, `decode` reads one that was received.
+On the wire each message is an array of its `TAG` and its fields in the order given here. transport/message_schemas.py checks the
+shape of received messages before a component handles them. `encode` returns the array to send, `decode` reads a received one.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 from ..runtime.record import Record
 
 Version = tuple[int, int]
-"""(epoch, number) of a change, or of a whole store."""
+"""(epoch, number): version of a change, or of a whole store."""
 
 Item = tuple[str, Version, Any]
-"""A key of the store, the version of the change that set it, its value; the value None for a role that was dropped."""
+"""(key, version, value): an entry of the store and the version of the change that set it; value None: the role was dropped."""
 
 RawMessage = tuple[Any, ...]
-"""A message as an array: its kind, then its fields."""
+"""A message as an array: its tag, then its fields."""
 
 RawOperation = tuple[Any, ...]
-"""An operation as an array: what is to be done, then its arguments (control/operations.py)."""
+"""An operation as an array: its tag, then its arguments (control/operations.py)."""
 
 
 class UpdateRequest(Record):
-    """Asks a core, or a zone relay, for what it knows beyond a version.
+    """Asks a core, or a zone relay, for all changes after a version.
 
-    :ivar number: names the request in its answer.
+    :ivar number: identifies the request; its answer carries the same number.
     :ivar version: the version of the store that the sender holds.
-    :ivar position: where the sender's table of soft state stands (design 4.3).
+    :ivar position: how far the sender's table of soft state is synchronized (design 4.3).
     """
 
     TAG: ClassVar[str] = "get"
@@ -45,12 +45,12 @@
 class UpdateAnswer(Record):
     """Answers an `UpdateRequest`.
 
-    :ivar number: of the request.
+    :ivar number: the number of the request.
     :ivar version: the version of the store that the answering daemon holds.
-    :ivar items: those that the asking daemon lacks.
-    :ivar proof_age_ms: how old the proof was, when the answer was sent, that the primary was still primary; negative: none is held.
-    :ivar held_ms: for how long the request was held before it was answered.
-    :ivar delta: rows of soft state that the asking daemon lacks.
+    :ivar items: the items of the store that the requesting daemon lacks.
+    :ivar proof_age_ms: age, when the answer was sent, of the last proof that the primary was still primary; negative: no proof.
+    :ivar held_ms: how long the answering daemon held the request (long poll) before it answered.
+    :ivar delta: rows of soft state that the requesting daemon lacks.
     """
 
     TAG: ClassVar[str] = "news"
@@ -63,16 +63,16 @@
 
     @classmethod
     def decode(cls, body: RawMessage) -> UpdateAnswer | None:
-        """Read a message; None for one of another kind, or without a delta."""
+        """Return the decoded message; None for a message of another kind, or one without a delta."""
         if body[0] != cls.TAG or len(body) != 1 + len(cls.__match_args__):
             return None
         return cls(*body[1:])
 
 
 class FencingTokenRequest(Record):
-    """Asks the primary for the fencing token of an operation: the version on which the operation would rest now.
+    """Asks the primary for the fencing token of an operation: the present version of the object that the operation changes.
 
-    :ivar number: names the call in the answer.
+    :ivar number: identifies the call; the answer carries the same number.
     """
 
     TAG: ClassVar[str] = "fence"
@@ -93,11 +93,11 @@
 
 
 class OperationRequest(Record):
-    """Asks the primary to carry out an operation.
+    """Asks the primary to execute an operation.
 
-    :ivar number: names the call in the answer.
-    :ivar change_id: an operator's own name of the change, for retries; may be empty.
-    :ivar digest: of what the operation says, to tell a retry from another change with the same id.
+    :ivar number: identifies the call; the answer carries the same number.
+    :ivar change_id: the idempotency key that the operator gave the change; may be empty.
+    :ivar digest: digest of the operation, which distinguishes a retry from another change with the same id.
     """
 
     TAG: ClassVar[str] = "op"
@@ -112,7 +112,7 @@
 
 
 class OperationAnswer(Record):
-    """Answers an `OperationRequest`, or a `FencingTokenRequest` to a daemon that is not primary."""
+    """Answers an `OperationRequest`, or a `FencingTokenRequest` that reached a daemon which is not primary."""
 
     TAG: ClassVar[str] = "opr"
     number: int
@@ -120,7 +120,7 @@
 
 
 def decode_primary_answer(body: RawMessage) -> FencingTokenAnswer | OperationAnswer | None:
-    """Read what a core answered to an operator's call; None for a message of another kind."""
+    """Return a core's decoded answer to an operator's call; None for a message of another kind."""
     kind, number, value = body
     if kind == FencingTokenAnswer.TAG:
         return FencingTokenAnswer(number, value)
--- a/silverglade/configuration/operator_api.py
+++ b/silverglade/configuration/operator_api.py
@@ -1,4 +1,4 @@
-"""The control API of a daemon (design 2.3, 5.4): every daemon takes each call; what changes anything is settled by the primary."""
+"""The control API of a daemon (design 2.3, 5.4): every daemon accepts every call, and forwards changes to the primary."""
 
 from __future__ import annotations
 
@@ -51,10 +51,10 @@
 
 
 class OperatorApi:
-    """Answers the calls of the control API, and carries operators' changes to the primary.
+    """Answers the calls of the control API, and forwards operators' changes to the primary.
 
-    :ivar reported: what the components of this daemon have reported.
-    :ivar calls: the calls that wait for the primary.
+    :ivar reported: the state that the components of this daemon have reported.
+    :ivar calls: the calls that wait for an answer of the primary.
     """
 
     handled_events: ClassVar[tuple[type[Event], ...]] = (
@@ -77,7 +77,7 @@
     )
 
     def __init__(self, *, own_name: str, tuning: Mapping[str, Any], rng: random.Random) -> None:
-        """Start without calls."""
+        """Start without calls in flight."""
         self.reported = ReportedState(own_name)
         self.calls = OperatorCalls(tuning=tuning, rng=rng, primary=self._known_primary)
         self._rng = rng
@@ -97,7 +97,7 @@
 
     @property
     def known_view(self) -> View:
-        """The newest view that any member speaks of."""
+        """The newest view that any member advertises."""
         return self.reported.known_view
 
     def step(self, now: timedelta, event: Event) -> list[Effect]:
@@ -123,18 +123,18 @@
         return []
 
     def _known_primary(self) -> str:
-        """The primary of the newest view that any member speaks of; empty if there is none."""
+        """Return the primary of the newest view that any member advertises; empty if there is none."""
         return str(self.known_view[1])
 
     def _on_timer(self, now: timedelta) -> list[Effect]:
-        """Let calls go on; without any, nothing is to be done until another event."""
+        """Retry or time out the calls in flight; without any, ask for no further timer."""
         effects = self.calls.on_timer(now)
         if not self.calls.in_flight:
             effects.append(WakeAt(IDLE))
         return effects
 
     def _on_message(self, event: MessageReceived, now: timedelta) -> list[Effect]:
-        """Take an answer of the primary."""
+        """Pass an answer of the primary to the call that waits for it."""
         match decode_primary_answer(event.body):
             case OperationAnswer(number, result):
                 return self.calls.on_result(number, event.sender, result, now)
@@ -142,10 +142,10 @@
                 return self.calls.on_fencing_token(number, token, now)
         return []
 
-    # --- what components report
+    # --- reports of components
 
     def _on_report(self, event: Event) -> None:
-        """Keep what a component has reported."""
+        """Store the state that a component has reported."""
         match event:
             case StoreUpdated(store, version):
                 self.reported.store, self.reported.store_version = store, version
@@ -158,10 +158,10 @@
             case RequiredReplicasChanged(required):
                 self.reported.required_replicas = required
             case _:
-                self._on_figures(event)
+                self._on_status_fields(event)
 
-    def _on_figures(self, event: Event) -> None:
-        """Keep figures of this daemon's status."""
+    def _on_status_fields(self, event: Event) -> None:
+        """Store the fields that a component contributes to the status of this daemon."""
         fields = self.reported.status_fields
         match event:
             case StatusFieldSet(name, value):
@@ -177,12 +177,12 @@
                     for tenant, epoch, follower, is_open, claims, waiting in rows
                 }
 
-    # --- calls that the primary settles
+    # --- calls that are forwarded to the primary
 
     def _begin(
-        self, call: ApiCall, change_id: str, operation: Operation, now: timedelta, *, caller_waits: timedelta | None = None
+        self, call: ApiCall, change_id: str, operation: Operation, now: timedelta, *, caller_timeout: timedelta | None = None
     ) -> list[Effect]:
-        return self.calls.begin(call.call_id, change_id, operation.encode(), now, caller_waits=caller_waits)
+        return self.calls.begin(call.call_id, change_id, operation.encode(), now, caller_timeout=caller_timeout)
 
     def _replace_configuration(self, call: ApiCall, now: timedelta) -> list[Effect]:
         base, change_id, raw = call.arguments
@@ -197,20 +197,20 @@
 
     def _set_evacuation(self, call: ApiCall, now: timedelta) -> list[Effect]:
         zone, is_evacuated, change_id, *wait = call.arguments
-        return self._begin(call, change_id, Evacuate(zone, is_evacuated), now, caller_waits=wait[0] if wait else None)
+        return self._begin(call, change_id, Evacuate(zone, is_evacuated), now, caller_timeout=wait[0] if wait else None)
 
     def _reopen_shard(self, call: ApiCall, now: timedelta) -> list[Effect]:
         tenant, change_id, *wait = call.arguments
-        return self._begin(call, change_id, ReopenShard(tenant), now, caller_waits=wait[0] if wait else None)
+        return self._begin(call, change_id, ReopenShard(tenant), now, caller_timeout=wait[0] if wait else None)
 
-    # --- calls that this daemon answers
+    # --- calls that this daemon answers itself
 
     def _get_configuration(self, call: ApiCall, now: timedelta) -> list[Effect]:
         version, configuration = self.reported.store.get("config", (INITIAL_VERSION, None))
         return [_success(call.call_id, {"version": list(version), "config": configuration})]
 
     def _collect_status(self, call: ApiCall, now: timedelta) -> list[Effect]:
-        """Let all components report first; the answer follows on `StatusRequested`."""
+        """Ask all components to report; the call is answered by the `StatusRequested` that follows."""
         return [Broadcast(ReportRequested()), Post(Component.OPERATOR_API, StatusRequested(call.call_id))]
 
     def _report_fleet(self, call: ApiCall, now: timedelta) -> list[Effect]:
@@ -225,7 +225,7 @@
         return [_success(call.call_id, capacity_report(self.reported, region))]
 
     def _find_daemons_for_client(self, call: ApiCall, now: timedelta) -> list[Effect]:
-        """Name daemons that a client may use, in random order (design 15.7)."""
+        """Answer with the addresses of daemons that a client may use, in random order (design 15.7)."""
         host, region, zone = call.arguments
         configuration = value_of(self.reported.store, "config")
         addresses = addresses_for_client(self.reported.members, configuration, host=host, region=region, zone=zone)
@@ -233,5 +233,5 @@
 
 
 def _success(call_id: str, fields: Report) -> Reply:
-    """An answer to a call that succeeded."""
+    """Return the reply to a call that succeeded."""
     return Reply(call_id, result_codes.OK, fields)
--- a/silverglade/configuration/operator_calls.py
+++ b/silverglade/configuration/operator_calls.py
@@ -1,17 +1,18 @@
-"""Operators' calls in flight at the daemon that took them, until the primary settles them (design 2.3, 5.4).
+"""Operators' calls in flight at the daemon that received them, until the primary answers (design 2.3, 5.4).
 
-An operator whose call gets no answer retries it at another daemon, or does something else. What the first daemon still does for
-the call must then not take effect after what was acknowledged meanwhile. A change that names its base version is safe: it is taken
-on that base alone. One that names none (an evacuation has no body) gets a fencing token here, in two steps:
+An operator whose call gets no answer retries it at another daemon, or makes a different change. The first call may still be in
+flight then, and must not take effect after a change that was acknowledged in the meantime. A change that names its base version is
+safe, because the primary applies it to that base only. A change without a base (an evacuation has no body) gets a fencing token
+here, in two steps:
 
-1. `FencingTokenRequest`: the daemon asks the primary which version the object of the change has (replicated_state.fence). The answer
-   counts only if it comes while the caller is surely still there: before `caller_waits_until`, with its connection open, and with no
+1. `FencingTokenRequest`: the daemon asks the primary for the present version of the object to change (control/decisions.py). The
+   answer is used only if the caller is certainly still waiting: before `caller_deadline`, with its connection open, and without a
    pause of this process in between.
-2. `OperationRequest`: the change goes to the primary with that version, and is taken only if nothing has changed the object since.
+2. `OperationRequest`: the change is sent to the primary with that version, and is applied only if the object has not changed since.
 
-So all that was acknowledged after the caller left was taken after step 1, made a later version, and fences the change out, whenever
-it arrives. No clock but the daemon's own is read, and no message's age is guessed. A token that was too old makes the change stale,
-never wrong; so the primary answers step 1 from memory, without asking its backups.
+A change that is acknowledged after the caller left is therefore applied after step 1 and creates a later version, so the late call is
+fenced out whenever it arrives. Only this daemon's own clock is read, and the age of a message is never estimated. A token that is too
+old makes the change stale, never wrong, so the primary answers step 1 from memory, without a round trip to its backups.
 """
 
 from __future__ import annotations
@@ -31,21 +32,21 @@
 from .schema import key_digest
 
 CALL_NUMBER_BITS = 48
-"""Of the random number that names a call between daemons."""
+"""Size of the random number that identifies a call between daemons."""
 
 
 class Call(Record):
     """One call in flight.
 
-    :ivar call_id: names the call in its `Reply`; None for an operation of this daemon itself.
-    :ivar change_id: an operator's own name of the change, for retries; may be empty.
-    :ivar digest: of what the operation says.
-    :ivar started_at: when the call came in.
-    :ivar caller_waits_until: its caller may have left after that; no fencing token is taken later.
-    :ivar sent_at: when a message was last sent for it.
-    :ivar sent_to: to which daemon; empty: to whoever is primary at the next attempt.
-    :ivar was_sent: whether any message was sent for it yet.
-    :ivar fencing_token: what step 1 brought, or None.
+    :ivar call_id: identifies the call in its `Reply`; None for an operation of this daemon itself.
+    :ivar change_id: the idempotency key that the operator gave the change; may be empty.
+    :ivar digest: digest of the operation.
+    :ivar started_at: when the call was received.
+    :ivar caller_deadline: the caller may have left after this time; a fencing token that arrives later is not used.
+    :ivar sent_at: when the last message was sent for the call; until then, when the call was received.
+    :ivar sent_to: receiver of that message; empty: the next attempt is sent to the primary known then.
+    :ivar was_sent: whether any message has been sent for the call.
+    :ivar fencing_token: the token that step 1 returned, or None.
     """
 
     call_id: str | None
@@ -53,7 +54,7 @@
     operation: RawOperation
     digest: str
     started_at: timedelta
-    caller_waits_until: timedelta
+    caller_deadline: timedelta
     sent_at: timedelta
     sent_to: str = ""
     was_sent: bool = False
@@ -61,11 +62,11 @@
 
     @property
     def lacks_fencing_token(self) -> bool:
-        """Whether step 1 is still to be done."""
+        """Whether step 1 is not yet completed."""
         return needs_fencing_token(self.operation) and self.fencing_token is None
 
     def message(self, number: int) -> RawMessage:
-        """The message of the step that the call is in."""
+        """Return the message to send for the step that the call is in."""
         if self.lacks_fencing_token:
             return FencingTokenRequest(number, self.operation).encode()
         operation = self.operation if self.fencing_token is None else (*self.operation, self.fencing_token)
@@ -73,31 +74,31 @@
 
 
 class OperatorCalls:
-    """All calls in flight at this daemon. Each method returns the effects that follow.
+    """The calls in flight at this daemon. The methods that handle events return the resulting effects.
 
-    :ivar in_flight: the calls by their numbers.
+    :ivar in_flight: number of a call to the call.
     """
 
     def __init__(self, *, tuning: Mapping[str, Any], rng: random.Random, primary: Callable[[], str]) -> None:
-        """Start without calls.
+        """Start without calls in flight.
 
-        :param primary: a function that returns the primary's name as far as this daemon knows it, or the empty text.
+        :param primary: a function that returns the name of the primary known to this daemon, or an empty string.
         """
         self.in_flight: dict[int, Call] = {}
         self._tuning = tuning
         self._rng = rng
         self._primary = primary
-        self._undatable_until = ZERO
+        self._call_age_unknown_until = ZERO
 
     def begin(
-        self, call_id: str | None, change_id: str, operation: RawOperation, now: timedelta, *, caller_waits: timedelta | None = None
+        self, call_id: str | None, change_id: str, operation: RawOperation, now: timedelta, *, caller_timeout: timedelta | None = None
     ) -> list[Effect]:
-        """Take a call.
+        """Start a call and send its first message, if a primary is known.
 
-        :param caller_waits: how long its caller said that it stays; without that `caller_wait` of the settings is assumed.
+        :param caller_timeout: how long the caller announced that it waits for the answer; None: the setting `caller_wait` applies.
         """
-        if needs_fencing_token(operation) and now < self._undatable_until and call_id is not None:
-            # it may have waited in the kernel while this process was paused
+        if needs_fencing_token(operation) and now < self._call_age_unknown_until and call_id is not None:
+            # the call may have been in the socket buffer while this process was paused, so its caller may have left
             return [Reply(call_id, result_codes.NO_PRIMARY, {"change": change_id})]
         number = self._rng.getrandbits(CALL_NUMBER_BITS)
         self.in_flight[number] = Call(
@@ -106,13 +107,13 @@
             operation=operation,
             digest=operation_digest(operation),
             started_at=now,
-            caller_waits_until=now + min(caller_waits or self._tuning["caller_wait"], self._tuning["op_wait"]),
+            caller_deadline=now + min(caller_timeout or self._tuning["caller_wait"], self._tuning["op_wait"]),
             sent_at=now,
         )
         return self._send(number, now)
 
     def begin_own(self, operation: RawOperation, now: timedelta) -> list[Effect]:
-        """Take an operation of this daemon itself, unless one is in flight already."""
+        """Start an operation of this daemon itself, unless one is already in flight."""
         if any(call.call_id is None for call in self.in_flight.values()):
             return []
         return self.begin(None, "", operation, now)
@@ -122,13 +123,13 @@
         call = self.in_flight.get(number)
         if call is None or not call.lacks_fencing_token:
             return []
-        if now > call.caller_waits_until:
-            return self._settle(number, OutcomeUnknown())
+        if now > call.caller_deadline:
+            return self._complete(number, OutcomeUnknown())
         call.fencing_token = token
         return self._send(number, now)
 
     def on_result(self, number: int, sender: str, result: Result, now: timedelta) -> list[Effect]:
-        """Handle the primary's answer to the operation, or another core's word of who is primary."""
+        """Handle the primary's answer to the operation, or another core's redirect to the primary."""
         call = self.in_flight.get(number)
         if call is None:
             return []
@@ -136,38 +137,42 @@
             case Redirected():
                 return self._redirect(number, sender, result.primary, now)
             case OutcomeUnknown() if call.change_id:
-                return []  # the operation is sent again, by its change id
-            case Stale() if needs_fencing_token(call.operation) and now <= call.caller_waits_until:
-                call.fencing_token = None  # another change came between, and the caller is still there
+                return []  # the timer sends the operation again with the same change id
+            case Stale() if needs_fencing_token(call.operation) and now <= call.caller_deadline:
+                call.fencing_token = None  # another change was applied in between, and the caller is still waiting
                 return self._send(number, now)
-        return self._settle(number, result)
+        return self._complete(number, result)
 
     def on_caller_disconnected(self, call_id: str) -> None:
-        """Give up the call of a caller that has closed its connection."""
+        """Drop the call of a caller that has closed its connection."""
         for number in [number for number, call in self.in_flight.items() if call.call_id == call_id]:
             del self.in_flight[number]
 
     def on_process_paused(self, now: timedelta) -> list[Effect]:
-        """Give up calls whose callers may have left while this process stood still; calls read from now on may be as old."""
-        self._undatable_until = now + self._tuning["beat"]
+        """End the calls without a fencing token after a pause of this process, because their callers may have left during the pause.
+
+        Calls that are read within one `beat` from now may have been waiting in the socket buffer during the pause; `begin` refuses
+        those that need a fencing token.
+        """
+        self._call_age_unknown_until = now + self._tuning["beat"]
         effects = []
         for number in [number for number, call in self.in_flight.items() if call.lacks_fencing_token]:
-            effects += self._settle(number, OutcomeUnknown())
+            effects += self._complete(number, OutcomeUnknown())
         return effects
 
     def on_timer(self, now: timedelta) -> list[Effect]:
-        """Give up calls whose time is over; send the others again to whoever is primary by now."""
+        """End the calls that have timed out; send the others again, to the primary known now."""
         effects = []
         for number, call in list(self.in_flight.items()):
-            if now - call.started_at > self._tuning["op_wait"] or call.lacks_fencing_token and now > call.caller_waits_until:
-                effects += self._settle(number, OutcomeUnknown())
+            if now - call.started_at > self._tuning["op_wait"] or call.lacks_fencing_token and now > call.caller_deadline:
+                effects += self._complete(number, OutcomeUnknown())
             elif now - call.sent_at > self._tuning["beat"]:
                 call.sent_to = ""
                 effects += self._send(number, now)
         return effects
 
     def _redirect(self, number: int, sender: str, primary: str, now: timedelta) -> list[Effect]:
-        """Send the call to the core that another one takes for the primary."""
+        """Send the call to the core that the sender names as primary, unless that is the sender or was sent the call already."""
         call = self.in_flight[number]
         if not primary or primary == sender or call.sent_to == primary:
             return []
@@ -175,7 +180,7 @@
         return self._send(number, now)
 
     def _send(self, number: int, now: timedelta) -> list[Effect]:
-        """Send the message of the step that the call is in, if a primary is known."""
+        """Send the message for the step that the call is in, if a primary is known."""
         call = self.in_flight[number]
         receiver = call.sent_to or self._primary()
         if not receiver:
@@ -183,8 +188,8 @@
         call.was_sent, call.sent_at, call.sent_to = True, now, receiver
         return [Send(receiver, call.message(number))]
 
-    def _settle(self, number: int, result: Result) -> list[Effect]:
-        """End the call and answer its caller."""
+    def _complete(self, number: int, result: Result) -> list[Effect]:
+        """Remove the call and reply to its caller."""
         call = self.in_flight.pop(number)
         if call.call_id is None:
             return []
@@ -192,7 +197,7 @@
 
 
 def _reply(call_id: str, call: Call, result: Result) -> Reply:
-    """What the caller is answered."""
+    """Return the reply to the caller for a result."""
     match result:
         case Acknowledged(version):
             return Reply(call_id, result_codes.OK, {"version": list(version), "change": call.change_id})
@@ -205,14 +210,15 @@
 
 
 def needs_fencing_token(operation: RawOperation) -> bool:
-    """Whether an operation names no base of its own, so that one is read from the primary first."""
+    """Return whether an operation carries no base version, so that a fencing token must be requested from the primary first."""
     return operation[0] in FENCED_OPERATIONS
 
 
 def operation_digest(operation: RawOperation) -> str:
-    """Digest what an operation says, whichever daemon sends it.
+    """Return a digest of an operation that is the same at every daemon that sends it.
 
-    A configuration with a number of its own counts by its text: each daemon parses that for itself.
+    A configuration with the operator's own version number is represented by its source text, because each daemon parses the text
+    itself.
     """
     if operation[0] == TableChange.TAG:
         kind, base, number, _, source = operation
--- a/silverglade/configuration/schema.py
+++ b/silverglade/configuration/schema.py
@@ -1,7 +1,7 @@
-"""The operators' configuration (design 8.2): what its fields may be, checked and refused as a whole.
+"""Schema of the operators' configuration (design 8.2), which is accepted or rejected as a whole.
 
-A configuration is kept as a dictionary, as it travels and is stored. Field names are part of the API; those that end in `_ms` are
-milliseconds.
+A configuration is kept as a dictionary, in the form in which it is sent and stored. Field names are part of the API; those that end
+in `_ms` hold milliseconds.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 from ..runtime.outside_input import is_header_value
 from .validation import (
-    LEFT_OUT,
     MAX_NAME_LENGTH,
+    OMITTED,
     ValidationError,
     boolean,
     integer,
@@ -29,10 +29,10 @@
 )
 
 Configuration = dict[str, Any]
-"""A configuration that was checked, with defaults filled in."""
+"""A valid configuration, with defaults filled in."""
 
 Errors = tuple[tuple[str, str], ...]
-"""(path, message) of each error."""
+"""(path, message) of each error found."""
 
 MEBIBYTE = 1024 * 1024
 MINUTE_MS = 60 * 1000
@@ -55,25 +55,25 @@
     {
         "least": integer(least=0, most=10000),
         "most": integer(least=1, most=10000),
-        "boot_ms": integer(least=0, most=HOUR_MS),  # from an order until the replica that it adds serves
+        "boot_ms": integer(least=0, most=HOUR_MS),  # from the order of a replica until it serves requests
     },
-    default=LEFT_OUT,
+    default=OMITTED,
 )
-"""Between which numbers of replicas a service may be ordered in each zone (design 16.5)."""
+"""The least and greatest number of replicas to which a service may be scaled in each zone (design 16.5)."""
 
 SERVICE = record(
     {
         "health": text(default="", least=0),
-        "conns": integer(default=256, least=1, most=100000),  # connections that one replica takes from all daemons
-        "cold_ms": integer(default=0, most=HOUR_MS),  # how long a replica that was started is slow
-        "cold_per_s": number(default=0.0, most=1e6),  # requests a second that it bears meanwhile; 0: no bound
-        "slots": integer(default=0, most=100000),  # requests at once; 0: as each replica declares
-        "keeps": integer(default=0),  # tokens of prompts and answers that a replica's prefix cache holds
-        "stride": integer(default=1, least=1, most=100000),  # tokens in one event of a stream
-        "scaling": SCALING,  # left out: its replicas are not ordered
+        "conns": integer(default=256, least=1, most=100000),  # connections that one replica accepts from all daemons together
+        "cold_ms": integer(default=0, most=HOUR_MS),  # slow start: how long a replica is slow after it has started
+        "cold_per_s": number(default=0.0, most=1e6),  # requests per second that it can serve during slow start; 0: unlimited
+        "slots": integer(default=0, most=100000),  # concurrent requests per replica; 0: as declared by the replica
+        "keeps": integer(default=0),  # capacity of a replica's prefix cache, in tokens of prompts and answers
+        "stride": integer(default=1, least=1, most=100000),  # tokens per event of a stream
+        "scaling": SCALING,  # left out: its replicas are not scaled
     }
 )
-"""A service that routes lead to (design 15.2)."""
+"""A service to which routes forward requests (design 15.2)."""
 
 ROUTE = record(
     {
@@ -83,17 +83,17 @@
         "kind": one_of("pure", "effectful", "streaming"),
         "due_ms": integer(least=1, most=DAY_MS),
         "aim_ms": number(default=1000.0, least=0.001),  # latency target
-        "gap_ms": number(default=0.0),  # longest pause between events of a stream that is in time; 0: none set
+        "gap_ms": number(default=0.0),  # longest pause between events of a stream that is still on time; 0: no limit
         "rank": integer(default=0, most=1000),
-        "tries": integer(default=1, least=1, most=100),  # replicas that one arrival may be sent to
-        "homes": list_of(text(), default=(), unique=True),  # regions; none: any
+        "tries": integer(default=1, least=1, most=100),  # attempts per arriving request, each on another replica
+        "homes": list_of(text(), default=(), unique=True),  # regions; empty: any
         "by_prefix": boolean(default=False),
         "resumable": boolean(default=False),
-        "public": omittable(boolean()),  # whether it wants no caller's key; left out: false
+        "public": omittable(boolean()),  # whether requests need no caller's key; left out: false
         "shares": list_of(record({"service": text(), "weight": number()}), least=1),
     }
 )
-"""A route of forwarded requests (design 15.2)."""
+"""A route for forwarded requests (design 15.2)."""
 
 CLIENT_LIMITS = record(
     {
@@ -103,53 +103,53 @@
         "idle_ms": integer(default=30000, least=1),
     }
 )
-"""What clients may send, and how slowly."""
+"""Limits on the size of clients' requests, and on the time that clients may take to send them."""
 
 ZONE = record({"region": text(), "least": integer(default=1, least=0, most=10000)})
-"""A zone; `least`: how many replicas it must have."""
+"""A zone; `least`: the least number of replicas that it must have."""
 
 TENANT = record(
     {
         "homes": list_of(text(), least=1, unique=True),  # zones
-        "keys": list_of(text(least=32, most=64), least=1, unique=True),  # digests of its keys
+        "keys": list_of(text(least=32, most=64), least=1, unique=True),  # digests of the tenant's keys, in hex
         "classes": mapping_of(REQUEST_CLASS, least=1),
     }
 )
-"""A tenant."""
+"""A tenant, whose requests run in its home zones."""
 
 CALLER = record(
     {
-        "keys": list_of(text(least=32, most=64), default=(), unique=True),  # digests of its keys
-        "homes": list_of(text(), default=(), unique=True),  # regions; none: any
-        "rank": optional(integer(most=1000)),  # goes before the route's; None: as 0
+        "keys": list_of(text(least=32, most=64), default=(), unique=True),  # digests of the tenant's keys, in hex
+        "homes": list_of(text(), default=(), unique=True),  # regions; empty: any
+        "rank": optional(integer(most=1000)),  # compared before the route's rank; None: as 0
     }
 )
-"""A caller: a tenant of forwarded requests, known by its key (design 17)."""
+"""A caller: a tenant of forwarded requests, identified by its key (design 17)."""
 
 CONFIGURATION = record(
     {
-        "number": integer(default=0),  # the operator's own version; 0: it uses control's alone
+        "number": integer(default=0),  # the operator's own version number; 0: only control's version is used
         "routes": list_of(ROUTE, default=()),
         "services": optional(mapping_of(SERVICE)),
         "limits": optional(CLIENT_LIMITS),
         "zones": mapping_of(ZONE, least=1),
         "tenants": mapping_of(TENANT),
-        "callers": omittable(mapping_of(CALLER)),  # left out: routes want no key; empty: every key is unknown
-        "body_cap": integer(default=MEBIBYTE, least=1, most=4 * MEBIBYTE),  # bytes of a tenant's request
+        "callers": omittable(mapping_of(CALLER)),  # left out: routes need no key; empty: every key is unknown
+        "body_cap": integer(default=MEBIBYTE, least=1, most=4 * MEBIBYTE),  # largest body of a tenant's request, in bytes
     }
 )
-"""The whole configuration."""
+"""A whole configuration."""
 
 
 def key_digest(key: str | bytes, /) -> str:
-    """Digest a key: only its digest is kept, never the key (design 2.1)."""
+    """Return the digest of a key in hex. Only digests of keys are stored, never the keys (design 2.1)."""
     return blake2b(key.encode() if isinstance(key, str) else key, digest_size=KEY_DIGEST_BYTES).hexdigest()
 
 
 def parse_configuration(raw: Any, /) -> tuple[Any, Errors]:
-    """Check a configuration and fill in its defaults.
+    """Validate a configuration and fill in its defaults.
 
-    :param raw: the configuration as an operator sent it, or one that was parsed already.
+    :param raw: a configuration as sent by an operator, or one that has already been parsed.
     :returns: a `Configuration` and no errors, or None and all errors as `ValidationError`s.
     """
     configuration, errors = validate(CONFIGURATION, raw)
@@ -164,7 +164,7 @@
 
 
 def _tenant_errors(configuration: Configuration) -> Iterator[ValidationError]:
-    """Errors between tenants and zones, and keys that two tenants share."""
+    """Yield homes of tenants that are not zones of the configuration, and keys that two tenants share."""
     tenant_by_key: dict[str, str] = {}
     for name, tenant in configuration["tenants"].items():
         for index, zone in enumerate(tenant["homes"]):
@@ -177,12 +177,12 @@
 
 
 def _caller_errors(configuration: Configuration) -> Iterator[ValidationError]:
-    """Errors between callers and regions, and keys that two callers share (design 17)."""
+    """Yield unusable names of callers, homes that are not regions of the configuration, and keys that two callers share (design 17)."""
     caller_by_key: dict[str, str] = {}
     regions = {zone["region"] for zone in configuration["zones"].values()}
     for name, caller in configuration.get("callers", {}).items():
         if not is_header_value(name, max_length=MAX_NAME_LENGTH):
-            yield ValidationError(f"callers.{name}", "wants a name that a header can carry")
+            yield ValidationError(f"callers.{name}", "must be a valid value of an HTTP header")
         for index, home in enumerate(caller["homes"]):
             if home not in regions:
                 yield ValidationError(f"callers.{name}.homes[{index}]", f"unknown region {home}")
@@ -192,17 +192,17 @@
 
 
 def _route_errors(configuration: Configuration) -> Iterator[ValidationError]:
-    """Errors between routes, services and regions (design 15.2)."""
-    route_by_place: dict[tuple[str, str], str] = {}
+    """Yield conflicts between routes, and references to unknown services and regions (design 15.2)."""
+    route_by_match: dict[tuple[str, str], str] = {}
     regions = {zone["region"] for zone in configuration["zones"].values()}
     for index, route in enumerate(configuration["routes"]):
         path = f"routes[{index}]"
-        place = (route["host"].lower(), route["prefix"])
+        match_key = (route["host"].lower(), route["prefix"])
         if not (route["prefix"].startswith("/") and route["prefix"].endswith("/")):
-            yield ValidationError(f"{path}.prefix", "wants to begin and end with /")
-        if place in route_by_place:
-            yield ValidationError(f"{path}.prefix", f"stands at the same place as {route_by_place[place]}")
-        route_by_place[place] = route["name"]
+            yield ValidationError(f"{path}.prefix", "must begin and end with /")
+        if match_key in route_by_match:
+            yield ValidationError(f"{path}.prefix", f"has the same host and prefix as {route_by_match[match_key]}")
+        route_by_match[match_key] = route["name"]
         yield from _share_errors(route["shares"], f"{path}.shares", configuration["services"] or {})
         for home_index, home in enumerate(route["homes"]):
             if home not in regions:
@@ -210,15 +210,15 @@
 
 
 def _service_errors(configuration: Configuration) -> Iterator[ValidationError]:
-    """Errors within services (design 16.5)."""
+    """Yield inconsistent limits of scaling (design 16.5)."""
     for name, service in (configuration["services"] or {}).items():
         scaling = service.get("scaling")
         if scaling and scaling["least"] > scaling["most"]:
-            yield ValidationError(f"services.{name}.scaling.least", "is above most")
+            yield ValidationError(f"services.{name}.scaling.least", "must not be greater than most")
 
 
 def _share_errors(shares: tuple[Mapping[str, Any], ...], path: str, services: Mapping[str, Any]) -> Iterator[ValidationError]:
-    """Errors in how a route is divided between services."""
+    """Yield errors in the division of a route's requests between services."""
     for index, share in enumerate(shares):
         if share["service"] not in services:
             yield ValidationError(f"{path}[{index}].service", f"unknown service {share['service']}")
@@ -227,7 +227,7 @@
 
 
 def homes_of_tenant(configuration: Mapping[str, Any] | None, tenant: str, /) -> tuple[str, ...]:
-    """The zones where a tenant's requests may run; none without a configuration, or when the tenant was taken out of it."""
+    """Return the zones where a tenant's requests may run; empty without a configuration, or if the tenant is not in it."""
     if not configuration:
         return ()
     homes: tuple[str, ...] = configuration["tenants"].get(tenant, {"homes": ()})["homes"]
@@ -235,7 +235,7 @@
 
 
 def tenant_of_key(configuration: Mapping[str, Any], key: str, /) -> str | None:
-    """The tenant that a key belongs to, or None."""
+    """Return the tenant to which a key belongs, or None."""
     digest = key_digest(key)
     for name, tenant in configuration["tenants"].items():
         if digest in tenant["keys"]:
--- a/silverglade/configuration/status_reports.py
+++ b/silverglade/configuration/status_reports.py
@@ -1,4 +1,4 @@
-"""Reports that any daemon gives to operators and to the platform (design 2.2, 2.3), as JSON values."""
+"""Reports of a daemon's state to operators and to the platform (design 2.2, 2.3), as JSON values."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 
 class ReportedState(Record):
-    """What the components of this daemon have reported of the fleet.
+    """The state of the fleet, as the components of this daemon have reported it.
 
-    :ivar store: what control has acknowledged: key to (version, value).
-    :ivar proved_at: when the store was last proved to be the newest, or None.
+    :ivar store: the replicated store as acknowledged by control: key to (version, value).
+    :ivar proved_at: the last time at which the store was proved to be up to date, or None.
     :ivar replicas: id to `ReplicaEntry`, or to a tuple of its fields.
-    :ivar required_replicas: how many replicas must be ready: (region, kind) to count.
+    :ivar required_replicas: number of replicas that must be ready: (region, kind) to count.
     :ivar status_fields: further fields of this daemon's status.
     """
 
@@ -48,13 +48,13 @@
 
     @property
     def known_view(self) -> View:
-        """The newest view that any member speaks of."""
+        """The newest view that any member advertises."""
         view: View = max((member.attribute("view", NO_VIEW) for member in self.members), default=NO_VIEW)
         return view
 
 
 def status_report(state: ReportedState, now: timedelta) -> Report:
-    """Status of this daemon."""
+    """Return the status of this daemon."""
     own_record = next((member for member in state.members if member.name == state.own_name), None)
     return {
         "daemon": state.own_name,
@@ -72,13 +72,13 @@
 
 
 def _evacuated_zones(store: Mapping[str, tuple[Version, Any]]) -> list[str]:
-    """The zones that are evacuated, in the order of their names."""
+    """Return the names of the evacuated zones, sorted."""
     entries = store.items()
     return sorted(key.removeprefix(EVACUATION_PREFIX) for key, (_, value) in entries if key.startswith(EVACUATION_PREFIX) and value)
 
 
 def fleet_report(members: Iterable[MemberRecord]) -> Report:
-    """Every live daemon by its name."""
+    """Return a report of each live daemon, by the daemon's name."""
     return {member.name: _member_report(member) for member in members}
 
 
@@ -98,12 +98,12 @@
 
 
 def roles_report(store: Mapping[str, tuple[Version, Any]]) -> Report:
-    """Every singleton role by "KIND/NAME": its epoch, holder and follower."""
+    """Return the epoch, holder and follower of each singleton role, by "KIND/NAME"."""
     return {key.removeprefix(ROLE_PREFIX): list(value) for key, (_, value) in sorted(store.items()) if key.startswith(ROLE_PREFIX)}
 
 
 def replicas_report(replicas: Mapping[str, tuple[Any, ...]], now: timedelta) -> Report:
-    """Every replica of tenants' requests by its id."""
+    """Return a report of each replica that serves tenants' requests, by the replica's id."""
     entries = [(name, ReplicaEntry.of(entry)) for name, entry in sorted(replicas.items())]
     return {name: _replica_report(entry, now) for name, entry in entries}
 
@@ -129,7 +129,7 @@
 
 
 def capacity_report(state: ReportedState, region: str) -> Report:
-    """How many replicas a region needs and has, by kind, for the platform (design 9.6)."""
+    """Return the numbers of replicas that a region requires and has, by kind; read by the platform (design 9.6)."""
     configuration = value_of(state.store, "config") or {"zones": {}}
     zones = {name: zone for name, zone in configuration["zones"].items() if zone["region"] == region}
     entries = [ReplicaEntry.of(entry) for entry in state.replicas.values()]
@@ -151,7 +151,7 @@
 
 
 def _scaler_shares(members: Iterable[MemberRecord], region: str, kind: str) -> dict[str, list[Any]]:
-    """What the scalers of the region's daemons have measured of a kind, by daemon."""
+    """Return the measurements of a kind that the scalers of the region's daemons advertise, by daemon."""
     return {
         member.name: list(share[1:])
         for member in members
@@ -161,5 +161,5 @@
 
 
 def _age_ms(time: timedelta | None, now: timedelta) -> int | None:
-    """Whole milliseconds since then, or None."""
+    """Return the whole milliseconds since a time; None if there is no such time."""
     return to_milliseconds(now - time) if time is not None else None
--- a/silverglade/configuration/validation.py
+++ b/silverglade/configuration/validation.py
@@ -1,7 +1,7 @@
 """Validation of nested dictionaries against typed rules (design 8.2): every error is reported with its path.
 
-A `FieldRule` is built by one of the functions below (`text`, `integer`, `record`, ...). `validate` applies a rule to a value and
-returns the value to keep, with defaults filled in, and all errors. The value is to be used only if there is none.
+The functions below (`text`, `integer`, `record`, ...) return a `FieldRule`. `validate` applies a rule to a value and returns the
+value to keep, with defaults filled in, and all errors. The value may be used only if there are no errors.
 """
 
 from __future__ import annotations
@@ -13,20 +13,21 @@
 from ..runtime.outside_input import is_address
 
 MISSING = object()
-"""The default of a field that must be given."""
+"""The default of a required field."""
 
-LEFT_OUT = object()
-"""The default of a field that stays out of the record when it is not given: what was stored before it existed stays the same."""
+OMITTED = object()
+"""The default of a field that is absent from the record if it is not given, so that records stored before the field existed do not
+change."""
 
 MAX_NAME_LENGTH = 100
-"""Characters of a name in a `mapping_of`."""
+"""Longest name in a `mapping_of`, in characters."""
 
 
 class ValidationError(NamedTuple):
     """One error in a value.
 
-    :ivar path: where it lies, as "routes[0].prefix"; empty for the whole value.
-    :ivar message: what is wrong, as "wants a list".
+    :ivar path: the faulty field, such as "routes[0].prefix"; empty for the whole value.
+    :ivar message: the requirement that is not met, such as "must be a list".
     """
 
     path: str
@@ -34,14 +35,14 @@
 
 
 Check = Callable[[Any, str, list[ValidationError]], Any]
-"""A function (value, path, errors) that appends what is wrong to `errors` and returns the value to keep."""
+"""A function (value, path, errors) that appends the errors found to `errors` and returns the value to keep."""
 
 
 class FieldRule:
-    """What the value of a field must be.
+    """A rule that the value of a field must follow.
 
     :ivar check: the function that checks a value.
-    :ivar default: the value of a field that is left out, `MISSING`, or `LEFT_OUT`.
+    :ivar default: the value of a field that is not given, `MISSING`, or `OMITTED`.
     """
 
     __slots__ = ("check", "default")
@@ -52,7 +53,7 @@
 
 
 def _is_number(value: Any) -> bool:
-    """Whether a value is an int or a float; a bool is none."""
+    """Return whether a value is an int or a float; a bool is not a number."""
     return type(value) in (int, float)
 
 
@@ -61,7 +62,7 @@
 
     def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
         if not isinstance(value, str) or not least <= len(value) <= most:
-            errors.append(ValidationError(path, f"wants text of {least} to {most} letters"))
+            errors.append(ValidationError(path, f"must be text of {least} to {most} characters"))
         return value
 
     return FieldRule(check, default=default)
@@ -72,18 +73,18 @@
 
     def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
         if type(value) is not int or not least <= value <= most:
-            errors.append(ValidationError(path, f"wants a whole number from {least} to {most}"))
+            errors.append(ValidationError(path, f"must be a whole number from {least} to {most}"))
         return value
 
     return FieldRule(check, default=default)
 
 
 def number(*, default: Any = MISSING, least: float = 0.0, most: float = 1e12) -> FieldRule:
-    """Rule for a number from `least` to `most`, which is kept as a float."""
+    """Rule for a number from `least` to `most`, which is converted to a float."""
 
     def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
         if not _is_number(value) or not least <= value <= most:
-            errors.append(ValidationError(path, f"wants a number from {least} to {most}"))
+            errors.append(ValidationError(path, f"must be a number from {least} to {most}"))
             return value
         return float(value)
 
@@ -91,13 +92,13 @@
 
 
 def duration(*, default: Any = MISSING, most: float = 86400.0) -> FieldRule:
-    """Rule for a duration of more than 0 and at most `most` seconds, which is kept as a timedelta."""
+    """Rule for a duration of more than 0 and at most `most` seconds, which is converted to a timedelta. A timedelta is kept unchecked."""
 
     def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
         if isinstance(value, timedelta):
             return value
         if not _is_number(value) or not 0 < value <= most:
-            errors.append(ValidationError(path, f"wants seconds above 0, at most {most:g}"))
+            errors.append(ValidationError(path, f"must be a number of seconds greater than 0 and at most {most:g}"))
             return value
         return timedelta(seconds=value)
 
@@ -109,50 +110,50 @@
 
     def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
         if type(value) is not bool:
-            errors.append(ValidationError(path, "wants true or false"))
+            errors.append(ValidationError(path, "must be true or false"))
         return value
 
     return FieldRule(check, default=default)
 
 
 def address(*, default: Any = MISSING) -> FieldRule:
-    """Rule for an address IP:PORT."""
+    """Rule for an address of the form IP:PORT."""
 
     def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
         if not isinstance(value, str) or not is_address(value):
-            errors.append(ValidationError(path, "wants an address IP:PORT"))
+            errors.append(ValidationError(path, "must be an address IP:PORT"))
         return value
 
     return FieldRule(check, default=default)
 
 
-def one_of(*words: str, default: Any = MISSING) -> FieldRule:
-    """Rule for one of these words."""
+def one_of(*choices: str, default: Any = MISSING) -> FieldRule:
+    """Rule for one of the given strings."""
 
     def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
-        if value not in words:
-            errors.append(ValidationError(path, "wants one of " + ", ".join(words)))
+        if value not in choices:
+            errors.append(ValidationError(path, "must be one of " + ", ".join(choices)))
         return value
 
     return FieldRule(check, default=default)
 
 
 def list_of(rule: FieldRule, *, default: Any = MISSING, least: int = 0, unique: bool = False) -> FieldRule:
-    """Rule for a list whose entries all follow `rule`, which is kept as a tuple.
+    """Rule for a list whose entries all follow `rule`; it is converted to a tuple.
 
     :param least: the smallest number of entries.
-    :param unique: whether no entry may come twice.
+    :param unique: whether all entries must be different.
     """
 
     def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
         if not isinstance(value, (list, tuple)):
-            errors.append(ValidationError(path, "wants a list"))
+            errors.append(ValidationError(path, "must be a list"))
             return value
         if len(value) < least:
-            errors.append(ValidationError(path, f"wants at least {least}"))
+            errors.append(ValidationError(path, f"must have at least {least}"))
         entries = tuple([rule.check(entry, f"{path}[{index}]", errors) for index, entry in enumerate(value)])
         if unique and len({repr(entry) for entry in entries}) < len(entries):
-            errors.append(ValidationError(path, "has the same entry twice"))
+            errors.append(ValidationError(path, "must not have the same entry twice"))
         return entries
 
     return FieldRule(check, default=default)
@@ -166,20 +167,20 @@
 
     def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
         if not isinstance(value, dict):
-            errors.append(ValidationError(path, "wants a table"))
+            errors.append(ValidationError(path, "must be a table"))
             return value
         if len(value) < least:
-            errors.append(ValidationError(path, f"wants at least {least}"))
+            errors.append(ValidationError(path, f"must have at least {least}"))
         for name in value:
             if not _is_entry_name(name):
-                errors.append(ValidationError(f"{path}.{name}", f"wants a name of 1 to {MAX_NAME_LENGTH} letters without /"))
+                errors.append(ValidationError(f"{path}.{name}", f"must be a name of 1 to {MAX_NAME_LENGTH} characters without /"))
         return {name: rule.check(entry, f"{path}.{name}", errors) for name, entry in value.items()}
 
     return FieldRule(check, default=default)
 
 
 def _is_entry_name(name: Any) -> bool:
-    """Whether a key of a dictionary can be a name."""
+    """Return whether a key of a dictionary is a valid name."""
     return isinstance(name, str) and 0 < len(name) <= MAX_NAME_LENGTH and "/" not in name
 
 
@@ -188,7 +189,7 @@
 
     def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
         if not isinstance(value, dict):
-            errors.append(ValidationError(path, "wants a table"))
+            errors.append(ValidationError(path, "must be a table"))
             return value
         for name in value:
             if name not in fields:
@@ -199,7 +200,7 @@
                 kept[name] = rule.check(value[name], _field_path(path, name), errors)
             elif rule.default is MISSING:
                 errors.append(ValidationError(_field_path(path, name), "missing"))
-            elif rule.default is not LEFT_OUT:
+            elif rule.default is not OMITTED:
                 kept[name] = rule.default
         return kept
 
@@ -207,12 +208,12 @@
 
 
 def _field_path(path: str, name: Any) -> str:
-    """The path of a field of the record at `path`."""
+    """Return the path of a field of the record at `path`."""
     return f"{path}.{name}".lstrip(".")
 
 
 def optional(rule: FieldRule) -> FieldRule:
-    """Rule for a field that may be left out or None, and is None then."""
+    """Rule for a field that may be left out or None; its value is None in both cases."""
 
     def check(value: Any, path: str, errors: list[ValidationError]) -> Any:
         return None if value is None else rule.check(value, path, errors)
@@ -221,12 +222,12 @@
 
 
 def omittable(rule: FieldRule) -> FieldRule:
-    """Rule for a field that may be left out, and is not in the record then."""
-    return FieldRule(rule.check, default=LEFT_OUT)
+    """Rule for a field that may be left out, and is then absent from the record."""
+    return FieldRule(rule.check, default=OMITTED)
 
 
 def validate(rule: FieldRule, value: Any) -> tuple[Any, tuple[ValidationError, ...]]:
-    """Check a value.
+    """Apply a rule to a value.
 
     :returns: the value to keep and the errors, in the order in which they were found.
     """
--- a/tests/configuration/test_operator_calls.py
+++ b/tests/configuration/test_operator_calls.py
@@ -60,7 +60,7 @@
     assert a.fenced(n, (9, 9)) == ()  # a late second answer
     ((_, _, (_, n, _)),) = a.begin("d")
     assert a.fenced(n, after_ms=801) == (("reply", "d", 503, {"change": "id"}),) and a.fenced(n) == ()
-    ((_, _, (_, n, _)),) = a.begin("e", caller_waits=milliseconds(3000))  # it said that it waits
+    ((_, _, (_, n, _)),) = a.begin("e", caller_timeout=milliseconds(3000))  # it said that it waits
     assert a.fenced(n, after_ms=2900)[0][2][0] == "op"
     assert a.begin("f", operation=TABLE)[0][2][0] == "op"  # it has a base of its own
 
--- a/tests/configuration/test_validation.py
+++ b/tests/configuration/test_validation.py
@@ -35,27 +35,27 @@
 @pytest.mark.parametrize(
     "rule,value,path,message",
     [
-        (rules.text(most=3), "long", "", "wants text of 1 to 3 letters"),
-        (rules.integer(), True, "", "wants a whole number from 0 to 9007199254740992"),
-        (rules.integer(least=2, most=3), 4, "", "wants a whole number from 2 to 3"),
-        (rules.number(), float("nan"), "", "wants a number from 0.0 to 1000000000000.0"),
-        (rules.number(), False, "", "wants a number from 0.0 to 1000000000000.0"),
-        (rules.duration(), 0, "", "wants seconds above 0, at most 86400"),
-        (rules.boolean(), 1, "", "wants true or false"),
-        (rules.address(), "localhost:80", "", "wants an address IP:PORT"),
-        (rules.address(), "127.0.0.1:65536", "", "wants an address IP:PORT"),
-        (rules.address(), "127.0.0.1:0", "", "wants an address IP:PORT"),
-        (rules.address(), 80, "", "wants an address IP:PORT"),
-        (rules.one_of("a", "b"), "c", "", "wants one of a, b"),
-        (TEXTS, "a", "", "wants a list"),
-        (TEXTS, [], "", "wants at least 1"),
-        (TEXTS, ["a", "a"], "", "has the same entry twice"),
-        (TEXTS, ["a", ""], "[1]", "wants text of 1 to 200 letters"),
-        (NUMBERS, [], "", "wants a table"),
-        (NUMBERS, {}, "", "wants at least 1"),
-        (NUMBERS, {"a/b": 1}, ".a/b", "wants a name of 1 to 100 letters without /"),
-        (NUMBERS, {"a": "1"}, ".a", "wants a whole number from 0 to 9007199254740992"),
-        (rules.record({"a": rules.integer()}), [], "", "wants a table"),
+        (rules.text(most=3), "long", "", "must be text of 1 to 3 characters"),
+        (rules.integer(), True, "", "must be a whole number from 0 to 9007199254740992"),
+        (rules.integer(least=2, most=3), 4, "", "must be a whole number from 2 to 3"),
+        (rules.number(), float("nan"), "", "must be a number from 0.0 to 1000000000000.0"),
+        (rules.number(), False, "", "must be a number from 0.0 to 1000000000000.0"),
+        (rules.duration(), 0, "", "must be a number of seconds greater than 0 and at most 86400"),
+        (rules.boolean(), 1, "", "must be true or false"),
+        (rules.address(), "localhost:80", "", "must be an address IP:PORT"),
+        (rules.address(), "127.0.0.1:65536", "", "must be an address IP:PORT"),
+        (rules.address(), "127.0.0.1:0", "", "must be an address IP:PORT"),
+        (rules.address(), 80, "", "must be an address IP:PORT"),
+        (rules.one_of("a", "b"), "c", "", "must be one of a, b"),
+        (TEXTS, "a", "", "must be a list"),
+        (TEXTS, [], "", "must have at least 1"),
+        (TEXTS, ["a", "a"], "", "must not have the same entry twice"),
+        (TEXTS, ["a", ""], "[1]", "must be text of 1 to 200 characters"),
+        (NUMBERS, [], "", "must be a table"),
+        (NUMBERS, {}, "", "must have at least 1"),
+        (NUMBERS, {"a/b": 1}, ".a/b", "must be a name of 1 to 100 characters without /"),
+        (NUMBERS, {"a": "1"}, ".a", "must be a whole number from 0 to 9007199254740992"),
+        (rules.record({"a": rules.integer()}), [], "", "must be a table"),
         (rules.record({"a": rules.integer()}), {}, "a", "missing"),
         (rules.record({}), {"b": 1}, "b", "unknown key"),
         (rules.record({"a": rules.record({})}), {"a": {"b": 1}}, "a.b", "unknown key"),
@@ -66,7 +66,7 @@
 
 
 def test_a_field_may_stay_left_out():
-    rule = rules.record({"a": rules.record({"b": rules.integer()}, default=rules.LEFT_OUT)})
+    rule = rules.record({"a": rules.record({"b": rules.integer()}, default=rules.OMITTED)})
     assert validate(rule, {}) == ({}, ())
     assert validate(rule, {"a": {"b": 1}}) == ({"a": {"b": 1}}, ())
     assert validate(rule, {"a": {}})[1] == (ValidationError("a.b", "missing"),)
--- a/tests/membership/test_zone_relay_partitions.py
+++ b/tests/membership/test_zone_relay_partitions.py
@@ -77,12 +77,12 @@
 
 
 AGED = (
-    'is_aged = answer.proof_age_ms < 0 or answer.proof_age_ms > to_milliseconds(self._tuning["aged"])',
-    "is_aged = False",
+    'is_proof_stale = answer.proof_age_ms < 0 or answer.proof_age_ms > to_milliseconds(self._tuning["aged"])',
+    "is_proof_stale = False",
 )
 HEDGED = (
-    "elif self.pending_request and now > self._give_up_at(self.pending_request):",
-    "elif self.pending_request and now - self.pending_request.sent_at > self._longest_answer_time():",
+    "elif self.pending_request and now > self._next_attempt_at(self.pending_request):",
+    "elif self.pending_request and now - self.pending_request.sent_at > self._answer_timeout():",
 )
 
 
--- a/tests/system/test_safety_rules.py
+++ b/tests/system/test_safety_rules.py
@@ -219,7 +219,7 @@
     (
         a_daemon_restarts_beside_a_core_that_is_behind,
         "slipped-back",
-        [(NEWS, "if not self._is_start_proved:", "if False:", "silverglade.runtime.daemon_components.Updater")],
+        [(NEWS, "if not self._has_passed_startup_check:", "if False:", "silverglade.runtime.daemon_components.Updater")],
     ),
     (
         power_is_lost_after_an_acknowledgement,
--- a/tests/system/test_tools.py
+++ b/tests/system/test_tools.py
@@ -9,7 +9,7 @@
 
 
 def homes(**kw):
-    return place.solve(place.checked(dict(zones=ZONES, **kw)))
+    return place.solve(place.parse_constraints(dict(zones=ZONES, **kw)))
 
 
 def test_placements_meet_every_constraint_that_was_written():
@@ -32,7 +32,7 @@
         homes(tenants={"t": {"homes": 1, "keep": ["a"], "avoid": ["a"]}, "u": {}})
     assert e.value.code == 704
     assert "t keeps a" in e.value.detail and "t avoids a" in e.value.detail
-    assert "u wants" not in e.value.detail
+    assert "u requires" not in e.value.detail
     with pytest.raises(SilvergladeError) as e:
         homes(tenants={"t": {"burden": 40, "homes": 1}})
     assert "capacity" in e.value.detail
@@ -43,7 +43,7 @@
         homes(tenants={"t": {"keep": ["nowhere"]}})
     assert e.value.code == 703 and "tenants.t.keep" in e.value.detail
     with pytest.raises(SilvergladeError) as e:
-        place.checked({"zones": [], "tenants": {}, "more": 1})
+        place.parse_constraints({"zones": [], "tenants": {}, "more": 1})
     assert "more: unknown key" in e.value.detail
 
 
--- a/tests/testbed/test_linearizability.py
+++ b/tests/testbed/test_linearizability.py
@@ -197,7 +197,7 @@
         "a change is fenced when its caller may have gone",
         lambda seed: zone(seed, CUT_BEFORE),
         "silverglade.configuration.operator_calls",
-        ("if now > call.caller_waits_until:", " or call.lacks_fencing_token and now > call.caller_waits_until"),
+        ("if now > call.caller_deadline:", " or call.lacks_fencing_token and now > call.caller_deadline"),
         ("if False:", ""),
         CALLS,
     ),
