--- a/silverglade/configuration/updater.py
+++ b/silverglade/configuration/updater.py
@@ -223,9 +223,9 @@
     def _hedge(self, pending: PendingRequest, now: timedelta) -> None:
         """Send an urgent request to another core as well: the core queried first may be outdated, partitioned or down."""
         answer_timeout = self._answer_timeout()
-        is_silent = now - pending.sent_at > answer_timeout
-        self._selector.avoid(pending.core, now + self._tuning["gone" if is_silent else "settle"])
-        if not is_silent:
+        is_timed_out = now - pending.sent_at > answer_timeout
+        self._selector.avoid(pending.core, now + self._tuning["gone" if is_timed_out else "settle"])
+        if not is_timed_out:
             age_ms = to_milliseconds(now - self.proved_at) if self.proved_at is not None else NO_PROOF
             self._effects.append(log_record("updates-overdue", core=pending.core, age_ms=age_ms))
         self._hedge_delay = min(self._hedge_delay * 2, answer_timeout)
@@ -292,9 +292,8 @@
         if self._has_passed_startup_check:
             return
         if self._tuning["trust"]:
-            is_proof_recent = proof_age_ms <= to_milliseconds(
-                self._tuning["aged"]
-            )  # also true without a proof: that core has been restarted
+            # also true without a proof, whose age is negative: that core has been restarted
+            is_proof_recent = proof_age_ms <= to_milliseconds(self._tuning["aged"])
             self._has_passed_startup_check = is_proof_recent or now - self._first_answer_at >= self._tuning["settle"]
         else:
             self._has_passed_startup_check = proof_age_ms >= 0 and proved_at >= self._started_at
--- a/tests/configuration/test_after_restarts.py
+++ b/tests/configuration/test_after_restarts.py
@@ -1,7 +1,7 @@
-"""Machines that start again while changes go on (design 5.7); incident refused-by-an-older-version.
+"""Restarts of machines during changes (design 5.7); guards against incident refused-by-an-older-version.
 
-Days of losses and restarts, judged after each event of each daemon: a store that is proved holds all that was acknowledged before its
-proof, and a router that would refuse an unknown route holds all that was acknowledged `apply_ms` before.
+Simulated losses and restarts, checked after each event of each daemon: a store with a proof holds all changes acknowledged before the
+time of the proof, and a router that would refuse an unknown route holds all changes acknowledged `apply_ms` earlier.
 """
 
 import pytest
@@ -12,43 +12,43 @@
 
 from ..support.source_mutation import without
 
-FEWEST_PROOFS = 10_000
-"""Judged in one day."""
+MIN_CHECKED_PROOFS = 10_000
+"""Least number of proofs that one simulated run must check."""
 
 
-def judged(day):
-    """The day, which was judged often enough and shows no breach."""
+def assert_no_breach(day):
+    """Assert that the run made enough checks and found no breach; returns the run."""
     assert day.o.breaches == []
-    assert day.o.judged > FEWEST_PROOFS and day.o.certain_answers > FEWEST_PROOFS / 4
+    assert day.o.judged > MIN_CHECKED_PROOFS and day.o.certain_answers > MIN_CHECKED_PROOFS / 4
     return day
 
 
-# guards against: an edge that started beside a region's return refuses a route that was acknowledged long before
+# Guards against an edge that starts while a lost region returns, and refuses a route that was acknowledged long before.
 @pytest.mark.parametrize("seed", range(3))
-def test_an_edge_that_started_beside_a_lost_region_is_never_certain_of_an_older_version(seed):
-    judged(restart_days.as_in_the_record(seed))
+def test_an_edge_that_starts_beside_a_lost_region_never_relies_on_an_outdated_version(seed):
+    assert_no_breach(restart_days.as_in_the_record(seed))
 
 
-# guards against: a proof that is told for a store which lacks an acknowledged change, whatever failed before
+# Guards against a proof that is reported for a store without an acknowledged change, whatever failed before.
 @pytest.mark.parametrize("seed", range(3))
-def test_a_proof_holds_all_that_was_acknowledged_before_it_through_losses_and_restarts(seed):
-    judged(restart_days.stormy(seed, seconds=20))
+def test_a_proved_store_holds_all_earlier_acknowledged_changes_despite_losses_and_restarts(seed):
+    assert_no_breach(restart_days.stormy(seed, seconds=20))
 
 
-# guards against: a zone relay that passes a proof on with an older store
-def test_a_proof_that_a_zone_relay_passes_on_holds_all_that_was_acknowledged_before_it():
-    judged(restart_days.stormy(0, seconds=20, size=RELAYED))
+# Guards against a zone relay that forwards a proof with an older store.
+def test_a_store_proved_through_a_zone_relay_holds_all_earlier_acknowledged_changes():
+    assert_no_breach(restart_days.stormy(0, seconds=20, size=RELAYED))
 
 
-KNOWN_WITHIN_S = 1.0
-"""A machine that starts holds what is in force, and its proof, though one core of three is away."""
+READY_WITHIN_S = 1.0
+"""Within this time a machine that starts holds the configuration in force and its proof, although one core of three is down."""
 
 
-# guards against: an edge that starts waits 1.5 s for a core that is away before it asks another
+# Guards against an edge that at its start waits 1.5 s for a core that is down before it queries another.
 @pytest.mark.parametrize("seed", range(12))
 def test_an_edge_that_starts_while_a_core_is_away_soon_knows_what_is_in_force(seed):
     day, edge = restart_days.started_while_a_core_is_away(seed)
-    assert [took for took, name in day.o.ready_after if name == edge and took < KNOWN_WITHIN_S * SEC], day.o.ready_after
+    assert [elapsed for elapsed, name in day.o.ready_after if name == edge and elapsed < READY_WITHIN_S * SEC], day.o.ready_after
     assert day.o.breaches == []
 
 
@@ -56,22 +56,22 @@
 LIVENESS, DAEMON_PARTS = "silverglade.control.liveness", "silverglade.runtime.daemon_components"
 BREACHES = [
     (
-        "a proof is as new as its answer",
+        "a proof is dated to the arrival of its answer",
         (UPDATER, "proved_at = answered_at - milliseconds(answer.proof_age_ms)", "proved_at = now", f"{DAEMON_PARTS}.Updater"),
         {"proved-what-is-old"},
     ),
     (
-        "the items of an answer are left out",
+        "the items of an answer are not applied",
         (UPDATER, "newer = [item for item in answer.items if is_newer(item, self.store)]", "newer = []", f"{DAEMON_PARTS}.Updater"),
         {"proved-without-an-item"},
     ),
     (
-        "the router misses changes",
+        "the router ignores later configurations",
         (ROUTER, "if configuration is not context.configuration and", "if context.configuration is None and", f"{DAEMON_PARTS}.Router"),
         {"router-beside-its-store"},
     ),
     (
-        "a route is refused whatever the age of the proof",
+        "a route is refused regardless of the age of the proof",
         (
             "silverglade.routing.context",
             'return self.proved_at is not None and now - self.proved_at <= self.tuning["certain"]',
@@ -81,29 +81,29 @@
         {"certain-of-an-older-version"},
     ),
     (
-        "a zone relay says that each proof is new",
+        "a zone relay reports every proof as new",
         (RELAY, "return -((self._proved_at - now) // milliseconds(1))", "return 0", f"{DAEMON_PARTS}.ZoneRelay"),
         {"proved-what-is-old"},
     ),
     (
-        "a core takes a proof of one who shows more",
+        "a core adopts the proof of a core with a newer version",
         (LIVENESS, "    elif heartbeat.age >= 0:", "    if heartbeat.age >= 0:", f"{LIVENESS}.on_heartbeat"),
         {"proved-what-is-old"},
     ),
     (
-        "a core's proof is as new as the heartbeat that brought it",
+        "a core dates a proof to the heartbeat that carried it",
         (LIVENESS, "milliseconds(heartbeat.echo - age))", "now)", f"{LIVENESS}.on_heartbeat"),
         {"proved-what-is-old"},
     ),
 ]
 
 
-MOST_DAYS = 8
-"""Played with a guard cut out until the oracle sees what is wrong."""
+MAX_RUNS = 8
+"""Largest number of runs without a guard in which the oracle must detect the fault."""
 
 
 @pytest.mark.parametrize("mutation, rules", [breach[1:] for breach in BREACHES], ids=[breach[0] for breach in BREACHES])
-def test_the_oracle_sees_a_proof_that_is_wrong(mutation, rules, monkeypatch):
+def test_the_oracle_detects_a_wrong_proof(mutation, rules, monkeypatch):
     without(monkeypatch, *mutation)
-    days = (restart_days.stormy(seed, seconds=15, size=RELAYED) for seed in range(MOST_DAYS))
+    days = (restart_days.stormy(seed, seconds=15, size=RELAYED) for seed in range(MAX_RUNS))
     assert any(rules <= {rule for _, rule, *_ in day.o.breaches} for day in days)
--- a/tests/configuration/test_callers.py
+++ b/tests/configuration/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers of forwarded requests in the configuration (design 17): what is taken, refused, and was stored before there were any."""
+"""Callers of forwarded requests in the configuration (design 17): accepted, rejected, and absent from configurations stored earlier."""
 
 import pytest
 
@@ -11,12 +11,12 @@
 
 
 def parsed(callers, **fields):
-    """The configuration with these callers, and its errors."""
+    """Parse a configuration with these callers -> the configuration, its errors."""
     raw = dict(zones=ZONES, tenants={}, services={"s": {}}, routes=[route(**fields)], callers=callers)
     return parse_configuration(raw)
 
 
-def test_callers_are_taken_with_their_defaults():
+def test_callers_are_accepted_with_their_defaults():
     configuration, errors = parsed({"ann": {"keys": [KEY]}, "bob": {"keys": [], "homes": ["a"], "rank": 0}})
     assert errors == ()
     assert configuration["callers"]["ann"] == {"keys": (KEY,), "homes": (), "rank": None}
@@ -38,25 +38,25 @@
         (None, "callers"),
     ],
 )
-def test_callers_with_a_fault_make_the_configuration_invalid(callers, path):
+def test_an_invalid_caller_makes_the_configuration_invalid(callers, path):
     configuration, errors = parsed(callers)
     assert configuration is None and [error.path for error in errors] == [path]
 
 
-def test_a_route_says_whether_it_is_public():
+def test_a_route_may_be_public():
     assert parsed({}, public=True)[0]["routes"][0]["public"] is True
     assert [error.path for error in parsed({}, public=1)[1]] == ["routes[0].public"]
 
 
-def test_a_configuration_without_callers_is_stored_as_before_there_were_any():
-    """Guards against new fields in what is stored and sent of a configuration that does not use them."""
+def test_a_configuration_without_callers_is_stored_without_the_fields_of_callers():
+    """Guards against new fields in the stored and sent form of a configuration that does not use them."""
     configuration = parsed_configuration(route())
     assert "callers" not in configuration and "public" not in configuration["routes"][0]
     assert parse_configuration(configuration) == (configuration, ())
 
 
-def test_a_stored_configuration_that_knows_no_callers_is_served():
-    """Guards against a daemon that cannot work under what an earlier version stored: neither `callers` nor `public` is there."""
+def test_a_configuration_stored_before_callers_existed_is_served():
+    """Guards against a daemon that fails with a configuration stored by an earlier version, without `callers` and `public`."""
     bench = RouterBench(route())
     stored = bench.store["config"][1]
     assert "callers" not in stored and "public" not in stored["routes"][0]
--- a/tests/configuration/test_operator_calls.py
+++ b/tests/configuration/test_operator_calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls in flight at one daemon (design 5.4): fencing tokens, retries, and callers that have left."""
+"""Operators' calls in flight at one daemon (design 5.4): fencing tokens, retries, and callers that have disconnected."""
 
 import random
 
@@ -12,82 +12,84 @@
 
 PRIMARY = "p"
 EVACUATION = ("evac", "z", True)
-TABLE = ("table", 1, 2, {}, "t")  # a change with a base of its own
+TABLE = ("table", 1, 2, {}, "t")  # a change that carries its base version
 
 
 class ScriptedPrimary:
-    """Calls whose primary is played by the test. Each method returns the effects that follow, in tuple form."""
+    """Calls in flight, with a primary whose answers the test supplies. Each method returns the resulting effects as tuples."""
 
     def __init__(self):
         self.now = 100 * SEC
         self.calls = OperatorCalls(tuning=tuning(), rng=random.Random(1), primary=lambda: PRIMARY)
 
     def begin(self, call_id="c", operation=EVACUATION, **kw):
-        return self.tuples(self.calls.begin(call_id, "id", operation, self.now, **kw))
+        return self.as_tuples(self.calls.begin(call_id, "id", operation, self.now, **kw))
 
-    def fenced(self, number, version=(1, 1), after_ms=0):
-        """The primary answers the request for a fencing token."""
+    def deliver_token(self, number, version=(1, 1), after_ms=0):
+        """Deliver the primary's answer to the request for a fencing token."""
         self.now += milliseconds(after_ms)
-        return self.tuples(self.calls.on_fencing_token(number, version, self.now))
+        return self.as_tuples(self.calls.on_fencing_token(number, version, self.now))
 
-    def told(self, number, result, after_ms=0):
-        """The primary answers the operation."""
+    def deliver_result(self, number, result, after_ms=0):
+        """Deliver the primary's answer to the operation."""
         self.now += milliseconds(after_ms)
-        return self.tuples(self.calls.on_result(number, PRIMARY, decode_result(result), self.now))
+        return self.as_tuples(self.calls.on_result(number, PRIMARY, decode_result(result), self.now))
 
-    def time_passes(self, after_ms):
+    def advance_time(self, after_ms):
         self.now += milliseconds(after_ms)
-        return self.tuples(self.calls.on_timer(self.now))
+        return self.as_tuples(self.calls.on_timer(self.now))
 
     def process_paused(self):
-        return self.tuples(self.calls.on_process_paused(self.now))
+        return self.as_tuples(self.calls.on_process_paused(self.now))
 
     @staticmethod
-    def tuples(effects):
+    def as_tuples(effects):
         return tuple([to_tuple(effect) for effect in effects])
 
 
 @pytest.fixture
-def a():
+def daemon():
     return ScriptedPrimary()
 
 
-def test_a_change_without_a_base_is_sent_only_with_one_that_came_while_its_caller_was_there(a):
-    ((_, to, (kind, n, op)),) = a.begin()
+def test_a_change_without_a_base_is_sent_only_with_a_token_that_arrived_while_the_caller_waited(daemon):
+    ((_, to, (kind, number, op)),) = daemon.begin()
     assert (to, kind, op) == ("p", "fence", ("evac", "z", True))
-    ((_, _, sent),) = a.fenced(n, after_ms=799)
+    ((_, _, sent),) = daemon.deliver_token(number, after_ms=799)
     assert sent[0] == "op" and sent[3] == ("evac", "z", True, (1, 1))
-    assert a.fenced(n, (9, 9)) == ()  # a late second answer
-    ((_, _, (_, n, _)),) = a.begin("d")
-    assert a.fenced(n, after_ms=801) == (("reply", "d", 503, {"change": "id"}),) and a.fenced(n) == ()
-    ((_, _, (_, n, _)),) = a.begin("e", caller_timeout=milliseconds(3000))  # it said that it waits
-    assert a.fenced(n, after_ms=2900)[0][2][0] == "op"
-    assert a.begin("f", operation=TABLE)[0][2][0] == "op"  # it has a base of its own
+    assert daemon.deliver_token(number, (9, 9)) == ()  # a late second answer
+    ((_, _, (_, number, _)),) = daemon.begin("d")
+    assert daemon.deliver_token(number, after_ms=801) == (("reply", "d", 503, {"change": "id"}),) and daemon.deliver_token(number) == ()
+    ((_, _, (_, number, _)),) = daemon.begin("e", caller_timeout=milliseconds(3000))  # the caller announced how long it waits
+    assert daemon.deliver_token(number, after_ms=2900)[0][2][0] == "op"
+    assert daemon.begin("f", operation=TABLE)[0][2][0] == "op"  # it carries its base version
 
 
-def test_a_stale_base_is_read_again_only_while_the_caller_is_there(a):
-    ((_, _, (_, n, _)),) = a.begin()
-    a.fenced(n)
-    assert a.told(n, ("stale",), after_ms=300)[0][2][0] == "fence"
-    assert a.fenced(n, (1, 7))[0][2][3][-1] == (1, 7)
-    assert a.told(n, ("stale",), after_ms=600) == (("reply", "c", 503, {"change": "id"}),)
-    ((_, _, (_, n, *_)),) = a.begin("d", operation=TABLE)
-    assert a.told(n, ("stale",)) == (("reply", "d", 503, {"change": "id"}),)  # its outcome may be forgotten
+def test_a_stale_token_is_requested_again_only_while_the_caller_waits(daemon):
+    ((_, _, (_, number, _)),) = daemon.begin()
+    daemon.deliver_token(number)
+    assert daemon.deliver_result(number, ("stale",), after_ms=300)[0][2][0] == "fence"
+    assert daemon.deliver_token(number, (1, 7))[0][2][3][-1] == (1, 7)
+    assert daemon.deliver_result(number, ("stale",), after_ms=600) == (("reply", "c", 503, {"change": "id"}),)
+    ((_, _, (_, number, *_)),) = daemon.begin("d", operation=TABLE)
+    assert daemon.deliver_result(number, ("stale",)) == (
+        ("reply", "d", 503, {"change": "id"}),
+    )  # the primary may have forgotten its outcome
 
 
-def test_after_a_freeze_what_cannot_be_dated_is_given_up(a):
-    ((_, _, (_, n, _)),) = a.begin()
-    assert a.process_paused() == (("reply", "c", 503, {"change": "id"}),) and a.fenced(n) == ()
-    assert a.begin("d") == (("reply", "d", 504, {"change": "id"}),)
-    assert a.begin("e", operation=TABLE)[0][2][0] == "op"
-    a.now += milliseconds(251)
-    assert a.begin("f")[0][2][0] == "fence"
+def test_after_a_pause_calls_of_unknown_age_are_ended(daemon):
+    ((_, _, (_, number, _)),) = daemon.begin()
+    assert daemon.process_paused() == (("reply", "c", 503, {"change": "id"}),) and daemon.deliver_token(number) == ()
+    assert daemon.begin("d") == (("reply", "d", 504, {"change": "id"}),)
+    assert daemon.begin("e", operation=TABLE)[0][2][0] == "op"
+    daemon.now += milliseconds(251)
+    assert daemon.begin("f")[0][2][0] == "fence"
 
 
-def test_a_caller_that_left_leaves_nothing_behind(a):
-    ((_, _, (_, n, _)),) = a.begin()
-    a.calls.on_caller_disconnected("c")
-    assert a.fenced(n) == () and a.told(n, ("ok", (1, 1))) == () and not a.calls.in_flight
+def test_the_call_of_a_disconnected_caller_is_dropped(daemon):
+    ((_, _, (_, number, _)),) = daemon.begin()
+    daemon.calls.on_caller_disconnected("c")
+    assert daemon.deliver_token(number) == () and daemon.deliver_result(number, ("ok", (1, 1))) == () and not daemon.calls.in_flight
 
 
 @pytest.mark.parametrize(
@@ -100,28 +102,28 @@
         (("a result of a later program",), 503, {"change": "id"}),
     ],
 )
-def test_a_result_of_the_primary_settles_the_call(a, result, code, fields):
-    ((_, _, (_, n, *_)),) = a.begin(operation=TABLE)
-    assert a.told(n, result) == (("reply", "c", code, fields),) and not a.calls.in_flight
+def test_a_result_of_the_primary_completes_the_call(daemon, result, code, fields):
+    ((_, _, (_, number, *_)),) = daemon.begin(operation=TABLE)
+    assert daemon.deliver_result(number, result) == (("reply", "c", code, fields),) and not daemon.calls.in_flight
 
 
-def test_an_unknown_outcome_is_asked_for_again_by_the_change_id(a):
-    ((_, _, first),) = a.begin(operation=TABLE)
-    assert a.told(first[1], ("unknown",)) == ()
-    assert a.time_passes(251) == (("send", PRIMARY, first),)
-    assert a.time_passes(4000) == (("reply", "c", 503, {"change": "id"}),)
+def test_an_unknown_outcome_is_requested_again_with_the_same_change_id(daemon):
+    ((_, _, first),) = daemon.begin(operation=TABLE)
+    assert daemon.deliver_result(first[1], ("unknown",)) == ()
+    assert daemon.advance_time(251) == (("send", PRIMARY, first),)
+    assert daemon.advance_time(4000) == (("reply", "c", 503, {"change": "id"}),)
 
 
-def test_a_core_that_is_not_primary_redirects_the_call_once(a):
-    ((_, _, body),) = a.begin(operation=TABLE)
-    assert a.told(body[1], ("elsewhere", "")) == ()
-    assert a.told(body[1], ("elsewhere", PRIMARY)) == ()  # itself
-    assert a.told(body[1], ("elsewhere", "q")) == (("send", "q", body),)
-    assert a.told(body[1], ("elsewhere", "q")) == ()  # it was sent there already
+def test_a_core_that_is_not_primary_redirects_the_call_once(daemon):
+    ((_, _, body),) = daemon.begin(operation=TABLE)
+    assert daemon.deliver_result(body[1], ("elsewhere", "")) == ()
+    assert daemon.deliver_result(body[1], ("elsewhere", PRIMARY)) == ()  # the sender itself
+    assert daemon.deliver_result(body[1], ("elsewhere", "q")) == (("send", "q", body),)
+    assert daemon.deliver_result(body[1], ("elsewhere", "q")) == ()  # the call was already sent there
 
 
-def test_one_operation_of_the_daemon_itself_is_in_flight_at_a_time_and_nobody_is_told(a):
-    ((_, to, (kind, n, change_id, operation, _)),) = a.tuples(a.calls.begin_own(("duties", ()), a.now))
+def test_a_daemon_has_one_operation_of_its_own_in_flight_and_sends_no_reply_for_it(daemon):
+    ((_, to, (kind, number, change_id, operation, _)),) = daemon.as_tuples(daemon.calls.begin_own(("duties", ()), daemon.now))
     assert (to, kind, change_id, operation) == (PRIMARY, "op", "", ("duties", ()))
-    assert a.calls.begin_own(("duties", ()), a.now) == []
-    assert a.told(n, ("ok", (1, 1))) == () and len(a.calls.begin_own(("duties", ()), a.now)) == 1
+    assert daemon.calls.begin_own(("duties", ()), daemon.now) == []
+    assert daemon.deliver_result(number, ("ok", (1, 1))) == () and len(daemon.calls.begin_own(("duties", ()), daemon.now)) == 1
--- a/tests/configuration/test_reload.py
+++ b/tests/configuration/test_reload.py
@@ -1,4 +1,4 @@
-"""Settings read again by a daemon that runs (design 8.1): seeds are taken live, what needs a restart is refused in one line."""
+"""Reload of settings by a running daemon (design 8.1): seeds are replaced, changes that need a restart are refused with one log line."""
 
 import anyio
 import pytest
@@ -15,8 +15,8 @@
 NEW = dict(seeds=["127.0.0.1:4", "127.0.0.1:5"], cores=["a", "d", "f"], first=False)
 
 
-class Lines:
-    """A log whose lines are kept."""
+class RecordingLogger:
+    """A logger that keeps its lines."""
 
     def __init__(self):
         self.lines, self.level = [], None
@@ -26,40 +26,40 @@
 
     warning = error = info
 
-    def setLevel(self, level):  # noqa: N802  the name of the logger that it stands in for
+    def setLevel(self, level):  # noqa: N802  the name in logging.Logger
         self.level = level
 
 
 def reloaded(**changed):
-    """-> a daemon that has read its settings again, with these changes; its log."""
-    log = Lines()
+    """Reload a daemon's settings with these changes -> the daemon, its log lines."""
+    log = RecordingLogger()
     daemon = Daemon(logger=log, settings=checked(dict(BASE)), read_settings=lambda: checked(dict(BASE, **changed)))
     anyio.run(daemon.settings_reloader.reload)
     return daemon, log.lines
 
 
-def asked(daemon, start):
-    """Addresses that a daemon without a roll asks in the 20 s from then on."""
-    to, now = set(), milliseconds(start)
+def queried_addresses(daemon, start_ms):
+    """Addresses that a daemon without members queries in 20 s from `start_ms`."""
+    to, now = set(), milliseconds(start_ms)
     for _ in range(400):
         now += daemon.tuning["pulse"]
         to |= {e[1] for e in daemon.machine.feed(now, ("pulse",)) if e[0] == "send" and e[2][0] == "get"}
     return to
 
 
-def test_seeds_of_the_settings_read_again_are_asked_and_those_of_before_no_more():
+def test_reloaded_seeds_replace_the_previous_ones():
     daemon, lines = reloaded(**NEW)
     assert daemon.queues.next_event() == (event := ("seeds", ("127.0.0.1:4", "127.0.0.1:5")))
-    assert asked(daemon, 0) == {"@127.0.0.1:3"}
+    assert queried_addresses(daemon, 0) == {"@127.0.0.1:3"}
     daemon.machine.feed(milliseconds(20000), event)
-    assert asked(daemon, 20000) == {"@127.0.0.1:4", "@127.0.0.1:5"}
+    assert queried_addresses(daemon, 20000) == {"@127.0.0.1:4", "@127.0.0.1:5"}
     assert len(lines) == 1 and "event=settings " in lines[0] + " " and "127.0.0.1:4" in lines[0]
     anyio.run(daemon.settings_reloader.reload)
-    assert daemon.queues.next_event() is None  # the same again is no news
+    assert daemon.queues.next_event() is None  # the same settings again change nothing
 
 
 @pytest.mark.parametrize("changed", [dict(zone="y"), dict(listen="127.0.0.1:9", http="127.0.0.1:8"), dict(tolerance={"zones": 2})])
-def test_what_needs_a_restart_is_refused_whole_and_named_in_one_line(changed):
+def test_a_change_that_needs_a_restart_is_refused_as_a_whole_with_one_log_line(changed):
     daemon, lines = reloaded(**NEW, **changed)
     assert len(lines) == 1 and "settings-refused" in lines[0]
     assert lines[0].endswith(f'why="needs a restart: {",".join(sorted(changed, key=list(daemon.settings).index))}"')
@@ -73,7 +73,7 @@
 
 
 def five_cores():
-    """A hamlet with two more cores, of which the first three are in the settings."""
+    """The hamlet with two more cores; the settings name the first three."""
     town = hamlet()
     town["daemons"] += [("core-second", "north", "n", True), ("core-third", "south", "s", True)]
     return town
@@ -83,22 +83,22 @@
 
 
 @pytest.mark.parametrize("name", ["edge-south-0", "core-third"])
-def test_a_daemon_whose_seeds_were_all_replaced_while_it_was_cut_off_finds_the_fleet_by_the_new_ones(name, monkeypatch):
+def test_a_daemon_whose_seeds_were_all_replaced_during_a_partition_finds_the_fleet_by_the_new_ones(name, monkeypatch):
     monkeypatch.setitem(TOWNS, "hamlet", five_cores)
     s = Scene(town="hamlet")
     n = s.w.nodes[name]
-    n.kill()  # before it has said a word: nobody knows of it
+    n.kill()  # before it has sent a message, so that no daemon has it as a member
     s.settle(6)
     s.w.cut([name], [m for m in s.w.nodes if m != name])
     s.w.seeds = tuple(s.w.nodes[c].addr for c in ("core-north", "core-middle"))
     n.boot()
-    for core in ("core-north", "core-middle"):  # one after the other, as cores are replaced
+    for core in ("core-north", "core-middle"):  # one after the other, as in a replacement of cores
         s.w.run(8)
         s.w.nodes[core].kill()
     s.w.run(8)
     s.w.heal()
     s.w.run(8)
-    assert len(n.members) == 1  # nobody that it knows to ask is there
+    assert len(n.members) == 1  # none of its old seeds is up
     n.feed(("seeds", tuple(s.w.nodes[c].addr for c in ("core-south", "core-second"))))
     assert until(s, lambda: rolls(s) == {6}) < 6
     s.put(at=name)
@@ -106,23 +106,23 @@
     assert s.o.acked[-1][-1] == n.store["config"][0] and s.o.faults == []
 
 
-def test_a_settings_file_that_changes_without_a_signal_is_read_again(tmp_path):
+def test_a_changed_settings_file_is_reloaded_without_a_signal(tmp_path):
     path = tmp_path / "settings"
     path.write_text("one")
     read = []
 
-    def reread():
+    def read_settings():
         read.append(path.read_text())
         return checked(dict(BASE))
 
-    daemon = Daemon(logger=Lines(), settings=checked(dict(BASE)), read_settings=reread, settings_file=str(path))
+    daemon = Daemon(logger=RecordingLogger(), settings=checked(dict(BASE)), read_settings=read_settings, settings_file=str(path))
     anyio.run(daemon.settings_reloader.reload_if_changed)
     assert read == []
     path.write_text("another")
     anyio.run(daemon.settings_reloader.reload_if_changed)
     anyio.run(daemon.settings_reloader.reload_if_changed)
     assert read == ["another"]
-    path.unlink()  # being replaced: nothing to read now
+    path.unlink()  # absent while it is being replaced
     anyio.run(daemon.settings_reloader.reload_if_changed)
     path.write_text("third")
     anyio.run(daemon.settings_reloader.reload_if_changed)
--- a/tests/configuration/test_settings.py
+++ b/tests/configuration/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings, configuration and order heads: refused whole, each fault with its path."""
+"""Validation of settings, configurations and request headers: rejected as a whole, each error with its path."""
 
 import pytest
 
@@ -8,47 +8,47 @@
 from silverglade.runtime.errors import SilvergladeError
 from silverglade.tenant_requests.admission import RequestHead, admit, is_surely_first
 
-GOOD = dict(name="e", zone="z", region="r", listen="127.0.0.1:1", http="127.0.0.1:2", seeds=["127.0.0.1:3"], cores=["a", "b", "c"])
-CFG = {
+VALID = dict(name="e", zone="z", region="r", listen="127.0.0.1:1", http="127.0.0.1:2", seeds=["127.0.0.1:3"], cores=["a", "b", "c"])
+VALID_CONFIGURATION = {
     "zones": {"z": {"region": "r"}},
     "tenants": {"t": {"homes": ["z"], "keys": [config.key_digest("k")], "classes": {"chat": {"aim_ms": 100}}}},
 }
 
 
-def test_every_fault_of_the_settings_is_told_with_its_path(snapshot):
-    bad = dict(GOOD, listen="nowhere", seeds=[], cores=["a", "a"], colour=1, tuning={"beat": -1, "x": 2}, log_level="LOUD")
+def test_every_error_in_the_settings_is_reported_with_its_path(snapshot):
+    bad = dict(VALID, listen="nowhere", seeds=[], cores=["a", "a"], colour=1, tuning={"beat": -1, "x": 2}, log_level="LOUD")
     with pytest.raises(SilvergladeError) as e:
         options.checked(bad)
     assert e.value.code == 701
     assert e.value.detail == snapshot
-    assert options.checked(GOOD)["tuning"]["beat"].total_seconds() == 0.25
+    assert options.checked(VALID)["tuning"]["beat"].total_seconds() == 0.25
 
 
 @pytest.mark.parametrize("without", [["prefixes"], ["prefix", "prefix"], "prefix", [3], ["cold-shares"]])
-def test_a_switch_of_a_mechanism_that_is_not_known_is_refused(without):
+def test_an_unknown_mechanism_in_without_is_refused(without):
     with pytest.raises(SilvergladeError) as e:
-        options.checked(dict(GOOD, tuning={"without": without}))
+        options.checked(dict(VALID, tuning={"without": without}))
     assert e.value.code == 701 and "tuning.without" in e.value.detail
-    assert options.checked(dict(GOOD, tuning={"without": ["prefix"]}))["tuning"]["without"] == ("prefix",)
+    assert options.checked(dict(VALID, tuning={"without": ["prefix"]}))["tuning"]["without"] == ("prefix",)
 
 
-def test_a_core_keeps_data_and_nobody_else_does():
+def test_only_a_core_has_a_data_folder():
     for bad in (
-        dict(GOOD, data=""),
-        dict(GOOD, name="a"),
-        dict(GOOD, cores=["a", "b"]),
-        dict(GOOD, cores=[f"c{i}" for i in range(10)]),
-        dict(GOOD, tolerance={"machines": 5}),
-        dict(GOOD, tolerance={"cores": 1}),
-        dict(GOOD, first="yes"),
+        dict(VALID, data=""),
+        dict(VALID, name="a"),
+        dict(VALID, cores=["a", "b"]),
+        dict(VALID, cores=[f"c{i}" for i in range(10)]),
+        dict(VALID, tolerance={"machines": 5}),
+        dict(VALID, tolerance={"cores": 1}),
+        dict(VALID, first="yes"),
     ):
         with pytest.raises(SilvergladeError):
             options.checked(bad)
-    late = options.checked(dict(GOOD, data="x", first=False))  # a core that joins those named
+    late = options.checked(dict(VALID, data="x", first=False))  # a core that joins the named ones
     assert late["data"] == "x" and late["tolerance"] == {"machines": 1, "zones": 1, "regions": 1}
 
 
-def test_every_fault_of_a_configuration_is_told_with_its_path(snapshot):
+def test_every_error_in_a_configuration_is_reported_with_its_path(snapshot):
     bad = {
         "zones": {"z": {"region": "r", "least": -1}, "y": {}},
         "extra": 1,
@@ -58,14 +58,18 @@
         },
     }
     assert tuple([tuple(error) for error in config.parse_configuration(bad)[1]]) == snapshot
-    twice = {"zones": CFG["zones"], "tenants": {"t": CFG["tenants"]["t"], "u": dict(CFG["tenants"]["t"], homes=["x"])}}
+    twice = {
+        "zones": VALID_CONFIGURATION["zones"],
+        "tenants": {"t": VALID_CONFIGURATION["tenants"]["t"], "u": dict(VALID_CONFIGURATION["tenants"]["t"], homes=["x"])},
+    }
     assert config.parse_configuration(twice)[1] == (("tenants.u.homes[0]", "unknown zone x"), ("tenants.u.keys[0]", "also a key of t"))
-    good, bad = config.parse_configuration(CFG)
-    assert bad == () and good["tenants"]["t"]["classes"]["chat"]["due_ms"] == 30000
+    parsed, errors = config.parse_configuration(VALID_CONFIGURATION)
+    assert errors == () and parsed["tenants"]["t"]["classes"]["chat"]["due_ms"] == 30000
 
 
-def head(**kw):
-    given = dict(configuration=config.parse_configuration(CFG)[0], body_size=1, generated_key="m")
+def admitted(**kw):
+    """Admit a request with these headers or arguments."""
+    given = dict(configuration=config.parse_configuration(VALID_CONFIGURATION)[0], body_size=1, generated_key="m")
     texts = dict(bearer_key="k", class_name="chat", key="", deadline="", prefix="", attempt="")
     for name, value in kw.items():
         (given if name in given else texts)[name] = value
@@ -88,25 +92,25 @@
         (dict(configuration=None), 309),
     ],
 )
-def test_a_bad_order_has_its_code_before_anything_is_handed_on(kw, code):
+def test_an_invalid_request_is_refused_with_its_code(kw, code):
     with pytest.raises(SilvergladeError) as e:
-        head(**kw)
+        admitted(**kw)
     assert e.value.code == code
 
 
-def test_not_run_is_promised_without_an_owner_only_when_that_is_sure():
-    assert is_surely_first(head()) and is_surely_first(head(key="a", attempt="1"))
-    assert not is_surely_first(head(key="a")) and not is_surely_first(head(key="a", attempt="2"))
+def test_a_request_is_surely_first_with_a_generated_key_or_as_attempt_1():
+    assert is_surely_first(admitted()) and is_surely_first(admitted(key="a", attempt="1"))
+    assert not is_surely_first(admitted(key="a")) and not is_surely_first(admitted(key="a", attempt="2"))
 
 
-def test_every_code_has_a_name_of_its_own_and_stands_in_the_docs():
+def test_every_result_code_has_a_unique_name_and_is_documented():
     assert len({n for n, _, _ in faults.RESULT_CODES.values()}) == len(faults.RESULT_CODES)
     doc = open("docs/faults.md", encoding="utf-8").read()
-    for code, (name, http, say) in faults.RESULT_CODES.items():
-        assert f"| {code} | {name} | {http or ''} | {say} |" in doc
+    for code, (name, http, message) in faults.RESULT_CODES.items():
+        assert f"| {code} | {name} | {http or ''} | {message} |" in doc
 
 
-def test_every_setting_stands_in_the_docs_with_its_default():
+def test_every_setting_is_documented_with_its_default():
     doc = open("docs/options.md", encoding="utf-8").read()
     for k in options.SETTINGS:
         assert f"| `{k}` |" in doc
@@ -117,10 +121,10 @@
 
 
 def settings(**kw):
-    return options.checked(dict(GOOD, **kw))
+    return options.checked(dict(VALID, **kw))
 
 
-def test_a_daemon_beyond_loopback_wants_a_key_for_each_role_or_to_be_told_outright(tmp_path):
+def test_a_daemon_beyond_loopback_needs_a_key_for_each_role_or_the_open_setting(tmp_path):
     for i, r in enumerate(options.ROLES):
         (tmp_path / r).write_text(f"key{i}\n")
     files = {f"{r}_key_file": str(tmp_path / r) for r in options.ROLES}
@@ -140,7 +144,7 @@
         assert e.value.code == 701 and why in e.value.detail
 
 
-def test_the_flags_of_a_daemon_cover_every_setting(capsys):
+def test_the_flags_of_run_are_parsed_and_checked(capsys):
     from silverglade.__main__ import main
 
     base = [
--- a/tests/configuration/test_updater.py
+++ b/tests/configuration/test_updater.py
@@ -1,4 +1,4 @@
-"""The updater by itself (design 5.7): when it asks whom, and which answers it takes."""
+"""The updater alone (design 5.7): when it queries which daemon, and which answers it applies."""
 
 import random
 
@@ -35,7 +35,7 @@
 
 
 class Daemon:
-    """An updater whose cores are played by the test."""
+    """An updater, with cores whose answers the test supplies."""
 
     def __init__(self, members=CORES, seeds=("seed:1",), **settings):
         self.tuning = tuning(**settings)
@@ -57,8 +57,8 @@
         self.now += milliseconds(after_ms)
         return self.updater.step(self.now, event)
 
-    def ask(self, after_ms=0):
-        """Let time pass -> the request that is sent, or None."""
+    def request(self, after_ms=0):
+        """Advance the time and fire the timer -> the request that is sent, or None."""
         effects = self.step(TimerFired(), after_ms)
         ready = [effect.event for effect in effects if isinstance(effect, Post) and isinstance(effect.event, UpdateRequestReady)]
         return ready[0] if ready else None
@@ -74,14 +74,14 @@
 
 def test_the_request_carries_the_version_held_and_the_position_of_the_table():
     d = Daemon()
-    request = d.ask()
+    request = d.request()
     assert d.step(request) == [Send("near", ("get", request.number, (0, 0), ()))]
     assert d.updater.pending_request == (request.number, "near", d.now)
 
 
-def test_an_answer_proved_newer_than_the_process_is_taken_and_told():
+def test_an_answer_proved_after_the_start_is_applied_and_broadcast():
     d = Daemon()
-    effects = d.answer(d.ask(after_ms=100), age_ms=20)
+    effects = d.answer(d.request(after_ms=100), age_ms=20)
     assert of_class(effects, StoreUpdated) == [StoreUpdated({"config": ((1, 1), {"number": 1})}, (1, 1))]
     assert of_class(effects, ProofRenewed) == [ProofRenewed(milliseconds(1000 + 100 - 20))]
     assert of_class(effects, DeltaReceived) == [DeltaReceived("near", DELTA)]
@@ -89,50 +89,50 @@
 
 
 @pytest.mark.parametrize("age_ms", [-1, 101])
-def test_an_answer_without_a_proof_newer_than_the_process_is_not_taken(age_ms):
+def test_an_answer_not_proved_after_the_start_is_not_applied(age_ms):
     d = Daemon()
-    effects = d.answer(d.ask(after_ms=100), age_ms=age_ms)
+    effects = d.answer(d.request(after_ms=100), age_ms=age_ms)
     assert of_class(effects, StoreUpdated) == of_class(effects, ProofRenewed) == []
     assert d.updater.store == {} and d.updater.store_version == (0, 0)
 
 
-def test_with_trust_an_old_proof_is_taken_only_after_a_while():
+def test_with_trust_an_old_proof_is_accepted_only_after_settle():
     d = Daemon(trust=True)
     old = to_ms(d.tuning["aged"]) + 1
-    d.answer(d.ask(), age_ms=old)
+    d.answer(d.request(), age_ms=old)
     assert d.updater.store == {}
-    d.answer(d.ask(after_ms=to_ms(d.tuning["settle"])), age_ms=old)
+    d.answer(d.request(after_ms=to_ms(d.tuning["settle"])), age_ms=old)
     assert "config" in d.updater.store
 
 
-def test_with_trust_a_core_without_any_proof_is_taken_at_once():
+def test_with_trust_an_answer_without_a_proof_is_applied_at_once():
     d = Daemon(trust=True)
-    d.answer(d.ask(), age_ms=-1)
+    d.answer(d.request(), age_ms=-1)
     assert "config" in d.updater.store and d.updater.proved_at is None
 
 
-def test_an_older_answer_is_rejected_and_its_core_passed_over():
+def test_an_outdated_answer_is_rejected_and_its_core_avoided():
     d = Daemon()
-    d.answer(d.ask(after_ms=100), version=(2, 5))
-    effects = d.answer(d.ask(), version=(2, 4))
+    d.answer(d.request(after_ms=100), version=(2, 5))
+    effects = d.answer(d.request(), version=(2, 4))
     assert [effect.event for effect in effects if isinstance(effect, LogRecord)] == ["update-outdated"]
     assert d.updater.store_version == (2, 5)
-    assert d.ask().core == "same-region"
+    assert d.request().core == "same-region"
 
 
-def test_an_item_is_taken_only_when_it_is_newer_than_the_one_held():
+def test_an_item_is_applied_only_if_it_is_newer_than_the_one_held():
     d = Daemon()
-    d.answer(d.ask(after_ms=100), version=(1, 3), items=(("config", (1, 3), "new"), ("duty/shard/t", (1, 2), (1, "a", ""))))
-    d.answer(d.ask(), version=(1, 4), items=(("config", (1, 2), "old"), ("duty/shard/t", (1, 4), None)))
+    d.answer(d.request(after_ms=100), version=(1, 3), items=(("config", (1, 3), "new"), ("duty/shard/t", (1, 2), (1, "a", ""))))
+    d.answer(d.request(), version=(1, 4), items=(("config", (1, 2), "old"), ("duty/shard/t", (1, 4), None)))
     assert d.updater.store == {"config": ((1, 3), "new")} and d.updater.store_version == (1, 4)
 
 
-# A record that only cores are told of made every daemon of the fleet publish a new version of its own.
-def test_a_change_whose_items_are_not_told_here_is_no_news_to_others():
+# Guards against a change of a record that is sent to cores only, upon which every daemon of the fleet advertised a new version.
+def test_a_version_without_items_for_this_daemon_is_not_advertised():
     daemon = Daemon()
-    effects = daemon.answer(daemon.ask(), version=(1, 1))
+    effects = daemon.answer(daemon.request(), version=(1, 1))
     assert [posted.value for posted in posts_of(effects, AttributeSet)] == [(1, 1)]
-    effects = daemon.answer(daemon.ask(1100), version=(1, 2), items=())
+    effects = daemon.answer(daemon.request(1100), version=(1, 2), items=())
     assert posts_of(effects, AttributeSet) == [] and daemon.updater.store_version == (1, 2)
 
 
@@ -141,49 +141,49 @@
     return [effect.event for effect in effects if isinstance(effect, Post) and isinstance(effect.event, event_class)]
 
 
-def test_while_the_proof_grows_old_another_core_is_asked_as_one_that_lacks_the_last_change():
+def test_a_hedged_request_gives_the_version_before_the_one_held():
     d = Daemon()
-    d.answer(d.ask(after_ms=100), version=(1, 3))
-    pending = d.ask()
+    d.answer(d.request(after_ms=100), version=(1, 3))
+    pending = d.request()
     assert pending.version == (1, 3)
-    hedged = d.ask(after_ms=to_ms(d.tuning["ask_wait"]) + 2 * to_ms(d.tuning["beat"]) + 1)
+    hedged = d.request(after_ms=to_ms(d.tuning["ask_wait"]) + 2 * to_ms(d.tuning["beat"]) + 1)
     assert hedged.core != pending.core and hedged.version == (1, 2)
 
 
-def test_answers_to_the_last_requests_are_taken_late():
+def test_late_answers_to_the_latest_requests_are_accepted():
     d = Daemon()
-    requests = [d.ask(after_ms=5000) for _ in range(MAX_UNANSWERED_REQUESTS + 1)]
+    requests = [d.request(after_ms=5000) for _ in range(MAX_UNANSWERED_REQUESTS + 1)]
     assert None not in requests
-    assert d.answer(requests[0]) == []  # given up for good
+    assert d.answer(requests[0]) == []  # no longer remembered
     assert of_class(d.answer(requests[1], age_ms=0), DeltaReceived)
 
 
-def test_after_a_pause_of_the_process_the_proof_is_dropped_and_a_core_is_asked():
+def test_after_a_pause_of_the_process_the_proof_is_dropped_and_a_core_is_queried():
     d = Daemon()
-    d.answer(d.ask(after_ms=100))
+    d.answer(d.request(after_ms=100))
     effects = d.step(ProcessPaused(), after_ms=9000)
     assert of_class(effects, ProofRenewed) == [ProofRenewed(None)] and of_class(effects, UpdateRequestReady)
     assert d.updater.proved_at is None and "config" in d.updater.store
 
 
-def test_without_members_the_seeds_are_asked_in_turn():
+def test_without_members_the_seeds_are_queried_in_turn():
     d = Daemon(members=(), seeds=("seed:1", "d:1", "seed:2"))
-    asked = [d.ask(after_ms=5000).core for _ in range(4)]
+    asked = [d.request(after_ms=5000).core for _ in range(4)]
     assert set(asked) == {"@seed:1", "@seed:2"} and asked[:2] == asked[2:]
 
 
-# guards against: a process that holds nothing waits for a seed that is away as long as one that is well informed would
+# Guards against a newly started process that waits for a seed which is down as long as a process with a proved store would.
 def test_a_process_that_has_just_started_asks_the_next_seed_as_soon_as_one_does_not_answer():
     d = Daemon(members=(), seeds=("a:1", "b:1"))
-    first, gap = d.ask(), to_ms(d.tuning["hedge_gap"])
-    assert d.ask(after_ms=gap) is None
+    first, gap = d.request(), to_ms(d.tuning["hedge_gap"])
+    assert d.request(after_ms=gap) is None
     effects = d.step(TimerFired(), after_ms=1)
-    assert [effect for effect in effects if isinstance(effect, LogRecord)] == []  # nothing is overdue yet
+    assert [effect for effect in effects if isinstance(effect, LogRecord)] == []  # no update is overdue yet
     assert d.updater.pending_request.core != first.core
-    assert d.ask(after_ms=2 * gap) is None and d.ask(after_ms=1).core == first.core  # and waits longer each time
+    assert d.request(after_ms=2 * gap) is None and d.request(after_ms=1).core == first.core  # the delay doubles each time
 
 
-def test_the_nearest_core_is_selected_that_is_not_passed_over():
+def test_the_nearest_core_that_is_not_avoided_is_selected():
     selector = CoreSelector(own_name="d", zone="z", region="r", is_core=False, own_address="d:1", seeds=(), rng=random.Random(7))
     selector.members = CORES
     selected = []
@@ -192,7 +192,7 @@
         selected.append(selector.select(now, last_queried=None))
         selector.avoid(selected[-1], milliseconds(1000 + len(selected)))
     assert selected == ["near", "same-region", "far"]
-    assert selector.select(now, last_queried=None) == "near"  # all are passed over: the one that may be tried again first
+    assert selector.select(now, last_queried=None) == "near"  # all are avoided: the one with the earliest end of avoidance
 
 
 def test_an_answer_without_a_delta_is_not_decoded():
@@ -201,7 +201,7 @@
 
 
 @pytest.mark.parametrize("version,before", [((0, 0), (0, 0)), ((3, 0), (3, 0)), ((3, 5), (3, 4))])
-def test_the_version_before_one_stays_in_its_epoch(version, before):
+def test_the_preceding_version_is_in_the_same_epoch(version, before):
     assert version_before(version) == before
 
 
--- a/tests/configuration/test_validation.py
+++ b/tests/configuration/test_validation.py
@@ -1,4 +1,4 @@
-"""Rules of fields (design 8.2): what each keeps, and the message and path of what it refuses."""
+"""Field rules (design 8.2): the value that each keeps, and the message and path of each error."""
 
 from datetime import timedelta
 
@@ -28,7 +28,7 @@
         (rules.record({"a": rules.integer(default=7)}), {}, {"a": 7}),
     ],
 )
-def test_a_value_that_follows_its_rule_is_kept(rule, value, kept):
+def test_a_valid_value_is_kept(rule, value, kept):
     assert validate(rule, value) == (kept, ()) and type(validate(rule, value)[0]) is type(kept)
 
 
@@ -61,11 +61,11 @@
         (rules.record({"a": rules.record({})}), {"a": {"b": 1}}, "a.b", "unknown key"),
     ],
 )
-def test_a_value_that_breaks_its_rule_is_refused_with_its_path(rule, value, path, message):
+def test_an_invalid_value_is_reported_with_its_path(rule, value, path, message):
     assert validate(rule, value)[1] == (ValidationError(path, message),)
 
 
-def test_a_field_may_stay_left_out():
+def test_an_omitted_field_is_absent_from_the_record():
     rule = rules.record({"a": rules.record({"b": rules.integer()}, default=rules.OMITTED)})
     assert validate(rule, {}) == ({}, ())
     assert validate(rule, {"a": {"b": 1}}) == ({"a": {"b": 1}}, ())
