--- a/silverglade/cli/operator.py
+++ b/silverglade/cli/operator.py
@@ -103,11 +103,11 @@
 
 def check_configuration(arguments: Arguments) -> ExitCode:
     """Validate a configuration file and print its errors."""
-    _, faults = parse_configuration(load_json(arguments.file))
-    for path, what in faults:
-        print(f"{path}: {what}")
-    print("sound" if not faults else f"{len(faults)} faults")
-    return ExitCode.ERROR if faults else ExitCode.SUCCESS
+    _, errors = parse_configuration(load_json(arguments.file))
+    for path, message in errors:
+        print(f"{path}: {message}")
+    print("sound" if not errors else f"{len(errors)} faults")
+    return ExitCode.ERROR if errors else ExitCode.SUCCESS
 
 
 def config(arguments: Arguments) -> ExitCode:
@@ -120,9 +120,9 @@
         print_result(arguments, current, f"# version {version}\n{json.dumps(current['config'], indent=1, sort_keys=True)}")
         return ExitCode.SUCCESS
     raw = load_json(arguments.file)
-    parsed, faults = parse_configuration(raw)
-    if faults:
-        raise InvalidConfigurationError("; ".join(f"{path}: {what}" for path, what in faults))
+    parsed, errors = parse_configuration(raw)
+    if errors:
+        raise InvalidConfigurationError("; ".join(f"{path}: {message}" for path, message in errors))
     if arguments.what == "diff":
         return _print_difference(current["config"], parsed, f"in force {version}", arguments.file)
     return submit_change(arguments, "PUT", "/v1/config", raw, [("If-Match", arguments.version or version)])
--- a/silverglade/cli/place.py
+++ b/silverglade/cli/place.py
@@ -50,18 +50,18 @@
     """
     constraints: Constraints
     constraints, found = validate(SPECIFICATION, raw)
-    faults = list(found) or _unknown_zones(constraints) or _unknown_tenants(constraints)
-    if faults:
-        raise InvalidConstraintsError("; ".join(f"{path}: {what}" for path, what in faults))
+    errors = list(found) or _unknown_zones(constraints) or _unknown_tenants(constraints)
+    if errors:
+        raise InvalidConstraintsError("; ".join(f"{path}: {message}" for path, message in errors))
     return constraints
 
 
 def _unknown_zones(constraints: Constraints) -> list[tuple[str, str]]:
     return [
         (f"tenants.{tenant}.{field}", f"unknown zone {zone}")
-        for tenant, wanted in constraints["tenants"].items()
+        for tenant, requirements in constraints["tenants"].items()
         for field in ("keep", "avoid")
-        for zone in wanted[field]
+        for zone in requirements[field]
         if zone not in constraints["zones"]
     ]
 
@@ -108,12 +108,12 @@
 
     def _add_homes(self, tenant: str) -> None:
         """Add the constraints of one tenant: number of homes, zones to keep or avoid, least number of regions."""
-        wanted, model, is_home = self._tenants[tenant], self.model, self.is_home
+        requirements, model, is_home = self._tenants[tenant], self.model, self.is_home
         homes = [is_home[tenant, zone] for zone in self._zones]
-        self._add_conditional(f"{tenant} requires {wanted['homes']} homes", model.add(sum(homes) == wanted["homes"]))
-        for zone in wanted["keep"]:
+        self._add_conditional(f"{tenant} requires {requirements['homes']} homes", model.add(sum(homes) == requirements["homes"]))
+        for zone in requirements["keep"]:
             self._add_conditional(f"{tenant} keeps {zone}", model.add(is_home[tenant, zone] == 1))
-        for zone in wanted["avoid"]:
+        for zone in requirements["avoid"]:
             self._add_conditional(f"{tenant} avoids {zone}", model.add(is_home[tenant, zone] == 0))
         zones_by_region: dict[str, list[str]] = {}
         for zone, row in self._zones.items():
@@ -121,7 +121,9 @@
         in_region = {region: model.new_bool_var(f"{tenant}#{region}") for region in zones_by_region}
         for region, zones in zones_by_region.items():
             model.add_max_equality(in_region[region], [is_home[tenant, zone] for zone in zones])
-        self._add_conditional(f"{tenant} requires {wanted['regions']} regions", model.add(sum(in_region.values()) >= wanted["regions"]))
+        self._add_conditional(
+            f"{tenant} requires {requirements['regions']} regions", model.add(sum(in_region.values()) >= requirements["regions"])
+        )
 
     def _add_group_apart(self, group: list[str]) -> None:
         """Add the constraints that no two tenants of a group share a zone."""
@@ -136,9 +138,9 @@
         carries when one of the others has failed.
         """
         shares = {}
-        for tenant, wanted in self._tenants.items():
-            remaining_homes = max(1, wanted["homes"] - (survives_loss and wanted["homes"] > 1))
-            shares[tenant] = -(-wanted["burden"] * LOAD_SCALE // remaining_homes)
+        for tenant, requirements in self._tenants.items():
+            remaining_homes = max(1, requirements["homes"] - (survives_loss and requirements["homes"] > 1))
+            shares[tenant] = -(-requirements["burden"] * LOAD_SCALE // remaining_homes)
         loads = {zone: sum(shares[tenant] * self.is_home[tenant, zone] for tenant in self._tenants) for zone in self._zones}
         for zone, row in self._zones.items():
             self._add_conditional(f"capacity of {zone}", self.model.add(loads[zone] <= row["capacity"] * LOAD_SCALE))
@@ -205,8 +207,8 @@
         if tenant not in configuration.get("tenants", {}):
             raise InvalidConstraintsError(f"the configuration has no tenant {tenant}")
         configuration["tenants"][tenant]["homes"] = zones
-    _, faults = parse_configuration(configuration)
-    if faults:
-        raise InvalidConfigurationError("; ".join(f"{path}: {what}" for path, what in faults))
+    _, errors = parse_configuration(configuration)
+    if errors:
+        raise InvalidConfigurationError("; ".join(f"{path}: {message}" for path, message in errors))
     print(json.dumps(configuration, indent=1, sort_keys=True))
     return 0
--- a/silverglade/configuration/core_selection.py
+++ b/silverglade/configuration/core_selection.py
@@ -47,7 +47,7 @@
         self._avoided_until = {name: until for name, until in self._avoided_until.items() if not name.startswith(SEED_PREFIX)}
 
     def avoid(self, name: str, until: timedelta) -> None:
-        """Prefer other daemons to this one until the given time; it is still selected if there is no other."""
+        """Prefer other daemons to this one until the given time; an avoided core is still selected if there is no other daemon to query."""
         self._avoided_until[name] = until
 
     def is_core_member(self, name: str) -> bool:
--- a/silverglade/configuration/schema.py
+++ b/silverglade/configuration/schema.py
@@ -85,7 +85,7 @@
         "aim_ms": number(default=1000.0, least=0.001),  # latency target
         "gap_ms": number(default=0.0),  # longest pause between events of a stream that is still on time; 0: no limit
         "rank": integer(default=0, most=1000),
-        "tries": integer(default=1, least=1, most=100),  # attempts per arriving request, each on another replica
+        "tries": integer(default=1, least=1, most=100),  # largest number of replicas to which one arriving request is sent
         "homes": list_of(text(), default=(), unique=True),  # regions; empty: any
         "by_prefix": boolean(default=False),
         "resumable": boolean(default=False),
@@ -119,7 +119,7 @@
 
 CALLER = record(
     {
-        "keys": list_of(text(least=32, most=64), default=(), unique=True),  # digests of the tenant's keys, in hex
+        "keys": list_of(text(least=32, most=64), default=(), unique=True),  # digests of the caller's keys, in hex
         "homes": list_of(text(), default=(), unique=True),  # regions; empty: any
         "rank": optional(integer(most=1000)),  # compared before the route's rank; None: as 0
     }
