--- a/silverglade/configuration/status_reports.py
+++ b/silverglade/configuration/status_reports.py
@@ -124,7 +124,7 @@
         "running": status.running if status else None,
         "cap": status.capacity if status else None,
         "used": status.used if status else None,
-        "age_ms": _age_ms(entry.heard_at, now),
+        "age_ms": _age_ms(entry.last_contact_at, now),
     }
 
 
--- a/silverglade/replicas/records.py
+++ b/silverglade/replicas/records.py
@@ -16,7 +16,7 @@
     READY = "ready"
     STARTING = "starting"
     LEAVING = "leaving"
-    DARK = "dark"  # it answers no health check
+    UNRESPONSIVE = "dark"  # it answers no health check
 
 
 READY: str = ReplicaState.READY.value
@@ -130,12 +130,12 @@
 
     record: ReplicaRecord
     status: ReplicaStatus | None
-    heard_at: timedelta | None
+    last_contact_at: timedelta | None
 
     @classmethod
     def of(cls, entry: tuple[Any, ...]) -> ReplicaEntry:
         """An entry from a tuple of arrays."""
         if isinstance(entry, cls):
             return entry
-        record, status, heard_at = entry
-        return cls(ReplicaRecord.of(record), ReplicaStatus.of(status) if status is not None else None, heard_at)
+        record, status, last_contact_at = entry
+        return cls(ReplicaRecord.of(record), ReplicaStatus.of(status) if status is not None else None, last_contact_at)
--- a/silverglade/replicas/registry.py
+++ b/silverglade/replicas/registry.py
@@ -37,13 +37,13 @@
 INC, ADDR, ZONE, KIND, HOMES, PREFIXES, SLOTS, LEAVING = 1, 3, 4, 5, 6, 7, 8, 9
 S_STATE, S_USE, S_RUNNING, S_CAP, S_USED = 4, 5, 7, 8, 9
 
-REPLICA_ROWS, MARK_ROWS, STATUS_ROWS = "replica", "mark", "status"
+REPLICA_ROWS, LEAVING_ROWS, STATUS_ROWS = "replica", "mark", "status"
 """Kinds of soft state."""
 
 DRAINED_ZONE_KEY = "evac/"
 """Prefix of the store's keys that say whether a zone is drained."""
 
-HEARD_OF_BY_OTHERS = "heard"
+ANNOUNCED_BY_PEER = "heard"
 """Why a replica counts as leaving: another daemon has published that."""
 
 TOMBSTONE_RANK = 1
@@ -133,7 +133,7 @@
         if now >= self._next_check:
             self._next_check = now + self._tuning["stale"] / 4
             self._forget_unrenewed(now)
-            self._count_quiet_replicas_as_heard_of()
+            self._refresh_contact_times()
             self._replicas_changed |= bool(self.table.statuses)
         self._effects.append(WakeAt(self._next_check))
 
@@ -148,13 +148,13 @@
             if self._is_core:
                 incarnation = forgotten.version[0]
                 self._publish_tombstone(REPLICA_ROWS, name, forgotten.version)
-                self._publish_tombstone(MARK_ROWS, name, (incarnation,))
+                self._publish_tombstone(LEAVING_ROWS, name, (incarnation,))
                 if status is not None:
                     self._publish_tombstone(STATUS_ROWS, name, status.rank)
             self._effects.append(log_record("replica-forgotten", replica=name))
         self.table.drop_forgotten_before(now - self._tuning["forget"])
 
-    def _count_quiet_replicas_as_heard_of(self) -> None:
+    def _refresh_contact_times(self) -> None:
         """While its lease holder lives and says nothing else, a replica is heard of; as of the proof held here, no later."""
         if self._proved_at is None:
             return
@@ -167,15 +167,15 @@
                 and holder.epoch == status.lease_epoch
                 and status.incarnation == (record.incarnation if record is not None else 0)
             ):
-                self.table.heard_at[name] = max(self.table.heard_at.get(name, self._proved_at), self._proved_at)
+                self.table.last_contact_at[name] = max(self.table.last_contact_at.get(name, self._proved_at), self._proved_at)
 
     # --- rows of other daemons, and statuses measured here
 
     def _on_soft_state(self, event: SoftStateChanged, now: timedelta) -> None:
-        if event.kind == MARK_ROWS:
+        if event.kind == LEAVING_ROWS:
             for name, (_, incarnation) in event.rows.items():
                 if type(incarnation) is int:
-                    self._replicas_changed |= self._mark_leaving(name, incarnation, HEARD_OF_BY_OTHERS, now)
+                    self._replicas_changed |= self._mark_leaving(name, incarnation, ANNOUNCED_BY_PEER, now)
         elif event.kind == REPLICA_ROWS:
             for name, (_, row) in event.rows.items():
                 record = ReplicaRecord.parse(row)
@@ -200,8 +200,8 @@
         """Note that a replica leaves, and tell the other daemons, unless they said it; whether that is new."""
         if not self.table.mark_leaving(name, incarnation, now):
             return False
-        if why != HEARD_OF_BY_OTHERS:
-            self._publish(MARK_ROWS, name, (incarnation,), incarnation)
+        if why != ANNOUNCED_BY_PEER:
+            self._publish(LEAVING_ROWS, name, (incarnation,), incarnation)
         self._effects.append(log_record("replica-leaving", replica=name, incarnation=incarnation, why=why))
         return True
 
@@ -212,9 +212,9 @@
             case "replica-put", (name, annotations):
                 self._register(call.call_id, name, annotations, now)
             case "replica-leave", (name,):
-                self._sign_off(call.call_id, name, now)
+                self._deregister(call.call_id, name, now)
             case "platform", (rows,):
-                self._on_platform_marks(call.call_id, rows, now)
+                self._on_platform_report(call.call_id, rows, now)
 
     def _register(self, call_id: str, name: str, annotations: Any, now: timedelta) -> None:
         """A replica registers, or renews its registration."""
@@ -271,14 +271,14 @@
         renewed_at = self.table.renewed_at.get(name, now)
         return bool(now - renewed_at > self._tuning["forget"] / 4)
 
-    def _sign_off(self, call_id: str, name: str, now: timedelta) -> None:
+    def _deregister(self, call_id: str, name: str, now: timedelta) -> None:
         """A replica says that it leaves."""
         record = self.table.records.get(name)
         if record is not None:
             self._replicas_changed |= self._mark_leaving(name, record.incarnation, "signed off", now)
         self._effects.append(Reply(call_id, result_codes.OK if record is not None else result_codes.NOT_FOUND, {}))
 
-    def _on_platform_marks(self, call_id: str, rows: Iterable[tuple[str, int | None, bool]], now: timedelta) -> None:
+    def _on_platform_report(self, call_id: str, rows: Iterable[tuple[str, int | None, bool]], now: timedelta) -> None:
         """The platform says of replicas whether they leave. It may not count incarnations: the present one is meant then."""
         for name, incarnation, is_leaving in rows:
             if incarnation is None and name in self.table.records:
@@ -319,14 +319,14 @@
     :param homes: the zones where the work may run; None for any.
     :param kind: which requests it must serve; None for any.
     """
-    record, status, heard_at = entry
+    record, status, last_contact_at = entry
     return (
         status is not None
         and status.state == READY
         and not record.is_leaving
         and record.zone not in drained_zones
-        and heard_at is not None
-        and bool(now - heard_at <= tuning["stale"])
+        and last_contact_at is not None
+        and bool(now - last_contact_at <= tuning["stale"])
         and (kind is None or record.kind == kind)
         and (homes is None or record.zone in homes and any(home in homes for home in record.homes))
     )
--- a/silverglade/replicas/replica_table.py
+++ b/silverglade/replicas/replica_table.py
@@ -32,19 +32,19 @@
 
     :ivar records: what replicas declared, by id.
     :ivar statuses: the newest status of each.
-    :ivar heard_at: when a replica was last heard of.
-    :ivar leaving_marks: id to the newest incarnation that is known to leave.
+    :ivar last_contact_at: when a replica was last heard of.
+    :ivar leaving_incarnations: id to the newest incarnation that is known to leave.
     :ivar renewed_at: when a replica's record or mark last became newer.
     :ivar forgotten: replicas that were dropped, kept for as long again.
     """
 
-    __slots__ = ("records", "statuses", "heard_at", "leaving_marks", "renewed_at", "forgotten")
+    __slots__ = ("records", "statuses", "last_contact_at", "leaving_incarnations", "renewed_at", "forgotten")
 
     def __init__(self) -> None:
         self.records: dict[str, ReplicaRecord] = {}
         self.statuses: dict[str, ReplicaStatus] = {}
-        self.heard_at: dict[str, timedelta] = {}
-        self.leaving_marks: dict[str, int] = {}
+        self.last_contact_at: dict[str, timedelta] = {}
+        self.leaving_incarnations: dict[str, int] = {}
         self.renewed_at: dict[str, timedelta] = {}
         self.forgotten: dict[str, ForgottenReplica] = {}
 
@@ -54,12 +54,12 @@
         :returns: whether anything but the heartbeat changed.
         """
         name = record.name
-        if name in self.forgotten and not self._recall(record):
+        if name in self.forgotten and not self._readmit(record):
             return False
         old = self.records.get(name)
         if old is None or record.version > old.version:
             self.renewed_at[name] = now
-        if self.leaving_marks.get(name, 0) >= record.incarnation:
+        if self.leaving_incarnations.get(name, 0) >= record.incarnation:
             record = record.as_leaving()  # it was marked before it was known here
         if old is not None and record.incarnation == old.incarnation and (record.is_leaving or old.is_leaving):
             record = record.as_leaving()
@@ -72,13 +72,13 @@
         self.records[name] = record
         return old is None or record.differs_from(old)
 
-    def _recall(self, record: ReplicaRecord) -> bool:
+    def _readmit(self, record: ReplicaRecord) -> bool:
         """Take a forgotten replica up again, unless the record is one that was forgotten here and not yet elsewhere."""
         forgotten = self.forgotten[record.name]
         if record.version <= forgotten.version:
             return False
         if record.incarnation == forgotten.version[0] and forgotten.was_leaving:
-            self.leaving_marks[record.name] = record.incarnation
+            self.leaving_incarnations[record.name] = record.incarnation
         del self.forgotten[record.name]
         return True
 
@@ -91,7 +91,7 @@
         if old is not None and status.rank <= old.rank:
             return False
         self.statuses[status.name] = status
-        self.heard_at[status.name] = now
+        self.last_contact_at[status.name] = now
         return old is None or old.state != status.state
 
     def mark_leaving(self, name: str, incarnation: int, now: timedelta) -> bool:
@@ -99,11 +99,11 @@
 
         :returns: whether that was not known before.
         """
-        if self.leaving_marks.get(name, 0) >= incarnation:
+        if self.leaving_incarnations.get(name, 0) >= incarnation:
             return False
         if name in self.forgotten and incarnation <= self.forgotten[name].version[0]:
             return False
-        self.leaving_marks[name] = incarnation
+        self.leaving_incarnations[name] = incarnation
         self.renewed_at.setdefault(name, now)
         record = self.records.get(name)
         if record is not None and record.incarnation <= incarnation and not record.is_leaving:
@@ -135,10 +135,10 @@
         if record is not None:
             forgotten = ForgottenReplica(record.version, now, record.is_leaving)
         else:
-            forgotten = ForgottenReplica((self.leaving_marks[name], ANY_HEARTBEAT), now, True)
+            forgotten = ForgottenReplica((self.leaving_incarnations[name], ANY_HEARTBEAT), now, True)
         self.forgotten[name] = forgotten
-        self.heard_at.pop(name, None)
-        self.leaving_marks.pop(name, None)
+        self.last_contact_at.pop(name, None)
+        self.leaving_incarnations.pop(name, None)
         self.renewed_at.pop(name, None)
         return forgotten, self.statuses.pop(name, None)
 
@@ -149,7 +149,10 @@
 
     def entries(self) -> dict[str, ReplicaEntry]:
         """Every registered replica with its status, if that is of the same incarnation."""
-        return {name: ReplicaEntry(record, self._current_status(record), self.heard_at.get(name)) for name, record in self.records.items()}
+        return {
+            name: ReplicaEntry(record, self._current_status(record), self.last_contact_at.get(name))
+            for name, record in self.records.items()
+        }
 
     def _current_status(self, record: ReplicaRecord) -> ReplicaStatus | None:
         status = self.statuses.get(record.name)
--- a/silverglade/replicas/slot_leases.py
+++ b/silverglade/replicas/slot_leases.py
@@ -35,9 +35,9 @@
 from .lease_holders import lease_holders
 from .records import READY, ReplicaEntry, ReplicaState
 from .registry import evacuated_zones
-from .replica_slots import ReplicaSlots, SlotLease, WaitingTenant, report_of
+from .replica_slots import ReplicaSlots, SlotLease, WaitingTenant, parse_report
 
-WAITING_SETTLES = 2
+WAITING_SETTLE_FACTOR = 2
 """A tenant waits for so many times the `settle` time after it asked."""
 
 NOT_THE_HOLDER, NO_FREE_SLOT = "moved", "full"
@@ -86,10 +86,10 @@
                 self._on_store_updated(event, now)
             case ReplicasChanged():
                 self._replicas = event.replicas  # type: ignore[assignment]  # the registry broadcasts entries
-                self._follow_assignments(now)
+                self._apply_assignments(now)
             case ProcessPaused():
                 self.slots.clear()  # leases may have ended and been handed out elsewhere meanwhile
-                self._follow_assignments(now)
+                self._apply_assignments(now)
             case TimerFired():
                 self._on_timer(now)
             case ReplicaProbed():
@@ -101,9 +101,9 @@
     def _on_store_updated(self, event: StoreUpdated, now: timedelta) -> None:
         self._drained_zones = evacuated_zones(event.store)
         self._own_epochs = {name: holder.epoch for name, holder in lease_holders(event.store) if holder.daemon == self._own_name}
-        self._follow_assignments(now)
+        self._apply_assignments(now)
 
-    def _follow_assignments(self, now: timedelta) -> None:
+    def _apply_assignments(self, now: timedelta) -> None:
         """Begin with the replicas that control assigned to this daemon, and end with those it did not."""
         wanted = {name: epoch for name, epoch in self._own_epochs.items() if name in self._replicas}
         for name in [name for name in self.slots if name not in wanted]:
@@ -114,7 +114,7 @@
             if slots is None or slots.incarnation != record.incarnation:
                 slots = self.slots[name] = ReplicaSlots(epoch=epoch, incarnation=record.incarnation, opened_at=now)
             slots.epoch = epoch
-            slots.follow_status(status)
+            slots.resume_sequence(status)
 
     # --- time and health checks
 
@@ -130,22 +130,22 @@
     def _probe(self, name: str, slots: ReplicaSlots, now: timedelta) -> None:
         slots.probe_at = now + self._tuning["probe"]
         self._effects.append(ProbeReplica(name, slots.incarnation, self._replicas[name].record.address))
-        if slots.heard_at and now - slots.heard_at > self._tuning["stale"] / 2 and slots.state != ReplicaState.DARK:
-            slots.turn_dark()
+        if slots.last_contact_at and now - slots.last_contact_at > self._tuning["stale"] / 2 and slots.state != ReplicaState.UNRESPONSIVE:
+            slots.mark_unresponsive()
             self._effects.append(log_record("replica-unresponsive", replica=name))
             self._report_status(name, slots)
 
     def _on_probed(self, event: ReplicaProbed, now: timedelta) -> None:
         name = event.replica
         slots = self.slots.get(name)
-        report = report_of(event.report)
+        report = parse_report(event.report)
         if slots is None or event.incarnation != slots.incarnation:
             return
         if report is None or report.incarnation != slots.incarnation:
             return
         if report.state != slots.state:
             self._effects.append(log_record("replica-state", replica=name, was=slots.state, now=report.state))
-        slots.take_report(report, declared_slots=self._declared_slots(name), now=now)
+        slots.apply_report(report, declared_slots=self._declared_slots(name), now=now)
         self._report_status(name, slots)
         self._offer_free_slots(name, slots, now)
 
@@ -212,7 +212,7 @@
 
     def _is_fair(self, slots: ReplicaSlots, tenant: str, now: timedelta) -> bool:
         """A tenant that holds more yields to one that waits with fewer."""
-        slots.forget_waiting_since(now - self._tuning["settle"] * WAITING_SETTLES)
+        slots.drop_stale_waiting(now - self._tuning["settle"] * WAITING_SETTLE_FACTOR)
         return slots.is_fair_to_lease(tenant)
 
     def _offer_free_slots(self, name: str, slots: ReplicaSlots, now: timedelta) -> None:
@@ -220,7 +220,7 @@
         while self._free_slots(name, slots, now) and slots.waiting:
             tenant = slots.neediest_tenant()
             waiting = slots.waiting.pop(tenant)
-            if now - waiting.asked_at < self._tuning["settle"] * WAITING_SETTLES:
+            if now - waiting.requested_at < self._tuning["settle"] * WAITING_SETTLE_FACTOR:
                 slots.sequence += 1
                 lease_id = f"{name}/{slots.epoch}/{slots.sequence}"
                 self._lease(slots, lease_id, waiting.owner, tenant, now)
--- a/silverglade/tenant_requests/admission.py
+++ b/silverglade/tenant_requests/admission.py
@@ -59,7 +59,7 @@
     :ivar key: the idempotency key; unique and made here where the client gave none.
     :ivar key_is_generated: the client gave no key.
     :ivar time_left: until the deadline, at admission.
-    :ivar attempt: by the client's count, from 1; 0 where it gave none.
+    :ivar client_attempt: by the client's count, from 1; 0 where it gave none.
     :ivar kind: of the replicas that may run it.
     :ivar is_streamed: the answer comes in pieces.
     :ivar is_resumable: it may run again as long as no piece of the answer went out.
@@ -72,7 +72,7 @@
     key_is_generated: bool
     prefix: str
     time_left: timedelta
-    attempt: int
+    client_attempt: int
     kind: str
     is_streamed: bool
     is_resumable: bool
@@ -105,7 +105,7 @@
         key_is_generated=not head.key,
         prefix=head.prefix,
         time_left=time_left,
-        attempt=_attempt_number(head.attempt),
+        client_attempt=_attempt_number(head.attempt),
         kind=request_class["kind"],
         is_streamed=request_class["stream"],
         is_resumable=request_class["resumable"],
@@ -150,7 +150,7 @@
 
 def is_surely_first(facts: RequestFacts) -> bool:
     """Whether a refusal may promise that the request did not run, though no owner has looked for its key (design 6.5)."""
-    return facts.key_is_generated or facts.attempt == 1 or (facts.is_resumable and facts.attempt == 0)
+    return facts.key_is_generated or facts.client_attempt == 1 or (facts.is_resumable and facts.client_attempt == 0)
 
 
 def ran_if_first(facts: RequestFacts) -> str:
--- a/silverglade/tenant_requests/execution.py
+++ b/silverglade/tenant_requests/execution.py
@@ -9,8 +9,8 @@
 
 RAN_YES: Final = "yes"
 
-RAN_NOT_ELSEWHERE: Final = "?"
+RAN_UNKNOWN_TO_OWNER: Final = "?"
 """Between daemons only: the shard's owner knows of no other request with this key."""
 
-RAN_NOT_LOOKED_UP: Final = "blind"
+RAN_KEY_NOT_CHECKED: Final = "blind"
 """Within a daemon only: no owner has looked for the key."""
--- a/silverglade/tenant_requests/forwarding.py
+++ b/silverglade/tenant_requests/forwarding.py
@@ -16,7 +16,7 @@
 from . import results
 from .admission import RequestFacts, RequestHead
 from .execution import RAN_MAYBE, RAN_YES
-from .messages import ClientLeft, Forward, ForwardedResult, PiecesTaken, send
+from .messages import ForwardedResult, ForwardRequest, PiecesConsumed, RequestCancelled, send
 from .request_context import RequestContext
 
 MAX_PIECES_OUTSTANDING = 128
@@ -62,7 +62,7 @@
     def forward(self, request_id: str, to: str, head: RequestHead, facts: RequestFacts, body: bytes, now: timedelta) -> Effect:
         """Send a request to a daemon of its homes."""
         self._requests[request_id] = ForwardedRequest(to, now + facts.time_left)
-        message = Forward(
+        message = ForwardRequest(
             request_id=request_id,
             bearer_key=head.bearer_key,
             class_name=head.class_name,
@@ -70,18 +70,18 @@
             key_is_generated=facts.key_is_generated,
             left_ms=to_milliseconds(facts.time_left),
             prefix=head.prefix,
-            attempt=facts.attempt,
+            attempt=facts.client_attempt,
             body=body,
         )
         return send(to, message)
 
-    def report_taken(self, request_id: str, pieces: int) -> Effect:
+    def report_consumed(self, request_id: str, pieces: int) -> Effect:
         """Say how many pieces the client has taken."""
-        return send(self._requests[request_id].daemon, PiecesTaken(request_id, pieces))
+        return send(self._requests[request_id].daemon, PiecesConsumed(request_id, pieces))
 
     def abandon(self, request_id: str) -> Effect:
         """Drop a request for which nobody waits any more."""
-        return send(self._requests.pop(request_id).daemon, ClientLeft(request_id))
+        return send(self._requests.pop(request_id).daemon, RequestCancelled(request_id))
 
     def on_result(self, sender: str, message: ForwardedResult) -> tuple[list[Effect], LostRequest | None]:
         """Take a part of an answer; a gap in the numbers means that one was lost.
@@ -93,7 +93,7 @@
         if sender != request.daemon:
             return [], None
         if message.number != request.last_number + 1:
-            return [send(request.daemon, ClientLeft(request_id))], self._lose(request_id, result_codes.LINK_LOST)
+            return [send(request.daemon, RequestCancelled(request_id))], self._lose(request_id, result_codes.LINK_LOST)
         request.last_number = message.number
         if message.kind == results.PIECE:
             request.has_pieces = True
@@ -103,7 +103,7 @@
             return [], None
         return [TenantResult(request_id, message.kind, message.details)], None
 
-    def overdue(self, now: timedelta) -> list[tuple[str, list[Effect], LostRequest]]:
+    def expire(self, now: timedelta) -> list[tuple[str, list[Effect], LostRequest]]:
         """Give up the requests whose deadline is past or whose daemon is gone.
 
         :returns: request id, effects and what to tell the client of each.
@@ -111,7 +111,7 @@
         given_up: list[tuple[str, list[Effect], LostRequest]] = []
         for request_id, request in list(self._requests.items()):
             if now >= request.deadline + self._tuning["settle"]:
-                effects: list[Effect] = [send(request.daemon, ClientLeft(request_id))]
+                effects: list[Effect] = [send(request.daemon, RequestCancelled(request_id))]
                 given_up.append((request_id, effects, self._lose(request_id, result_codes.REPLICA_SILENT)))
             elif not self._context.is_live(request.daemon):
                 given_up.append((request_id, [], self._lose(request_id, result_codes.LINK_LOST)))
@@ -135,9 +135,9 @@
 
     sender: str
     received_at: timedelta
-    results: int = 0
+    results_sent: int = 0
     last_piece: int = 0
-    taken: int = 0
+    consumed: int = 0
     is_paused: bool = False
 
 
@@ -168,22 +168,22 @@
         request_id = result.request_id
         request = self._requests[request_id]
         effects: list[Effect] = []
-        request.results += 1
+        request.results_sent += 1
         if result.kind == results.PIECE:
             request.last_piece = result.details[0]
-            if not request.is_paused and request.last_piece - request.taken > MAX_PIECES_OUTSTANDING:
+            if not request.is_paused and request.last_piece - request.consumed > MAX_PIECES_OUTSTANDING:
                 request.is_paused = True
                 effects.append(SetBackpressure(request_id, False))
-        effects.append(send(request.sender, ForwardedResult(request_id, request.results, result.kind, result.details)))
+        effects.append(send(request.sender, ForwardedResult(request_id, request.results_sent, result.kind, result.details)))
         return effects
 
-    def on_pieces_taken(self, sender: str, message: PiecesTaken) -> list[Effect]:
+    def on_pieces_consumed(self, sender: str, message: PiecesConsumed) -> list[Effect]:
         """The client has taken more: read the replica on once enough of it is through."""
         request = self._requests.get(message.request_id)
         if request is None or request.sender != sender:
             return []
-        request.taken = max(request.taken, message.pieces)
-        if request.is_paused and request.last_piece - request.taken <= RESUME_PIECES_OUTSTANDING:
+        request.consumed = max(request.consumed, message.pieces)
+        if request.is_paused and request.last_piece - request.consumed <= RESUME_PIECES_OUTSTANDING:
             request.is_paused = False
             return [SetBackpressure(message.request_id, True)]
         return []
--- a/silverglade/tenant_requests/ingress.py
+++ b/silverglade/tenant_requests/ingress.py
@@ -38,7 +38,19 @@
 from .admission import RequestFacts, RequestHead, admit, ran_if_first, ran_if_not_admitted
 from .execution import RAN_MAYBE, RAN_NO
 from .forwarding import ForwardedRequests, LostRequest, ReceivedRequests
-from .messages import ClientLeft, Deny, Forward, ForwardedResult, Grant, Moved, OwnerMessage, PiecesTaken, Withdraw, decode, send
+from .messages import (
+    Denial,
+    ForwardedResult,
+    ForwardRequest,
+    Grant,
+    OwnerMessage,
+    OwnerMoved,
+    PiecesConsumed,
+    RequestAbandoned,
+    RequestCancelled,
+    decode,
+    send,
+)
 from .request import TenantRequest
 from .request_context import RequestContext
 from .request_traces import RequestTrace, RequestTraces
@@ -186,23 +198,23 @@
         trace.key = facts.key
         trace.tenant = facts.tenant
         self._effects.append(key_result(request_id, facts.key, facts.is_streamed))
-        self._place(request_id, head, facts, body, now, trace)
+        self._route(request_id, head, facts, body, now, trace)
 
-    def _place(
+    def _route(
         self, request_id: str, head: RequestHead, facts: RequestFacts, body: bytes, now: timedelta, trace: RequestTrace | None
     ) -> None:
         """Run an admitted request here, forward it towards its homes, or refuse it."""
-        code = self._cannot_take_work(now)
+        code = self._refusal_code(now)
         if code is None and self._zone in facts.homes:
             self._run(request_id, facts, body, now, trace)
             return
-        daemon = self.context.daemon_towards_home(facts) if code is None else None
+        daemon = self.context.forwarding_target(facts) if code is None else None
         if daemon is None:
             self._refuse(request_id, now, code or result_codes.NO_HOME, ran_if_first(facts), RETRY_AFTER_MS)
             return
         self._effects.append(self._forwarded.forward(request_id, daemon, head, facts, body, now))
 
-    def _cannot_take_work(self, now: timedelta) -> int | None:
+    def _refusal_code(self, now: timedelta) -> int | None:
         """The result code that says why no request may begin here now."""
         if self._is_draining:
             return result_codes.DRAINING
@@ -219,20 +231,20 @@
         request_id = event.request_id
         request = self._running.get(request_id)
         if request is not None:
-            self._settle(request_id, request, request.on_client_left(now))
+            self._collect(request_id, request, request.on_client_disconnected(now))
         elif request_id in self._forwarded:
             self._effects.append(self._forwarded.abandon(request_id))
 
     def _on_client_caught_up(self, now: timedelta, event: ClientCaughtUp) -> None:
         if event.request_id in self._forwarded:
-            self._effects.append(self._forwarded.report_taken(event.request_id, event.position))
+            self._effects.append(self._forwarded.report_consumed(event.request_id, event.position))
 
     # --- requests that run here
 
     def _run(self, request_id: str, facts: RequestFacts, body: bytes, now: timedelta, trace: RequestTrace | None) -> None:
         """Begin a request; a retry never counts as an arrival for the scaler (design 9.3)."""
         known_key = (facts.tenant, facts.key)
-        counts_as_arrival = facts.attempt <= MAX_FIRST_ATTEMPT and known_key not in self._known_keys
+        counts_as_arrival = facts.client_attempt <= MAX_FIRST_ATTEMPT and known_key not in self._known_keys
         self._known_keys[known_key] = True
         if counts_as_arrival:
             self._effects.append(Broadcast(TenantRequestObserved(facts.kind)))
@@ -247,9 +259,9 @@
             trace=trace,
         )
         self._running[request_id] = request
-        self._settle(request_id, request, request.start(now))
+        self._collect(request_id, request, request.start(now))
 
-    def _settle(self, request_id: str, request: TenantRequest, effects: Sequence[Effect]) -> None:
+    def _collect(self, request_id: str, request: TenantRequest, effects: Sequence[Effect]) -> None:
         """Take the effects of a request that runs here; results go to where it came in."""
         if request_id in self._received:
             for effect in effects:
@@ -267,26 +279,26 @@
         request_id = event.dispatch_id.rsplit(".", 1)[0]
         request = self._running.get(request_id)
         if request is not None:
-            self._settle(request_id, request, request.on_dispatch_progress(now, event.outcome))
+            self._collect(request_id, request, request.on_dispatch_progress(now, event.outcome))
 
     def _on_timer(self, now: timedelta, event: TimerFired) -> None:
         for request_id, request in list(self._running.items()):
             effects = request.on_timer(now)
             if effects:
-                self._settle(request_id, request, effects)
+                self._collect(request_id, request, effects)
         for request_id in self._received.orphaned(now):
-            self._on_sender_left(now, request_id)
-        for request_id, last_effects, lost in self._forwarded.overdue(now):
+            self._on_sender_gone(now, request_id)
+        for request_id, last_effects, lost in self._forwarded.expire(now):
             self._effects.extend(last_effects)
             self._refuse_lost(request_id, now, lost)
         if not self._running and not self._received and not self._forwarded:
             self._effects.append(WakeAt(IDLE))
 
-    def _on_sender_left(self, now: timedelta, request_id: str) -> None:
+    def _on_sender_gone(self, now: timedelta, request_id: str) -> None:
         """Nobody waits any more for a request that another daemon forwarded here."""
         request = self._running.get(request_id)
         if request is not None:
-            self._settle(request_id, request, request.on_client_left(now))
+            self._collect(request_id, request, request.on_client_disconnected(now))
 
     def _refuse_lost(self, request_id: str, now: timedelta, lost: LostRequest) -> None:
         self._refuse(request_id, now, lost.code, lost.ran, RETRY_AFTER_MS)
@@ -296,24 +308,24 @@
     def _on_message(self, now: timedelta, event: MessageReceived) -> None:
         message = decode(event.body)
         match message:
-            case Grant() | Deny() | Moved():
+            case Grant() | Denial() | OwnerMoved():
                 self._on_owner_message(now, event.sender, message)
             case ForwardedResult():
                 self._on_forwarded_result(now, event.sender, message)
-            case PiecesTaken():
-                self._effects.extend(self._received.on_pieces_taken(event.sender, message))
-            case Forward():
+            case PiecesConsumed():
+                self._effects.extend(self._received.on_pieces_consumed(event.sender, message))
+            case ForwardRequest():
                 self._on_forward(now, event.sender, message)
-            case ClientLeft():
+            case RequestCancelled():
                 if message.request_id in self._received:
-                    self._on_sender_left(now, message.request_id)
+                    self._on_sender_gone(now, message.request_id)
 
     def _on_owner_message(self, now: timedelta, sender: str, message: OwnerMessage) -> None:
         request = self._running.get(message.request_id)
         if request is not None:
-            self._settle(message.request_id, request, request.on_owner_message(now, message))
+            self._collect(message.request_id, request, request.on_owner_message(now, message))
         elif isinstance(message, Grant):
-            self._effects.append(send(sender, Withdraw(message.request_id)))  # nobody waits: it will not be sent
+            self._effects.append(send(sender, RequestAbandoned(message.request_id)))  # nobody waits: it will not be sent
 
     def _on_forwarded_result(self, now: timedelta, sender: str, message: ForwardedResult) -> None:
         if message.request_id not in self._forwarded:
@@ -323,7 +335,7 @@
         if lost is not None:
             self._refuse_lost(message.request_id, now, lost)
 
-    def _on_forward(self, now: timedelta, sender: str, message: Forward) -> None:
+    def _on_forward(self, now: timedelta, sender: str, message: ForwardRequest) -> None:
         """Take in a request of another daemon, which is outside the request's homes. It is never forwarded again."""
         request_id = message.request_id
         if request_id in self._received:
@@ -336,7 +348,7 @@
             self._refuse_received(request_id, error.code, ran)
             return
         facts = facts._replace(key_is_generated=message.key_is_generated)
-        code = self._cannot_take_work(now)
+        code = self._refusal_code(now)
         if self._zone not in facts.homes:
             self._refuse_received(request_id, result_codes.NO_HOME, ran_if_first(facts))
         elif code is not None:
--- a/silverglade/tenant_requests/messages.py
+++ b/silverglade/tenant_requests/messages.py
@@ -12,30 +12,30 @@
 from ..runtime.record import Record
 from .admission import RequestHead
 
-DISPATCH_BARRED: Final = "barred"
-DISPATCH_NOT_RUN: Final = "unrun"
-DISPATCH_DONE: Final = "done"
-DISPATCH_RAN: Final = "ran"
+OUTCOME_NOT_SENT: Final = "barred"
+OUTCOME_NOT_RUN: Final = "unrun"
+OUTCOME_DONE: Final = "done"
+OUTCOME_MAY_HAVE_RAN: Final = "ran"
 
 
 # --- to and from the owner of a tenant's shard
 
 
-class AskedFacts(NamedTuple):
+class GrantRequestFacts(NamedTuple):
     """What an owner is told of a request.
 
     :ivar left_ms: until the deadline, at least 1.
-    :ivar attempt: by the client's count; 0 where it gave none.
+    :ivar client_attempt: by the client's count; 0 where it gave none.
     """
 
     class_name: str
     key: str
     prefix: str
     left_ms: int
-    attempt: int
+    client_attempt: int
 
 
-class Ask(Record):
+class GrantRequest(Record):
     """To the owner: a request wants a replica and, where its class needs one, a claim.
 
     :ivar attempt: number of the dispatch that it is for, from 1.
@@ -47,7 +47,7 @@
     attempt: int
     tenant: str
     epoch: int
-    facts: AskedFacts
+    facts: GrantRequestFacts
 
     def to_body(self) -> tuple[Any, ...]:
         """The array that travels."""
@@ -71,10 +71,10 @@
     address: str
     epoch: int
     is_overflow: bool
-    key_was_known: bool
+    is_retry: bool
 
 
-class Deny(Record):
+class Denial(Record):
     """From the owner: the request is refused.
 
     :ivar ran: what the owner knows of whether it ran (execution.py).
@@ -89,7 +89,7 @@
     retry_after_ms: Any
 
 
-class Moved(Record):
+class OwnerMoved(Record):
     """From a daemon that does not own the shard, or not under this epoch."""
 
     TAG: ClassVar[str] = "moved"
@@ -97,10 +97,10 @@
     attempt: int
 
 
-class DispatchEnded(Record):
+class RunEnded(Record):
     """To the owner: what became of a granted dispatch.
 
-    :ivar outcome: `DISPATCH_BARRED`, `DISPATCH_NOT_RUN`, `DISPATCH_DONE` or `DISPATCH_RAN`.
+    :ivar outcome: `OUTCOME_NOT_SENT`, `OUTCOME_NOT_RUN`, `OUTCOME_DONE` or `OUTCOME_MAY_HAVE_RAN`.
     """
 
     TAG: ClassVar[str] = "fin"
@@ -113,7 +113,7 @@
         return (self.TAG, self.request_id, self.attempt, self.outcome)
 
 
-class Withdraw(Record):
+class RequestAbandoned(Record):
     """To the owner: the request will not be sent to any replica."""
 
     TAG: ClassVar[str] = "quit"
@@ -127,7 +127,7 @@
 # --- between the daemon where a request came in and one of the tenant's homes
 
 
-class Forward(Record):
+class ForwardRequest(Record):
     """A request on its way to a daemon of its homes.
 
     :ivar bearer_key: the tenant's key, checked again there.
@@ -184,7 +184,7 @@
         return (self.TAG, self.request_id, self.number, self.kind, *self.details)
 
 
-class PiecesTaken(Record):
+class PiecesConsumed(Record):
     """To the forwarded request's daemon: its client has taken the pieces up to this number."""
 
     TAG: ClassVar[str] = "more"
@@ -196,7 +196,7 @@
         return (self.TAG, self.request_id, self.pieces)
 
 
-class ClientLeft(Record):
+class RequestCancelled(Record):
     """To the forwarded request's daemon: nobody waits for the answer any more."""
 
     TAG: ClassVar[str] = "left"
@@ -207,9 +207,9 @@
         return (self.TAG, self.request_id)
 
 
-OwnerMessage = Grant | Deny | Moved
-SentMessage = Ask | DispatchEnded | Withdraw | Forward | ForwardedResult | PiecesTaken | ClientLeft
-ReceivedMessage = OwnerMessage | Forward | ForwardedResult | PiecesTaken | ClientLeft
+OwnerMessage = Grant | Denial | OwnerMoved
+SentMessage = GrantRequest | RunEnded | RequestAbandoned | ForwardRequest | ForwardedResult | PiecesConsumed | RequestCancelled
+ReceivedMessage = OwnerMessage | ForwardRequest | ForwardedResult | PiecesConsumed | RequestCancelled
 
 
 def send(to: str, message: SentMessage) -> Send:
@@ -221,18 +221,18 @@
     """The message of a body; None for a kind that an ingress does not receive."""
     match body:
         case (Grant.TAG, request_id, attempt, replica, incarnation, address, epoch, is_overflow, *rest):
-            key_was_known = bool(rest) and rest[0] is True  # owners of an earlier version don't say
-            return Grant(request_id, attempt, replica, incarnation, address, epoch, is_overflow, key_was_known)
-        case (Deny.TAG, request_id, attempt, code, ran, retry_after_ms):
-            return Deny(request_id, attempt, code, ran, retry_after_ms)
-        case (Moved.TAG, request_id, attempt):
-            return Moved(request_id, attempt)
+            is_retry = bool(rest) and rest[0] is True  # owners of an earlier version don't say
+            return Grant(request_id, attempt, replica, incarnation, address, epoch, is_overflow, is_retry)
+        case (Denial.TAG, request_id, attempt, code, ran, retry_after_ms):
+            return Denial(request_id, attempt, code, ran, retry_after_ms)
+        case (OwnerMoved.TAG, request_id, attempt):
+            return OwnerMoved(request_id, attempt)
         case (ForwardedResult.TAG, request_id, number, kind, *details):
             return ForwardedResult(request_id, number, kind, tuple(details))
-        case (PiecesTaken.TAG, request_id, pieces):
-            return PiecesTaken(request_id, pieces)
-        case (Forward.TAG, *fields):
-            return Forward(*fields)
-        case (ClientLeft.TAG, request_id):
-            return ClientLeft(request_id)
+        case (PiecesConsumed.TAG, request_id, pieces):
+            return PiecesConsumed(request_id, pieces)
+        case (ForwardRequest.TAG, *fields):
+            return ForwardRequest(*fields)
+        case (RequestCancelled.TAG, request_id):
+            return RequestCancelled(request_id)
     return None
--- a/silverglade/tenant_requests/request.py
+++ b/silverglade/tenant_requests/request.py
@@ -24,20 +24,20 @@
     WholeAnswerReceived,
     decode_outcome,
 )
-from .execution import RAN_MAYBE, RAN_NO, RAN_NOT_ELSEWHERE, RAN_NOT_LOOKED_UP, RAN_YES
+from .execution import RAN_KEY_NOT_CHECKED, RAN_MAYBE, RAN_NO, RAN_UNKNOWN_TO_OWNER, RAN_YES
 from .messages import (
-    DISPATCH_BARRED,
-    DISPATCH_DONE,
-    DISPATCH_NOT_RUN,
-    DISPATCH_RAN,
-    Ask,
-    AskedFacts,
-    Deny,
-    DispatchEnded,
+    OUTCOME_DONE,
+    OUTCOME_MAY_HAVE_RAN,
+    OUTCOME_NOT_RUN,
+    OUTCOME_NOT_SENT,
+    Denial,
     Grant,
-    Moved,
+    GrantRequest,
+    GrantRequestFacts,
     OwnerMessage,
-    Withdraw,
+    OwnerMoved,
+    RequestAbandoned,
+    RunEnded,
     send,
 )
 from .request_context import RequestContext, ShardOwner
@@ -53,7 +53,7 @@
 class Stage(Enum):
     """Where a request is on its way."""
 
-    ASKING = "asking"
+    AWAITING_GRANT = "asking"
     DISPATCHED = "dispatched"
     FINISHED = "finished"
 
@@ -61,28 +61,28 @@
 class AttemptEnd(Enum):
     """How an attempt ended."""
 
-    BARRED = "barred"
+    NOT_SENT = "barred"
     NOT_RUN = "not run"
     DONE = "done"
     FAILED = "failed"
     DEADLINE_PASSED = "deadline passed"
-    CLIENT_LEFT = "client left"
+    CLIENT_DISCONNECTED = "client left"
 
 
 REPORTED_OUTCOMES: Final = {
-    AttemptEnd.BARRED: DISPATCH_BARRED,
-    AttemptEnd.NOT_RUN: DISPATCH_NOT_RUN,
-    AttemptEnd.DONE: DISPATCH_DONE,
-    AttemptEnd.FAILED: DISPATCH_RAN,
-    AttemptEnd.DEADLINE_PASSED: DISPATCH_RAN,
-    AttemptEnd.CLIENT_LEFT: DISPATCH_RAN,
+    AttemptEnd.NOT_SENT: OUTCOME_NOT_SENT,
+    AttemptEnd.NOT_RUN: OUTCOME_NOT_RUN,
+    AttemptEnd.DONE: OUTCOME_DONE,
+    AttemptEnd.FAILED: OUTCOME_MAY_HAVE_RAN,
+    AttemptEnd.DEADLINE_PASSED: OUTCOME_MAY_HAVE_RAN,
+    AttemptEnd.CLIENT_DISCONNECTED: OUTCOME_MAY_HAVE_RAN,
 }
 """What the shard's owner is told of an end."""
 
-ABORTED_ENDS: Final = frozenset((AttemptEnd.FAILED, AttemptEnd.DEADLINE_PASSED, AttemptEnd.CLIENT_LEFT))
+ABORTED_ENDS: Final = frozenset((AttemptEnd.FAILED, AttemptEnd.DEADLINE_PASSED, AttemptEnd.CLIENT_DISCONNECTED))
 """Ends after which the replica's answer is not read on."""
 
-NOT_RUN_ENDS: Final = frozenset((AttemptEnd.BARRED, AttemptEnd.NOT_RUN))
+NOT_RUN_ENDS: Final = frozenset((AttemptEnd.NOT_SENT, AttemptEnd.NOT_RUN))
 
 
 class TenantRequest:
@@ -93,9 +93,9 @@
 
     __slots__ = (
         "_arrived_at",
-        "_asked_at",
-        "_asked_owner",
-        "_asking_since",
+        "_queried_at",
+        "_queried_owner",
+        "_seeking_since",
         "_attempt",
         "_body",
         "_context",
@@ -106,8 +106,8 @@
         "_effects",
         "_facts",
         "_last_failure",
-        "_must_ask",
-        "_moved_at",
+        "_must_resend",
+        "_owner_moved_at",
         "_pieces",
         "_ran",
         "_request_id",
@@ -137,7 +137,7 @@
         self._trace = trace
         self._arrived_at = now
         self._deadline = now + facts.time_left
-        self.stage = Stage.ASKING
+        self.stage = Stage.AWAITING_GRANT
         self._effects: list[Effect] = []
         # all attempts: their number, the worst that is known of whether one ran, pieces passed on, how the last one failed
         self._attempt = 0
@@ -145,11 +145,11 @@
         self._pieces = 0
         self._last_failure: tuple[int, str] = (result_codes.NO_SLOT, RAN_NO)
         # this attempt: the owner that was asked, when, and whether it is to be asked anew though it is the same one
-        self._asked_owner: ShardOwner | None = None
-        self._asked_at = now
-        self._must_ask = False
-        self._asking_since = now
-        self._moved_at: timedelta | None = None  # when a daemon said that it does not own the shard
+        self._queried_owner: ShardOwner | None = None
+        self._queried_at = now
+        self._must_resend = False
+        self._seeking_since = now
+        self._owner_moved_at: timedelta | None = None  # when a daemon said that it does not own the shard
         self._dispatch_id = ""
         self._dispatched_at = now
 
@@ -161,50 +161,50 @@
     def start(self, now: timedelta) -> Sequence[Effect]:
         """Begin the first attempt."""
         self._begin_attempt(now)
-        return self._take_effects()
+        return self._drain_effects()
 
     def on_timer(self, now: timedelta) -> Sequence[Effect]:
         """Look at the clock."""
-        if self.stage is Stage.ASKING:
+        if self.stage is Stage.AWAITING_GRANT:
             self._seek_grant(now)
         else:
-            self._ends_late(now)
-        return self._take_effects()
+            self._end_if_overdue(now)
+        return self._drain_effects()
 
     def on_owner_message(self, now: timedelta, message: OwnerMessage) -> Sequence[Effect]:
         """Handle an owner's answer; one to an earlier attempt only makes the request look at the clock."""
         if self.stage is Stage.DISPATCHED:
-            self._ends_late(now)
+            self._end_if_overdue(now)
         elif message.attempt != self._attempt:
             self._seek_grant(now)
         elif isinstance(message, Grant):
             self._on_grant(now, message)
-        elif isinstance(message, Moved) or self._may_find_owner(now, message):
-            self._must_ask = True
-            self._moved_at = now
+        elif isinstance(message, OwnerMoved) or self._may_still_find_owner(now, message):
+            self._must_resend = True
+            self._owner_moved_at = now
             self._seek_grant(now)
         else:
-            self._on_deny(now, message)
-        return self._take_effects()
+            self._on_denial(now, message)
+        return self._drain_effects()
 
     def on_dispatch_progress(self, now: timedelta, outcome: tuple[Any, ...]) -> Sequence[Effect]:
         """Handle what the replica made of the dispatch so far."""
-        if self.stage is Stage.ASKING:
+        if self.stage is Stage.AWAITING_GRANT:
             self._seek_grant(now)
-        elif not self._ends_late(now):
+        elif not self._end_if_overdue(now):
             self._on_outcome(now, decode_outcome(outcome, is_streamed=self._facts.is_streamed))
-        return self._take_effects()
+        return self._drain_effects()
 
-    def on_client_left(self, now: timedelta) -> Sequence[Effect]:
+    def on_client_disconnected(self, now: timedelta) -> Sequence[Effect]:
         """Nobody waits for the answer any more."""
-        if self.stage is Stage.ASKING:
-            self._withdraw()
+        if self.stage is Stage.AWAITING_GRANT:
+            self._abandon()
             self.stage = Stage.FINISHED
-        elif not self._ends_late(now):
-            self._end_attempt(now, AttemptEnd.CLIENT_LEFT, RAN_MAYBE)
-        return self._take_effects()
+        elif not self._end_if_overdue(now):
+            self._end_attempt(now, AttemptEnd.CLIENT_DISCONNECTED, RAN_MAYBE)
+        return self._drain_effects()
 
-    def _take_effects(self) -> Sequence[Effect]:
+    def _drain_effects(self) -> Sequence[Effect]:
         if not self._effects:
             return ()
         effects = self._effects
@@ -218,70 +218,70 @@
     # --- asking for a replica
 
     def _begin_attempt(self, now: timedelta) -> None:
-        self.stage = Stage.ASKING
+        self.stage = Stage.AWAITING_GRANT
         self._attempt += 1
-        self._asked_owner = None
-        self._must_ask = False
-        self._asking_since = now
-        self._moved_at = None
+        self._queried_owner = None
+        self._must_resend = False
+        self._seeking_since = now
+        self._owner_moved_at = None
         self._seek_grant(now)
 
     def _seek_grant(self, now: timedelta) -> None:
         """Ask the shard's owner for a replica and, where needed, a claim; or give up."""
         owner = self._context.reachable_owner(self._facts.tenant, now)
-        if owner is not None and self._is_to_be_asked(owner, now):
-            self._ask(owner, now)
+        if owner is not None and self._should_request_grant(owner, now):
+            self._request_grant(owner, now)
         if now >= self._deadline:
-            self._withdraw()
+            self._abandon()
             code = result_codes.DUE_PASSED if self._attempt == 1 else result_codes.REPLICA_SILENT
-            self._fail(now, code, RAN_NOT_LOOKED_UP, RETRY_AFTER_MS)
-        elif owner is None and now - self._asking_since > self._tuning["owner_wait"] * OWNER_WAITS_WITHOUT_OWNER:
-            self._fail(now, result_codes.NO_OWNER, RAN_NOT_LOOKED_UP, RETRY_AFTER_MS)
+            self._fail(now, code, RAN_KEY_NOT_CHECKED, RETRY_AFTER_MS)
+        elif owner is None and now - self._seeking_since > self._tuning["owner_wait"] * OWNER_WAITS_WITHOUT_OWNER:
+            self._fail(now, result_codes.NO_OWNER, RAN_KEY_NOT_CHECKED, RETRY_AFTER_MS)
 
-    def _is_to_be_asked(self, owner: ShardOwner, now: timedelta) -> bool:
+    def _should_request_grant(self, owner: ShardOwner, now: timedelta) -> bool:
         """Whether this owner was not asked yet, or did not answer; one that does not own the shard is left alone for a while."""
-        if self._moved_at is not None and now - self._moved_at <= self._tuning["beat"] / 2:
+        if self._owner_moved_at is not None and now - self._owner_moved_at <= self._tuning["beat"] / 2:
             return False
-        return self._must_ask or owner != self._asked_owner or now - self._asked_at > self._tuning["owner_wait"]
+        return self._must_resend or owner != self._queried_owner or now - self._queried_at > self._tuning["owner_wait"]
 
-    def _ask(self, owner: ShardOwner, now: timedelta) -> None:
+    def _request_grant(self, owner: ShardOwner, now: timedelta) -> None:
         facts = self._facts
         left_ms = max(1, to_milliseconds(self._deadline - now))
-        asked_facts = AskedFacts(facts.class_name, facts.key, facts.prefix, left_ms, facts.attempt)
-        ask = Ask(self._request_id, self._attempt, facts.tenant, owner.epoch, asked_facts)
+        asked_facts = GrantRequestFacts(facts.class_name, facts.key, facts.prefix, left_ms, facts.client_attempt)
+        ask = GrantRequest(self._request_id, self._attempt, facts.tenant, owner.epoch, asked_facts)
         self._effects.append(send(owner.name, ask))
         self._record(now, f"asked {owner.name}")
-        self._asked_owner = owner
-        self._must_ask = False
-        self._asked_at = now
-        self._asking_since = now
+        self._queried_owner = owner
+        self._must_resend = False
+        self._queried_at = now
+        self._seeking_since = now
 
-    def _withdraw(self) -> None:
+    def _abandon(self) -> None:
         """Tell the owner that was asked that the request will not be sent."""
-        if self._asked_owner is not None:
-            self._effects.append(send(self._asked_owner.name, Withdraw(self._request_id)))
+        if self._queried_owner is not None:
+            self._effects.append(send(self._queried_owner.name, RequestAbandoned(self._request_id)))
 
-    def _may_find_owner(self, now: timedelta, deny: Deny) -> bool:
+    def _may_still_find_owner(self, now: timedelta, deny: Denial) -> bool:
         """Whether the daemon that was asked lacks an owner, and there is still time to find one."""
-        return deny.code == result_codes.NO_OWNER and now - self._asking_since < self._tuning["owner_wait"]
+        return deny.code == result_codes.NO_OWNER and now - self._seeking_since < self._tuning["owner_wait"]
 
     def _on_grant(self, now: timedelta, grant: Grant) -> None:
-        if grant.key_was_known:
-            self._take_back_arrival()
+        if grant.is_retry:
+            self._retract_arrival()
         self._context.overflow_count += bool(grant.is_overflow)
         self._dispatch(now, grant)
 
-    def _on_deny(self, now: timedelta, deny: Deny) -> None:
+    def _on_denial(self, now: timedelta, deny: Denial) -> None:
         code, ran = deny.code, deny.ran
         if self._attempt == 1 and code in (result_codes.RETRY_BUDGET, result_codes.SEEN):
-            self._take_back_arrival()
+            self._retract_arrival()
         if code == result_codes.RETRY_BUDGET and self._attempt > 1:  # no more attempts: the client is told of the last one
             code, ran = self._last_failure
-        if ran == RAN_NOT_ELSEWHERE and code in (result_codes.UNKNOWN_CLASS, result_codes.STALE):
-            ran = RAN_NOT_LOOKED_UP
+        if ran == RAN_UNKNOWN_TO_OWNER and code in (result_codes.UNKNOWN_CLASS, result_codes.STALE):
+            ran = RAN_KEY_NOT_CHECKED
         self._fail(now, code, ran, deny.retry_after_ms)
 
-    def _take_back_arrival(self) -> None:
+    def _retract_arrival(self) -> None:
         """The owner knew the key: the request was no arrival for the scaler after all (design 9.3)."""
         if self._counts_as_arrival:
             self._counts_as_arrival = False
@@ -294,10 +294,10 @@
         self.stage = Stage.DISPATCHED
         self._dispatched_at = now
         self._dispatch_id = f"{self._request_id}.{self._attempt}"
-        barrier = self._context.dispatch_barrier(grant.replica, grant.incarnation, self._facts, now)
-        if barrier is not None:
-            self._effects.append(log_record("dispatch-barred", request=self._request_id, replica=grant.replica, why=barrier.value))
-            self._end_attempt(now, AttemptEnd.BARRED, RAN_NO)
+        blocker = self._context.dispatch_blocker(grant.replica, grant.incarnation, self._facts, now)
+        if blocker is not None:
+            self._effects.append(log_record("dispatch-barred", request=self._request_id, replica=grant.replica, why=blocker.value))
+            self._end_attempt(now, AttemptEnd.NOT_SENT, RAN_NO)
             return
         facts = self._facts
         dispatch_facts = {
@@ -311,7 +311,7 @@
         self._effects.append(Dispatch(self._dispatch_id, grant.replica, grant.address, dispatch_facts, self._body))
         self._record(now, f"dispatched {self._dispatch_id} to {grant.replica}")
 
-    def _ends_late(self, now: timedelta) -> bool:
+    def _end_if_overdue(self, now: timedelta) -> bool:
         """End the attempt if the deadline has passed; -> whether it has."""
         if now < self._deadline:
             return False
@@ -347,21 +347,21 @@
         """Tell the replica and the owner, then answer the client, or begin another attempt."""
         if end in ABORTED_ENDS:
             self._effects.append(AbortDispatch(self._dispatch_id))
-        if self._asked_owner is not None:
-            self._effects.append(send(self._asked_owner.name, DispatchEnded(self._request_id, self._attempt, REPORTED_OUTCOMES[end])))
+        if self._queried_owner is not None:
+            self._effects.append(send(self._queried_owner.name, RunEnded(self._request_id, self._attempt, REPORTED_OUTCOMES[end])))
         if end is AttemptEnd.DONE:
             self._complete(now)
             return
-        self._note_failure(end, ran)
-        if end is AttemptEnd.CLIENT_LEFT:
+        self._record_failure(end, ran)
+        if end is AttemptEnd.CLIENT_DISCONNECTED:
             self.stage = Stage.FINISHED
         elif self._may_run_again(end) and self._deadline - now > MIN_TIME_FOR_RETRY:
             self._begin_attempt(now)
         else:
             if self._ran == RAN_NO:
-                self._withdraw()
-            code, told_ran = self._last_failure
-            self._fail(now, code, told_ran, RETRY_AFTER_MS)
+                self._abandon()
+            code, reported_ran = self._last_failure
+            self._fail(now, code, reported_ran, RETRY_AFTER_MS)
 
     def _complete(self, now: timedelta) -> None:
         served = TenantRequestServed(self._facts.kind, now - self._dispatched_at, now - self._arrived_at)
@@ -376,7 +376,7 @@
         is_safe = end in NOT_RUN_ENDS or (end is AttemptEnd.FAILED and self._facts.is_resumable)
         return is_safe and not self._pieces
 
-    def _note_failure(self, end: AttemptEnd, ran: str) -> None:
+    def _record_failure(self, end: AttemptEnd, ran: str) -> None:
         """Keep what is known of this attempt for the answer, should it be the last."""
         if self._ran == RAN_NO and ran == RAN_NO:
             self._ran = RAN_NO
@@ -393,25 +393,25 @@
         else:
             code = result_codes.NO_SLOT
         is_unclaimed = self._facts.is_resumable or self._ran != RAN_NO
-        self._last_failure = (code, RAN_NOT_LOOKED_UP if is_unclaimed else RAN_NO)
+        self._last_failure = (code, RAN_KEY_NOT_CHECKED if is_unclaimed else RAN_NO)
 
     # --- the final answer
 
     def _fail(self, now: timedelta, code: int, ran: str, retry_after_ms: Any) -> None:
         """Answer the client with a fault, at once; `ran` is only ever as good as what is sure."""
-        told_ran = self._ran if self._ran != RAN_NO else self._promise(now, ran)
-        self._effects.append(fault_result(self._request_id, code, told_ran, retry_after_ms))
-        self._record(now, f"told {code} ran={told_ran}")
+        reported_ran = self._ran if self._ran != RAN_NO else self._reportable_ran(now, ran)
+        self._effects.append(fault_result(self._request_id, code, reported_ran, retry_after_ms))
+        self._record(now, f"told {code} ran={reported_ran}")
         self.stage = Stage.FINISHED
 
-    def _promise(self, now: timedelta, ran: str) -> str:
+    def _reportable_ran(self, now: timedelta, ran: str) -> str:
         """What the client may be told of whether a request ran that no attempt of ours has run.
 
         After a while, or when no owner has looked for the key, the client may have asked elsewhere.
         """
         facts = self._facts
-        if ran in (RAN_NOT_ELSEWHERE, RAN_NOT_LOOKED_UP):
-            patience = self._tuning["settle"] if ran == RAN_NOT_ELSEWHERE else ZERO
+        if ran in (RAN_UNKNOWN_TO_OWNER, RAN_KEY_NOT_CHECKED):
+            patience = self._tuning["settle"] if ran == RAN_UNKNOWN_TO_OWNER else ZERO
             is_soon = facts.key_is_generated or now - self._arrived_at <= patience
             ran = RAN_NO if is_soon and is_surely_first(facts) else RAN_MAYBE
         is_late = now > self._deadline + self._tuning["beat"]
--- a/silverglade/tenant_requests/request_context.py
+++ b/silverglade/tenant_requests/request_context.py
@@ -17,12 +17,12 @@
 from .admission import Configuration, RequestFacts
 
 
-class DispatchBarrier(StrEnum):
+class DispatchBlocker(StrEnum):
     """Why a replica may not be sent a request now."""
 
     NO_RECENT_PROOF = "stale"
     OTHER_INCARNATION = "incarnation"
-    NOT_HEARD_OF = "unheard"
+    NO_RECENT_CONTACT = "unheard"
     NOT_USABLE = "unusable"
 
 
@@ -91,7 +91,7 @@
         """Whether the daemon is among the live ones."""
         return daemon in self._zones
 
-    def is_at_home(self, daemon: str, tenant: str) -> bool:
+    def is_in_home_zone(self, daemon: str, tenant: str) -> bool:
         """Whether a daemon lives in a zone of the tenant's homes as they are now. An owner may not have been moved yet."""
         return self._zones.get(daemon) in homes_of_tenant(self.configuration, tenant)
 
@@ -118,14 +118,14 @@
         A daemon without a recent proof may hold homes that are none any more: it asks nobody (design 5.7).
         """
         owner = self.shard_owner(tenant)
-        if owner is not None and self.has_recent_proof(now) and self.is_at_home(owner.name, tenant):
+        if owner is not None and self.has_recent_proof(now) and self.is_in_home_zone(owner.name, tenant):
             return owner
         return None
 
-    def daemon_towards_home(self, facts: RequestFacts) -> str | None:
+    def forwarding_target(self, facts: RequestFacts) -> str | None:
         """The shard's owner where it lives, else a ready daemon of the homes in their order."""
         owner = self.shard_owner(facts.tenant)
-        if owner is not None and self.is_at_home(owner.name, facts.tenant):
+        if owner is not None and self.is_in_home_zone(owner.name, facts.tenant):
             return owner.name
         for home in facts.homes:
             ready = [member.name for member in self.members if member.zone == home and member.is_ready]
@@ -134,19 +134,19 @@
                 return nearest
         return None
 
-    def dispatch_barrier(self, replica: str, incarnation: int, facts: RequestFacts, now: timedelta) -> DispatchBarrier | None:
+    def dispatch_blocker(self, replica: str, incarnation: int, facts: RequestFacts, now: timedelta) -> DispatchBlocker | None:
         """Why this replica may not be sent this request now, or None (design 7.2)."""
         if not self.has_recent_proof(now):
-            return DispatchBarrier.NO_RECENT_PROOF
+            return DispatchBlocker.NO_RECENT_PROOF
         entry = self.replicas.get(replica)
         if entry is None:
-            return DispatchBarrier.OTHER_INCARNATION
+            return DispatchBlocker.OTHER_INCARNATION
         known = ReplicaEntry.of(entry)
         if known.record.incarnation != incarnation:
-            return DispatchBarrier.OTHER_INCARNATION
-        if known.heard_at is None or now - known.heard_at > self.tuning["stale"]:
-            return DispatchBarrier.NOT_HEARD_OF
+            return DispatchBlocker.OTHER_INCARNATION
+        if known.last_contact_at is None or now - known.last_contact_at > self.tuning["stale"]:
+            return DispatchBlocker.NO_RECENT_CONTACT
         homes = homes_of_tenant(self.configuration, facts.tenant)
         if is_usable(known, now=now, tuning=self.tuning, drained_zones=self.drained_zones, homes=homes, kind=facts.kind):
             return None
-        return DispatchBarrier.NOT_USABLE
+        return DispatchBlocker.NOT_USABLE
--- a/silverglade/tenant_shards/admission.py
+++ b/silverglade/tenant_shards/admission.py
@@ -19,17 +19,17 @@
     LeaseOffer,
     LeaseRelease,
     LeaseRequest,
-    Ran,
-    Refusal,
+    RefusalReason,
+    RunStatus,
 )
 from .queued_request import QueuedRequest, RequestStep
-from .request_queue import RequestQueue, ran_by_claim
+from .request_queue import RequestQueue, run_status_of_claim
 from .shard import Shard
 
 RETRY_SOON_MS = 500
 """After how many milliseconds a client may come back where the shard's owner or follower is about to change."""
 
-OVERFLOW_PART = 4
+OVERFLOW_TIME_DIVISOR = 4
 """A request may overflow after this part of the time that it had left."""
 
 
@@ -73,7 +73,7 @@
             if holder is None:
                 continue
             self._last_lease += 1
-            request.begin(RequestStep.LEASING, until=now + self._context.tuning["owner_wait"])
+            request.enter_step(RequestStep.LEASING, until=now + self._context.tuning["owner_wait"])
             request.replica, request.lease_id = replica, ""
             request.lease_request_id = f"{request.request_id}/{self._last_lease}"
             self._context.send(holder.daemon, LeaseRequest(replica, holder.epoch, request.lease_request_id, request.tenant))
@@ -85,7 +85,7 @@
         """A lease holder has leased the slot that was asked for, perhaps too late."""
         request = self._leasing_request(message.lease_id)
         if request is not None and message.replica in self._context.replicas:
-            self._take_slot(request, message.replica, message.lease_id, now)
+            self._on_slot_leased(request, message.replica, message.lease_id, now)
         else:
             self._context.send(sender, LeaseRelease(message.replica, message.lease_id, False))
 
@@ -99,7 +99,7 @@
         """A slot came free: the request with the earliest deadline that may use it gets it."""
         request = self._request_for_offer(message, now)
         if request is not None:
-            self._take_slot(request, message.replica, message.lease_id, now)
+            self._on_slot_leased(request, message.replica, message.lease_id, now)
         else:
             self._context.send(sender, LeaseRelease(message.replica, message.lease_id, False))
 
@@ -157,8 +157,8 @@
 
     def _may_overflow(self, request: QueuedRequest, now: timedelta) -> bool:
         """Whether the request has looked for a slot at home for long enough."""
-        patience: timedelta = min(self._context.tuning["spill_wait"], request.time_left / OVERFLOW_PART)
-        return now - request.asked_at >= patience
+        overflow_wait: timedelta = min(self._context.tuning["spill_wait"], request.time_left / OVERFLOW_TIME_DIVISOR)
+        return now - request.received_at >= overflow_wait
 
     # --- the claim, and the grant
 
@@ -173,10 +173,10 @@
         claim = shard.claim_of(request.key_digest)
         if claim is None or claim.request_id == request.request_id:
             return False
-        self._queue.deny(request, result_codes.SEEN, ran=ran_by_claim(claim))
+        self._queue.deny(request, result_codes.SEEN, ran=run_status_of_claim(claim))
         return True
 
-    def _take_slot(self, request: QueuedRequest, replica: str, lease_id: str, now: timedelta) -> None:
+    def _on_slot_leased(self, request: QueuedRequest, replica: str, lease_id: str, now: timedelta) -> None:
         """The request holds a slot: grant it, or claim its key first where it must not run twice."""
         context = self._context
         request.replica, request.lease_id = replica, lease_id
@@ -192,7 +192,7 @@
         request.is_key_checked = False  # its key may have been claimed while it waited
         if self.refuse_if_claimed(shard, request):
             return
-        request.begin(RequestStep.CLAIMING, until=now + context.tuning["claim_wait"])
+        request.enter_step(RequestStep.CLAIMING, until=now + context.tuning["claim_wait"])
         request.holds_claim = True
         context.effects.append(shard.claim(request.key_digest, request.request_id))
 
@@ -210,9 +210,9 @@
         request = self._context.requests.get(message.call_id)
         if request is None or request.step is not RequestStep.CLAIMING:
             return
-        if message.reason == Refusal.ALREADY_CLAIMED:
+        if message.reason == RefusalReason.ALREADY_CLAIMED:
             request.holds_claim = False
-            self._queue.deny(request, result_codes.SEEN, ran=Ran.MAYBE.value)
+            self._queue.deny(request, result_codes.SEEN, ran=RunStatus.MAYBE.value)
             return
         shard = self._context.shards.get(message.shard)
         if shard is None or message.shard != request.tenant:
@@ -224,12 +224,12 @@
         """Tell the ingress that the request may run on its replica."""
         context = self._context
         record = context.replicas[request.replica].record
-        request.begin(RequestStep.GRANTED, until=now + request.time_left + context.tuning["grant"])
+        request.enter_step(RequestStep.GRANTED, until=now + request.time_left + context.tuning["grant"])
         context.send(
             request.ingress,
             Grant(
                 request_id=request.request_id,
-                asking=request.asking,
+                attempt=request.attempt,
                 replica=request.replica,
                 incarnation=record.incarnation,
                 address=record.address,
--- a/silverglade/tenant_shards/claims.py
+++ b/silverglade/tenant_shards/claims.py
@@ -8,7 +8,7 @@
 
 from .messages import ClaimRow
 
-SURPLUS = 8
+SURPLUS_DIVISOR = 8
 """Claims are dropped once an eighth more than the limit has gathered."""
 
 
@@ -16,7 +16,7 @@
     """What is known of a claimed request. Claims hold the plain value; FREE takes a claim back and is never stored."""
 
     CLAIMED = "claimed"  # it may run
-    RAN = "ran"  # a replica had it
+    MAY_HAVE_RAN = "ran"  # a replica had it
     DONE = "done"
     FREE = "free"  # it surely never ran: the key may be claimed anew
 
@@ -36,17 +36,17 @@
 
 def expired_keys(claims: Mapping[str, Claim], limit: int) -> tuple[str, ...]:
     """The keys of claims older than the newest `limit`, once a surplus has gathered."""
-    if len(claims) <= limit + limit // SURPLUS:
+    if len(claims) <= limit + limit // SURPLUS_DIVISOR:
         return ()
     oldest_kept = max([claim.number for claim in claims.values()]) - limit
     return tuple([key for key, claim in claims.items() if claim.number <= oldest_kept])
 
 
-def rows_of(claims: Mapping[str, Claim]) -> tuple[ClaimRow, ...]:
+def claims_to_rows(claims: Mapping[str, Claim]) -> tuple[ClaimRow, ...]:
     """Claims as they travel, in the order of their keys."""
     return tuple([(key, claim.request_id, claim.state, claim.number) for key, claim in sorted(claims.items())])
 
 
-def claims_of(rows: Iterable[ClaimRow]) -> dict[str, Claim]:
+def claims_from_rows(rows: Iterable[ClaimRow]) -> dict[str, Claim]:
     """Claims from the rows of a message."""
     return {key: Claim(request_id, state, number) for key, request_id, state, number in rows}
--- a/silverglade/tenant_shards/context.py
+++ b/silverglade/tenant_shards/context.py
@@ -32,7 +32,7 @@
     :ivar leases_held: replica to the number of its slots that are leased by this daemon.
     :ivar members: the live daemons.
     :ivar budget: the retry budget.
-    :ivar owned_part: the part of all shards that this daemon owns.
+    :ivar owned_fraction: the part of all shards that this daemon owns.
     :ivar effects: of the present step, in their order.
     """
 
@@ -51,7 +51,7 @@
         "leases_held",
         "members",
         "budget",
-        "owned_part",
+        "owned_fraction",
         "effects",
     )
 
@@ -70,7 +70,7 @@
         self.leases_held: dict[str, int] = {}
         self.members: tuple[MemberRecord, ...] = ()
         self.budget = budget
-        self.owned_part = 0.0
+        self.owned_fraction = 0.0
         self.effects: list[Effect] = []
 
     @property
--- a/silverglade/tenant_shards/follower.py
+++ b/silverglade/tenant_shards/follower.py
@@ -12,19 +12,19 @@
 from ..runtime.components import Component
 from ..runtime.effects import DiskOperation, Effect, WriteToDisk
 from ..runtime.events import DiskWriteCompleted, Event, MessageReceived, StoreUpdated
-from .claims import Claim, ClaimState, claims_of, expired_keys, rows_of
+from .claims import Claim, ClaimState, claims_from_rows, claims_to_rows, expired_keys
 from .messages import (
     Adopted,
     AdoptionRefused,
     AdoptRequest,
     Claimed,
-    ClaimMark,
     ClaimRefused,
     ClaimRequest,
     ClaimsCopied,
     ClaimsCopy,
+    ClaimStateUpdate,
     Message,
-    Refusal,
+    RefusalReason,
     decode,
     send,
 )
@@ -89,8 +89,8 @@
         match message:
             case ClaimRequest():
                 self._on_claim(sender, message)
-            case ClaimMark():
-                self._on_mark(message)
+            case ClaimStateUpdate():
+                self._on_claim_state_update(message)
             case AdoptRequest():
                 self._on_adopt(sender, message)
             case ClaimsCopy():
@@ -101,13 +101,13 @@
         shard, key_digest = request.shard, request.key_digest
         epoch = self.epochs.get(shard)
         if epoch is None or epoch != request.epoch:
-            reason = Refusal.UNKNOWN_SHARD.value if epoch is None else Refusal.OTHER_EPOCH.value
+            reason = RefusalReason.UNKNOWN_SHARD.value if epoch is None else RefusalReason.OTHER_EPOCH.value
             self._effects.append(send(sender, ClaimRefused(shard, request.epoch, request.call_id, reason)))
             return
         claims = self.claims[shard]
         held = claims.get(key_digest)
         if held is not None and held.request_id != request.request_id:
-            self._effects.append(send(sender, ClaimRefused(shard, request.epoch, request.call_id, Refusal.ALREADY_CLAIMED.value)))
+            self._effects.append(send(sender, ClaimRefused(shard, request.epoch, request.call_id, RefusalReason.ALREADY_CLAIMED.value)))
             return
         claim = claims[key_digest] = Claim(request.request_id, ClaimState.CLAIMED.value, request.number)
         expired = expired_keys(claims, self._tuning["claims_most"])
@@ -118,40 +118,40 @@
             answer=(sender, Claimed(shard, request.epoch, request.call_id)),
         )
 
-    def _on_mark(self, mark: ClaimMark) -> None:
+    def _on_claim_state_update(self, update: ClaimStateUpdate) -> None:
         """Change the state of a claim, or take it back; a request that is done stays so."""
-        shard, key_digest = mark.shard, mark.key_digest
-        if self.epochs.get(shard) != mark.epoch:
+        shard, key_digest = update.shard, update.key_digest
+        if self.epochs.get(shard) != update.epoch:
             return
         claim = self.claims[shard].get(key_digest)
-        if claim is None or claim.request_id != mark.request_id:
+        if claim is None or claim.request_id != update.request_id:
             return
-        if mark.state == ClaimState.FREE:
+        if update.state == ClaimState.FREE:
             del self.claims[shard][key_digest]
             self._write(_delete_claims(shard, [key_digest]))
         elif claim.state != ClaimState.DONE:
-            claim = self.claims[shard][key_digest] = claim._replace(state=mark.state)
+            claim = self.claims[shard][key_digest] = claim._replace(state=update.state)
             self._write([_put_claim(shard, key_digest, claim)])
 
     def _on_adopt(self, sender: str, request: AdoptRequest) -> None:
         """Follow a new owner and tell it all claims; no claim of an earlier epoch is taken any more."""
         shard, epoch = request.shard, self.epochs.get(request.shard)
         if epoch is None or request.epoch < epoch:
-            reason = Refusal.UNKNOWN_SHARD.value if epoch is None else Refusal.OTHER_EPOCH.value
+            reason = RefusalReason.UNKNOWN_SHARD.value if epoch is None else RefusalReason.OTHER_EPOCH.value
             self._effects.append(send(sender, AdoptionRefused(shard, request.epoch, reason)))
             return
         self.epochs[shard] = request.epoch
-        answer = Adopted(shard, request.epoch, rows_of(self.claims[shard]))
+        answer = Adopted(shard, request.epoch, claims_to_rows(self.claims[shard]))
         self._write([_put_shard(shard, request.epoch)], answer=(sender, answer))
 
     def _on_copy(self, sender: str, copy: ClaimsCopy) -> None:
         """Begin to follow a shard with all its claims; what was held of it is dropped."""
         shard = copy.shard
         if copy.epoch < self.epochs.get(shard, 0):
-            self._effects.append(send(sender, AdoptionRefused(shard, copy.epoch, Refusal.OTHER_EPOCH.value)))
+            self._effects.append(send(sender, AdoptionRefused(shard, copy.epoch, RefusalReason.OTHER_EPOCH.value)))
             return
         dropped = self.claims.get(shard, {})
-        claims = claims_of(copy.claims)
+        claims = claims_from_rows(copy.claims)
         self.epochs[shard] = copy.epoch
         self.claims[shard] = claims
         self._write(
--- a/silverglade/tenant_shards/intake.py
+++ b/silverglade/tenant_shards/intake.py
@@ -11,7 +11,7 @@
 from ..runtime.effects import milliseconds
 from .admission import Admission
 from .context import OwnerContext
-from .messages import Denial, GrantRequest, OwnerMoved, Ran, RequestFacts
+from .messages import Denial, GrantRequest, GrantRequestFacts, OwnerMoved, RunStatus
 from .queued_request import QueuedRequest, RequestStep
 from .request_queue import RequestQueue
 from .shard import Shard
@@ -35,20 +35,20 @@
     def on_grant_request(self, sender: str, message: GrantRequest, now: timedelta) -> None:
         """An ingress asks for a grant, for the first time, once more, or for a redispatch."""
         context = self._context
-        facts = RequestFacts.of(message.facts)
+        facts = GrantRequestFacts.of(message.facts)
         shard = context.shards.get(message.tenant)
         if context.configuration and not context.has_class(message.tenant, facts.request_class):
             self._refuse(sender, message, result_codes.UNKNOWN_CLASS)
         elif not context.configuration or shard is None or message.epoch != shard.epoch:
-            context.send(sender, OwnerMoved(message.request_id, message.asking))
+            context.send(sender, OwnerMoved(message.request_id, message.attempt))
         elif not self._is_up_to_date(now):
             self._refuse(sender, message, result_codes.STALE)
-        elif not self._is_known(message, now):
-            self._take(sender, message, facts, shard, context.configuration, now)
+        elif not self._is_duplicate(message, now):
+            self._enqueue(sender, message, facts, shard, context.configuration, now)
 
     def _refuse(self, sender: str, message: GrantRequest, code: int) -> None:
         """Refuse what an ingress asks for before the request is looked at."""
-        self._context.send(sender, Denial(message.request_id, message.asking, code, Ran.UNKNOWN.value, NOT_READY_RETRY_MS))
+        self._context.send(sender, Denial(message.request_id, message.attempt, code, RunStatus.UNKNOWN.value, NOT_READY_RETRY_MS))
 
     def _is_up_to_date(self, now: timedelta) -> bool:
         """Whether the store was proved to be the newest of late; without that nothing is started."""
@@ -56,20 +56,20 @@
             return False
         return True
 
-    def _is_known(self, message: GrantRequest, now: timedelta) -> bool:
+    def _is_duplicate(self, message: GrantRequest, now: timedelta) -> bool:
         """Whether this asking, or a later one, was taken already; a grant of it is sent again."""
         known = self._context.requests.get(message.request_id)
-        if known is None or known.asking < message.asking:
+        if known is None or known.attempt < message.attempt:
             return False
-        if known.step is RequestStep.GRANTED and known.asking == message.asking and known.replica in self._context.replicas:
+        if known.step is RequestStep.GRANTED and known.attempt == message.attempt and known.replica in self._context.replicas:
             self._admission.grant(known, now)
         return True
 
-    def _take(
+    def _enqueue(
         self,
         sender: str,
         message: GrantRequest,
-        facts: RequestFacts,
+        facts: GrantRequestFacts,
         shard: Shard,
         configuration: Mapping[str, Any],
         now: timedelta,
@@ -77,7 +77,7 @@
         """Queue a request, and look for a slot at once unless others of its kind wait before it."""
         waiting = self._queue.waiting(message.tenant)
         earlier = self._context.requests.get(message.request_id)
-        request = self._queued(sender, message, facts, configuration, now)
+        request = self._build_request(sender, message, facts, configuration, now)
         if earlier is not None:
             request.holds_claim, request.is_retry, request.refused_by = earlier.holds_claim, earlier.is_retry, earlier.refused_by
         self._context.requests[message.request_id] = request
@@ -93,14 +93,14 @@
         if is_first_of_kind or (not shard.is_open and not request.is_resumable):
             self._admission.advance(request, now)
 
-    def _queued(
-        self, sender: str, message: GrantRequest, facts: RequestFacts, configuration: Mapping[str, Any], now: timedelta
+    def _build_request(
+        self, sender: str, message: GrantRequest, facts: GrantRequestFacts, configuration: Mapping[str, Any], now: timedelta
     ) -> QueuedRequest:
         settings = configuration["tenants"][message.tenant]["classes"][facts.request_class]
         time_left = milliseconds(facts.time_left_ms)
         return QueuedRequest(
             request_id=message.request_id,
-            asking=message.asking,
+            attempt=message.attempt,
             ingress=sender,
             tenant=message.tenant,
             request_class=facts.request_class,
@@ -108,7 +108,7 @@
             prefix=facts.prefix,
             kind=settings["kind"],
             is_resumable=settings["resumable"],
-            asked_at=now,
+            received_at=now,
             time_left=time_left,
             deadline=now + time_left,
             next_attempt_at=now,
@@ -121,15 +121,15 @@
 
         Owners see every request, so they know a repeated key without its header.
         """
-        budget, tuning, owned_part = self._context.budget, self._context.tuning, self._context.owned_part
+        budget, tuning, owned_fraction = self._context.budget, self._context.tuning, self._context.owned_fraction
         first_request: str = shard.first_requests.setdefault(request.key_digest, request.request_id)
-        if request.asking > 1:  # a redispatch; it is free if the request was not sent before
+        if request.attempt > 1:  # a redispatch; it is free if the request was not sent before
             was_not_sent = earlier is not None and earlier.was_not_sent
-            return was_not_sent or budget.take_retry(now, tuning["retry_share"], owned_part)
+            return was_not_sent or budget.take_retry(now, tuning["retry_share"], owned_fraction)
         if earlier is not None:
             return True
         if client_attempt > 1 or first_request != request.request_id:
             request.is_retry = True
-            return budget.take_retry(now, tuning["retry_stop"], owned_part)
+            return budget.take_retry(now, tuning["retry_stop"], owned_fraction)
         budget.count_first_request(now)
         return True
--- a/silverglade/tenant_shards/messages.py
+++ b/silverglade/tenant_shards/messages.py
@@ -14,7 +14,7 @@
 from ..runtime.record import Record, field_names, fields_of, required_field_count
 
 
-class Refusal(StrEnum):
+class RefusalReason(StrEnum):
     """Why a follower refuses a claim or an adoption. Messages hold the plain value."""
 
     UNKNOWN_SHARD = "none"  # it holds nothing of the shard
@@ -26,12 +26,12 @@
     """How a granted request ended, as its ingress tells. Messages hold the plain value."""
 
     DONE = "done"  # the replica answered to the end
-    RAN = "ran"  # a replica had it, perhaps
+    MAY_HAVE_RAN = "ran"  # a replica had it, perhaps
     REFUSED = "unrun"  # the replica surely did not run it
     NOT_SENT = "barred"  # it was not sent, since the replica could not be used any more
 
 
-class Ran(StrEnum):
+class RunStatus(StrEnum):
     """What the owner knows of whether a request's key ran. Messages hold the plain value."""
 
     NO = "no"
@@ -47,7 +47,7 @@
 # --- between a request's ingress and the owner of its tenant's shard
 
 
-class RequestFacts(NamedTuple):
+class GrantRequestFacts(NamedTuple):
     """What an owner must know of a request.
 
     :ivar request_class: of the tenant.
@@ -64,7 +64,7 @@
     client_attempt: int
 
     @classmethod
-    def of(cls, row: tuple[Any, ...]) -> RequestFacts:
+    def of(cls, row: tuple[Any, ...]) -> GrantRequestFacts:
         """The facts of a checked row; an earlier program sends no attempt, a later one may append fields."""
         request_class, key, prefix, time_left_ms, *rest = row
         client_attempt = rest[0] if rest and type(rest[0]) is int else 0
@@ -75,7 +75,7 @@
     """An ingress asks the owner to run a request: `asking` is 1, and one more for each redispatch."""
 
     request_id: str
-    asking: int
+    attempt: int
     tenant: str
     epoch: int
     facts: tuple[Any, ...]
@@ -85,7 +85,7 @@
     """The request may run on this replica; `is_overflow`: outside its first home, `is_retry`: its key was asked before."""
 
     request_id: str
-    asking: int
+    attempt: int
     replica: str
     incarnation: int
     address: str
@@ -103,7 +103,7 @@
     """
 
     request_id: str
-    asking: int
+    attempt: int
     code: int
     ran: str
     retry_after_ms: int | None
@@ -113,14 +113,14 @@
     """The shard is owned elsewhere, or under another epoch."""
 
     request_id: str
-    asking: int
+    attempt: int
 
 
 class RunEnded(Record):
     """The ingress tells how a granted request ended, as a `RunOutcome` value."""
 
     request_id: str
-    asking: int
+    attempt: int
     outcome: str
 
 
@@ -214,7 +214,7 @@
     reason: str
 
 
-class ClaimMark(Record):
+class ClaimStateUpdate(Record):
     """The state of a claim has changed; "free": it is taken back."""
 
     shard: str
@@ -280,7 +280,7 @@
     | ClaimRequest
     | Claimed
     | ClaimRefused
-    | ClaimMark
+    | ClaimStateUpdate
     | AdoptRequest
     | Adopted
     | AdoptionRefused
@@ -304,7 +304,7 @@
     "claim": ClaimRequest,
     "claimed": Claimed,
     "unclaimed": ClaimRefused,
-    "mark": ClaimMark,
+    "mark": ClaimStateUpdate,
     "adopt": AdoptRequest,
     "adopted": Adopted,
     "unadopted": AdoptionRefused,
--- a/silverglade/tenant_shards/owned_shards.py
+++ b/silverglade/tenant_shards/owned_shards.py
@@ -28,7 +28,7 @@
         self._context = context
         self._queue = queue
 
-    def follow_assignments(self) -> None:
+    def apply_assignments(self) -> None:
         """Begin to own the shards that control assigned to this daemon, and hand over those it assigned elsewhere."""
         context = self._context
         for name in [name for name in context.shards if shard_role(context.store, name) is None]:
@@ -39,12 +39,12 @@
             held = context.shards.get(name)
             if role.owner == context.own_name:
                 if held is None or held.epoch < role.epoch:
-                    self._own(name, role, held)
+                    self._take_ownership(name, role, held)
             elif held is not None:
                 self._hand_over(name, role)
-        context.owned_part = len(context.shards) / max(1, assigned)
+        context.owned_fraction = len(context.shards) / max(1, assigned)
 
-    def _own(self, name: str, role: ShardRole, held: Shard | None) -> None:
+    def _take_ownership(self, name: str, role: ShardRole, held: Shard | None) -> None:
         self._context.shards[name] = Shard(
             name=name,
             epoch=role.epoch,
@@ -64,7 +64,7 @@
             del context.requests[request.request_id]
             if request.step is not RequestStep.GRANTED:
                 self._queue.release_lease(request, succeeded=False)
-                context.send(request.ingress, OwnerMoved(request.request_id, request.asking))
+                context.send(request.ingress, OwnerMoved(request.request_id, request.attempt))
 
     def advance(self, live_daemons: set[str], now: timedelta) -> None:
         """Do what each shard's present step needs."""
--- a/silverglade/tenant_shards/owner.py
+++ b/silverglade/tenant_shards/owner.py
@@ -51,7 +51,7 @@
 from .owned_shards import OwnedShards
 from .request_queue import RequestQueue
 from .request_timeouts import RequestTimeouts
-from .retry_budget import PACE_ATTRIBUTE, RetryBudget
+from .retry_budget import COUNTS_ATTRIBUTE, RetryBudget
 
 ROUNDS_PER_BEAT = 2
 """Leases are renewed and shards are looked after so many times in the `beat` time."""
@@ -113,22 +113,22 @@
         self.context.store = event.store
         self.context.lease_holders = dict(lease_holders(event.store))
         self.context.drained_zones = evacuated_zones(event.store)
-        self._queue.withdraw_unconfigured()
-        self._owned_shards.follow_assignments()
+        self._queue.deny_unconfigured()
+        self._owned_shards.apply_assignments()
 
     def _on_membership_changed(self, event: MembershipChanged, now: timedelta) -> None:
         members = members_of(event.members)
         process_ids = {member.name: member.process_id for member in members}
         for shard in self.context.shards.values():
-            shard.see_follower_process(process_ids.get(shard.follower))
+            shard.observe_follower_process(process_ids.get(shard.follower))
         self.context.members = members
-        self.context.budget.hear(members, now)
+        self.context.budget.record_peer_counts(members, now)
 
     def _on_process_paused(self) -> None:
         """Others may own the shards by now."""
         self.context.proved_at = None
         for shard in self.context.shards.values():
-            shard.adopt_again()
+            shard.restart_adoption()
 
     def _on_timer(self, now: timedelta) -> None:
         context = self.context
@@ -137,7 +137,7 @@
             self._next_round = now + context.tuning["beat"] / ROUNDS_PER_BEAT
             self._renew_leases()
             context.budget.expire(now)
-            context.effects.append(Post(Component.MEMBERSHIP, AttributeSet(PACE_ATTRIBUTE, context.budget.pace)))
+            context.effects.append(Post(Component.MEMBERSHIP, AttributeSet(COUNTS_ATTRIBUTE, context.budget.counts)))
             self._owned_shards.advance(live_daemons, now)
         self._timeouts.check(live_daemons, now)
         if not context.requests:
--- a/silverglade/tenant_shards/queued_request.py
+++ b/silverglade/tenant_shards/queued_request.py
@@ -41,7 +41,7 @@
     :ivar deadline: when its client stops waiting.
     :ivar next_attempt_at: when to look for a slot again.
     :ivar step: where it is on its way to a grant.
-    :ivar step_until: when the present step is given up; None for a step without an end.
+    :ivar step_deadline: when the present step is given up; None for a step without an end.
     :ivar candidates: replicas whose lease holders were not asked yet.
     :ivar lease_request_id: of the lease that was asked for last.
     :ivar replica: the replica that it is leased a slot of, or asks one of.
@@ -55,7 +55,7 @@
     """
 
     request_id: str
-    asking: int
+    attempt: int
     ingress: str
     tenant: str
     request_class: str
@@ -63,12 +63,12 @@
     prefix: str
     kind: str
     is_resumable: bool
-    asked_at: timedelta
+    received_at: timedelta
     time_left: timedelta
     deadline: timedelta
     next_attempt_at: timedelta
     step: RequestStep = RequestStep.WAITING
-    step_until: timedelta | None = None
+    step_deadline: timedelta | None = None
     candidates: list[str] = field(default_factory=list)
     lease_request_id: str = ""
     replica: str = ""
@@ -80,10 +80,10 @@
     is_overflow: bool = False
     refused_by: set[str] = field(default_factory=set)
 
-    def begin(self, step: RequestStep, *, until: timedelta | None = None) -> None:
+    def enter_step(self, step: RequestStep, *, until: timedelta | None = None) -> None:
         """Enter a step."""
-        self.step, self.step_until = step, until
+        self.step, self.step_deadline = step, until
 
-    def is_step_over(self, now: timedelta) -> bool:
+    def has_step_timed_out(self, now: timedelta) -> bool:
         """Whether the present step has taken too long."""
-        return self.step_until is not None and now > self.step_until
+        return self.step_deadline is not None and now > self.step_deadline
--- a/silverglade/tenant_shards/request_queue.py
+++ b/silverglade/tenant_shards/request_queue.py
@@ -7,16 +7,16 @@
 from ..runtime import result_codes
 from .claims import Claim, ClaimState
 from .context import OwnerContext
-from .messages import Denial, LeaseRelease, Ran, RequestAbandoned, RunEnded, RunOutcome
+from .messages import Denial, LeaseRelease, RequestAbandoned, RunEnded, RunOutcome, RunStatus
 from .queued_request import GRANTED, REFUSED, WAITING, QueuedRequest, RequestStep
 
-NOBODY = ""
+NO_HOLDER = ""
 """Whom a lease is given back to while no lease holder is named; the message is dropped."""
 
 
-def ran_by_claim(claim: Claim) -> str:
+def run_status_of_claim(claim: Claim) -> str:
     """What another request's claim of a key says of whether the key ran."""
-    return Ran.YES.value if claim.state == ClaimState.DONE else Ran.MAYBE.value
+    return RunStatus.YES.value if claim.state == ClaimState.DONE else RunStatus.MAYBE.value
 
 
 class RequestQueue:
@@ -31,19 +31,19 @@
         """The tenant's requests that wait for a slot, in the order of their arrival."""
         return [request for request in self._context.requests.values() if request.tenant == tenant and request.step is WAITING]
 
-    def ran(self, request: QueuedRequest) -> str:
-        """What this owner can say of whether the request's key ran, as a `Ran` value."""
+    def run_status(self, request: QueuedRequest) -> str:
+        """What this owner can say of whether the request's key ran, as a `RunStatus` value."""
         shard = self._context.shards.get(request.tenant)
         for other in self._context.requests.values():
             if other.key_digest == request.key_digest and other is not request:
-                return Ran.MAYBE.value  # its client asked twice at once
+                return RunStatus.MAYBE.value  # its client asked twice at once
         if request.is_resumable:
             was_granted = shard is not None and request.key_digest in shard.granted_keys
-            return Ran.MAYBE.value if was_granted else Ran.UNKNOWN.value
+            return RunStatus.MAYBE.value if was_granted else RunStatus.UNKNOWN.value
         claim = shard.claim_of(request.key_digest) if shard is not None else None
         if claim is not None and claim.request_id != request.request_id:
-            return ran_by_claim(claim)  # another request with the key has come first
-        return Ran.NO.value if request.is_key_checked else Ran.UNKNOWN.value
+            return run_status_of_claim(claim)  # another request with the key has come first
+        return RunStatus.NO.value if request.is_key_checked else RunStatus.UNKNOWN.value
 
     def deny(self, request: QueuedRequest, code: int, *, ran: str | None = None, retry_after_ms: int | None = None) -> None:
         """Answer a request that will not be granted, and drop it.
@@ -51,12 +51,12 @@
         :param ran: what to say of whether its key ran; None for what this owner knows.
         """
         if ran is None:
-            ran = self.ran(request)
+            ran = self.run_status(request)
         self._context.requests.pop(request.request_id, None)
         self.release_lease(request, succeeded=False)
-        if request.holds_claim and ran == Ran.NO:
-            self._mark_claim(request, ClaimState.FREE.value)
-        self._context.send(request.ingress, Denial(request.request_id, request.asking, code, ran, retry_after_ms))
+        if request.holds_claim and ran == RunStatus.NO:
+            self._set_claim_state(request, ClaimState.FREE.value)
+        self._context.send(request.ingress, Denial(request.request_id, request.attempt, code, ran, retry_after_ms))
 
     def drop(self, request: QueuedRequest) -> None:
         """Drop a request of which nobody wants to hear any more; its claim stays, since it may have run."""
@@ -70,11 +70,11 @@
         replica, leases_held = request.replica, self._context.leases_held
         leases_held[replica] = max(0, leases_held.get(replica, 0) - 1)
         holder = self._context.lease_holders.get(replica)
-        to = holder.daemon if holder is not None else NOBODY
+        to = holder.daemon if holder is not None else NO_HOLDER
         self._context.send(to, LeaseRelease(replica, request.lease_id, succeeded))
         request.lease_id = ""
 
-    def withdraw_unconfigured(self) -> None:
+    def deny_unconfigured(self) -> None:
         """Answer the requests that wait for a tenant or class which the configuration no longer has (design 6.7)."""
         for request in list(self._context.requests.values()):
             is_waiting = request.step not in (GRANTED, REFUSED)
@@ -84,17 +84,17 @@
     def on_run_ended(self, sender: str, message: RunEnded, now: timedelta) -> None:
         """A granted request has ended; if its replica did not run it, the ingress may ask again under its claim."""
         request = self._context.requests.get(message.request_id)
-        if request is None or request.asking != message.asking or request.ingress != sender:
+        if request is None or request.attempt != message.attempt or request.ingress != sender:
             return
         self.release_lease(request, succeeded=message.outcome == RunOutcome.DONE)
         if message.outcome in (RunOutcome.REFUSED, RunOutcome.NOT_SENT) and request.replica:
             request.refused_by.add(request.replica)
-            request.begin(RequestStep.REFUSED, until=now + self._context.tuning["grant"])
+            request.enter_step(RequestStep.REFUSED, until=now + self._context.tuning["grant"])
             request.was_not_sent = message.outcome == RunOutcome.NOT_SENT
             return
         del self._context.requests[request.request_id]
         if request.holds_claim:
-            self._mark_claim(request, message.outcome)
+            self._set_claim_state(request, message.outcome)
 
     def on_request_abandoned(self, sender: str, message: RequestAbandoned) -> None:
         """The ingress will never send the request: its key is free."""
@@ -103,9 +103,9 @@
             return
         self.release_lease(request, succeeded=False)
         if request.holds_claim:
-            self._mark_claim(request, ClaimState.FREE.value)
+            self._set_claim_state(request, ClaimState.FREE.value)
 
-    def _mark_claim(self, request: QueuedRequest, state: str) -> None:
+    def _set_claim_state(self, request: QueuedRequest, state: str) -> None:
         shard = self._context.shards.get(request.tenant)
         if shard is not None:
-            self._context.effects.extend(shard.mark(request.key_digest, request.request_id, state))
+            self._context.effects.extend(shard.set_claim_state(request.key_digest, request.request_id, state))
--- a/silverglade/tenant_shards/request_timeouts.py
+++ b/silverglade/tenant_shards/request_timeouts.py
@@ -7,7 +7,7 @@
 from ..runtime import result_codes
 from .admission import Admission
 from .context import OwnerContext
-from .messages import Ran
+from .messages import RunStatus
 from .queued_request import GRANTED, REFUSED, WAITING, QueuedRequest, RequestStep
 from .request_queue import RequestQueue
 
@@ -31,24 +31,24 @@
             if request.step in (GRANTED, REFUSED):
                 self._check_answered(request, live_daemons, now)
             elif request.ingress not in live_daemons:
-                self._queue.deny(request, result_codes.LINK_LOST, ran=Ran.MAYBE.value)
+                self._queue.deny(request, result_codes.LINK_LOST, ran=RunStatus.MAYBE.value)
             elif now >= request.deadline:
                 self._queue.deny(request, result_codes.NO_SLOT, retry_after_ms=RETRY_LATER_MS)
             elif request.step is WAITING:
                 self._check_waiting(request, now)
-            elif request.is_step_over(now):
+            elif request.has_step_timed_out(now):
                 if request.step is RequestStep.CLAIMING:
-                    self._give_up_claim(request, now)
+                    self._time_out_claim(request, now)
                 else:
                     self._admission.ask_next_candidate(request, now)
 
     def _check_answered(self, request: QueuedRequest, live_daemons: set[str], now: timedelta) -> None:
         """A request that was granted, or that its replica refused: it is dropped when nobody will say how it went on."""
         is_orphaned = request.step is GRANTED and request.ingress not in live_daemons
-        if is_orphaned or request.is_step_over(now):
+        if is_orphaned or request.has_step_timed_out(now):
             self._queue.drop(request)
 
-    def _give_up_claim(self, request: QueuedRequest, now: timedelta) -> None:
+    def _time_out_claim(self, request: QueuedRequest, now: timedelta) -> None:
         """The follower lives but does not sync: another core is to follow."""
         shard = self._context.shards.get(request.tenant)
         if shard is not None:
@@ -56,17 +56,17 @@
         self._queue.deny(request, result_codes.NO_FOLLOWER, retry_after_ms=RETRY_LATER_MS)
 
     def _check_waiting(self, request: QueuedRequest, now: timedelta) -> None:
-        waited = now - request.asked_at
-        if not request.is_resumable and self._is_claiming_hopeless(request, waited):
+        waited = now - request.received_at
+        if not request.is_resumable and self._is_claim_impossible(request, waited):
             self._queue.deny(request, result_codes.NO_FOLLOWER, retry_after_ms=RETRY_LATER_MS)
         elif waited > self._context.tuning["queue_wait"]:
             self._queue.deny(request, result_codes.NO_SLOT, retry_after_ms=RETRY_LATER_MS)
         elif now >= request.next_attempt_at:
             self._admission.advance(request, now)
 
-    def _is_claiming_hopeless(self, request: QueuedRequest, waited: timedelta) -> bool:
+    def _is_claim_impossible(self, request: QueuedRequest, waited: timedelta) -> bool:
         """Whether the shard has not been open for too long, or will not open by itself."""
         shard = self._context.shards.get(request.tenant)
         if shard is not None and shard.is_open:
             return False
-        return bool(waited > self._context.tuning["claim_wait"]) or (shard is not None and shard.is_shut)
+        return bool(waited > self._context.tuning["claim_wait"]) or (shard is not None and shard.has_lost_claims)
--- a/silverglade/tenant_shards/retry_budget.py
+++ b/silverglade/tenant_shards/retry_budget.py
@@ -9,19 +9,19 @@
 
 from ..membership.records import MemberRecord
 
-PACE_ATTRIBUTE = "pace"
+COUNTS_ATTRIBUTE = "pace"
 """Attribute of a member record: the (first requests, retries) that the daemon counted over the window."""
 
 FIRST_REQUESTS, RETRIES, REFUSED = "fresh", "again", "refused"
 """Names of the totals."""
 
 
-class PeerPace(NamedTuple):
+class PeerCounts(NamedTuple):
     """What another owner counted over the window, and when that was heard."""
 
     first_requests: int
     retries: int
-    heard_at: timedelta
+    received_at: timedelta
 
 
 class RetryBudget:
@@ -43,10 +43,10 @@
         self._recent: deque[tuple[timedelta, bool]] = deque()  # when, and whether it was a retry
         self._first_requests = 0
         self._retries = 0
-        self._peers: dict[str, PeerPace] = {}
+        self._peers: dict[str, PeerCounts] = {}
 
     @property
-    def pace(self) -> tuple[int, int]:
+    def counts(self) -> tuple[int, int]:
         """The first requests and the retries counted here over the window."""
         return self._first_requests, self._retries
 
@@ -63,14 +63,14 @@
                 self._retries -= 1
             else:
                 self._first_requests -= 1
-        self._peers = {name: pace for name, pace in self._peers.items() if now - pace.heard_at <= self._window}
+        self._peers = {name: counts for name, counts in self._peers.items() if now - counts.received_at <= self._window}
 
-    def hear(self, members: Iterable[MemberRecord], now: timedelta) -> None:
+    def record_peer_counts(self, members: Iterable[MemberRecord], now: timedelta) -> None:
         """Take in what the other owners counted; what one that died said last counts on for a window."""
         for member in members:
-            pace = member.attribute(PACE_ATTRIBUTE)
-            if member.name != self._own_name and _is_pace(pace):
-                self._peers[member.name] = PeerPace(pace[0], pace[1], now)
+            counts = member.attribute(COUNTS_ATTRIBUTE)
+            if member.name != self._own_name and _is_valid_counts(counts):
+                self._peers[member.name] = PeerCounts(counts[0], counts[1], now)
 
     def count_first_request(self, now: timedelta) -> None:
         """Count a request that is no retry."""
@@ -79,17 +79,17 @@
         self._first_requests += 1
         self.totals[FIRST_REQUESTS] += 1
 
-    def take_retry(self, now: timedelta, share: float, owned_part: float) -> bool:
+    def take_retry(self, now: timedelta, share: float, owned_fraction: float) -> bool:
         """Take one retry from the budget.
 
         :param share: retries allowed for each of the fleet's first requests.
-        :param owned_part: the part of all shards that this daemon owns.
+        :param owned_fraction: the part of all shards that this daemon owns.
         :returns: whether there was one left.
         """
         self.expire(now)
-        fleet_first_requests = self._first_requests + sum([pace.first_requests for pace in self._peers.values()])
-        fleet_retries = self._retries + sum([pace.retries for pace in self._peers.values()])
-        own_allowance = share * (self._first_requests + fleet_first_requests * owned_part) / 2
+        fleet_first_requests = self._first_requests + sum([counts.first_requests for counts in self._peers.values()])
+        fleet_retries = self._retries + sum([counts.retries for counts in self._peers.values()])
+        own_allowance = share * (self._first_requests + fleet_first_requests * owned_fraction) / 2
         if self._retries + 1 > own_allowance or fleet_retries + 1 > share * fleet_first_requests:
             self.totals[REFUSED] += 1
             return False
@@ -99,6 +99,6 @@
         return True
 
 
-def _is_pace(value: Any) -> bool:
+def _is_valid_counts(value: Any) -> bool:
     """Whether another daemon's attribute is well formed; a later program may append counts."""
     return type(value) is tuple and len(value) >= 2 and all([type(count) is int for count in value])
--- a/silverglade/tenant_shards/shard.py
+++ b/silverglade/tenant_shards/shard.py
@@ -13,26 +13,26 @@
 from boltons.cacheutils import LRI
 
 from ..runtime.effects import ZERO, Effect, LogRecord, Send, log_record
-from .claims import Claim, ClaimState, claims_of, expired_keys, rows_of
+from .claims import Claim, ClaimState, claims_from_rows, claims_to_rows, expired_keys
 from .follower_choice import FollowerAssignment, FollowerCandidates
 from .messages import (
     Adopted,
     AdoptionRefused,
     AdoptRequest,
-    ClaimMark,
     ClaimRequest,
     ClaimsCopied,
     ClaimsCopy,
-    Refusal,
+    ClaimStateUpdate,
+    RefusalReason,
     send,
 )
 
 NO_CORE = ""
 
-UNRESPONSIVE_GONE_TIMES = 2
+UNRESPONSIVE_GONE_FACTOR = 2
 """A core that did not answer is passed over for so many times the `gone` time."""
 
-ASKS_PER_TAKEOVER = 3
+REQUESTS_PER_TAKEOVER = 3
 """A follower is asked again so many times within the `takeover` time."""
 
 
@@ -43,7 +43,7 @@
     OPEN = "open"
     COPY = "copy"  # give a new follower every claim
     ASSIGN = "assign"  # have control name the new follower
-    SHUT = "shut"  # the follower lost its claims, and this owner does not know them either
+    CLAIMS_LOST = "shut"  # the follower lost its claims, and this owner does not know them either
 
 
 class Shard:
@@ -67,7 +67,7 @@
         "_owner",
         "_claims_limit",
         "_last_number",
-        "_asked_at",
+        "_requested_at",
         "_copy_target",
         "_copy_number",
         "_follower_process",
@@ -88,7 +88,7 @@
         self._owner = owner
         self._claims_limit = claims_limit
         self._last_number = max([claim.number for claim in (claims or {}).values()], default=0)
-        self._asked_at: timedelta | None = None
+        self._requested_at: timedelta | None = None
         self._copy_target = NO_CORE
         self._copy_number = 0
         self._follower_process: str | None = None  # as last seen
@@ -101,9 +101,9 @@
         return self.step is ShardStep.OPEN
 
     @property
-    def is_shut(self) -> bool:
+    def has_lost_claims(self) -> bool:
         """Whether the claims are lost: the shard opens only with another epoch, or when its follower has them again."""
-        return self.step is ShardStep.SHUT
+        return self.step is ShardStep.CLAIMS_LOST
 
     def claims_for(self, epoch: int) -> dict[str, Claim] | None:
         """The claims, if they are still complete under this epoch: nobody owned the shard in between."""
@@ -127,7 +127,7 @@
             del self.claims[expired_key]
         return send(self.follower, ClaimRequest(self.name, self.epoch, request_id, key_digest, request_id, number))
 
-    def mark(self, key_digest: str, request_id: str, state: str) -> list[Effect]:
+    def set_claim_state(self, key_digest: str, request_id: str, state: str) -> list[Effect]:
         """Change the state of a request's claim, or take it back (`ClaimState.FREE`)."""
         claim = self.claim_of(key_digest)
         if self.claims is None or claim is None or claim.request_id != request_id:
@@ -136,33 +136,33 @@
             del self.claims[key_digest]
         else:
             self.claims[key_digest] = claim._replace(state=state)
-        return [send(self.follower, ClaimMark(self.name, self.epoch, key_digest, request_id, state))]
+        return [send(self.follower, ClaimStateUpdate(self.name, self.epoch, key_digest, request_id, state))]
 
     # --- what puts the agreement with the follower in doubt
 
-    def adopt_again(self) -> None:
+    def restart_adoption(self) -> None:
         """Another daemon may own the shard by now, or the follower may have lost its disk: ask it again what it holds."""
         if self.is_open:
-            self._begin(ShardStep.ADOPT)
+            self._enter_step(ShardStep.ADOPT)
 
-    def see_follower_process(self, process_id: str | None) -> None:
+    def observe_follower_process(self, process_id: str | None) -> None:
         """A follower in another process may have lost its disk (design 6.4)."""
         if process_id is not None and process_id != self._follower_process:
             if self._follower_process is not None:
-                self.adopt_again()
+                self.restart_adoption()
             self._follower_process = process_id
 
     def on_claim_refused(self, epoch: int, reason: str) -> None:
         """The follower holds nothing of the shard, or follows another epoch."""
         if epoch != self.epoch:
             return
-        if reason == Refusal.UNKNOWN_SHARD:
-            self._begin(ShardStep.COPY)
-        elif reason == Refusal.OTHER_EPOCH:
-            self._begin(ShardStep.ADOPT)
+        if reason == RefusalReason.UNKNOWN_SHARD:
+            self._enter_step(ShardStep.COPY)
+        elif reason == RefusalReason.OTHER_EPOCH:
+            self._enter_step(ShardStep.ADOPT)
 
-    def _begin(self, step: ShardStep) -> None:
-        self.step, self._asked_at = step, None
+    def _enter_step(self, step: ShardStep) -> None:
+        self.step, self._requested_at = step, None
 
     # --- answers of the follower
 
@@ -170,25 +170,25 @@
         """The follower's claims have come: the shard opens, unless the follower holds less than this owner."""
         if message.epoch != self.epoch or sender != self.follower or self.step is not ShardStep.ADOPT:
             return []
-        received = claims_of(message.claims)
+        received = claims_from_rows(message.claims)
         own = self.claims or {}
         self.claims = {**received, **own}
         self._last_number = max([self._last_number, *[claim.number for claim in received.values()]])
         oldest_kept = self._last_number - self._claims_limit
         if any([key not in received and claim.number > oldest_kept for key, claim in own.items()]):
-            self._begin(ShardStep.COPY)
+            self._enter_step(ShardStep.COPY)
             return []
         self.step = ShardStep.OPEN
         return [log_record("shard-open", shard=self.name, epoch=self.epoch, claims=len(received))]
 
     def on_adoption_refused(self, sender: str, message: AdoptionRefused) -> list[LogRecord]:
         """A follower without claims gets them from here; where they are not known either, the shard shuts."""
-        if message.epoch != self.epoch or self.step is not ShardStep.ADOPT or message.reason != Refusal.UNKNOWN_SHARD:
+        if message.epoch != self.epoch or self.step is not ShardStep.ADOPT or message.reason != RefusalReason.UNKNOWN_SHARD:
             return []
         if self.claims is not None:
-            self._begin(ShardStep.COPY)
+            self._enter_step(ShardStep.COPY)
             return []
-        self.step = ShardStep.SHUT
+        self.step = ShardStep.CLAIMS_LOST
         return [log_record("claims-lost", shard=self.name, follower=sender)]
 
     def on_copied(self, sender: str, message: ClaimsCopied) -> None:
@@ -196,7 +196,7 @@
         if message.epoch != self.epoch or self.step is not ShardStep.COPY:
             return
         if sender == self._copy_target and message.number == self._copy_number:
-            self._begin(ShardStep.ADOPT if sender == self.follower else ShardStep.ASSIGN)
+            self._enter_step(ShardStep.ADOPT if sender == self.follower else ShardStep.ASSIGN)
 
     # --- time
 
@@ -210,9 +210,9 @@
         spare_cores = [core for core in cores.ranked(self.name) if core not in self.unresponsive]
         must_replace = not is_live or (is_unfit and bool(spare_cores))
         self._change_step(must_replace, now, tuning)
-        if self.is_open or (self._asked_at is not None and now - self._asked_at < tuning["takeover"] / ASKS_PER_TAKEOVER):
+        if self.is_open or (self._requested_at is not None and now - self._requested_at < tuning["takeover"] / REQUESTS_PER_TAKEOVER):
             return None
-        self._asked_at = now
+        self._requested_at = now
         if self.step is ShardStep.ADOPT:
             return send(self.follower, AdoptRequest(self.name, self.epoch))
         if self.step is ShardStep.COPY:
@@ -232,16 +232,16 @@
             elif self.step is ShardStep.ADOPT and self.claims is not None:
                 self.unresponsive[self.follower] = now
         if self.unresponsive:
-            kept_for = tuning["gone"] * UNRESPONSIVE_GONE_TIMES
+            kept_for = tuning["gone"] * UNRESPONSIVE_GONE_FACTOR
             self.unresponsive = {core: seen_at for core, seen_at in self.unresponsive.items() if now - seen_at < kept_for}
 
     def _change_step(self, must_replace: bool, now: timedelta, tuning: Mapping[str, Any]) -> None:
         """Replace the follower where that must and can be; a shard that is shut tries again when its follower is back."""
         is_agreed = self.step in (ShardStep.OPEN, ShardStep.ADOPT)
         if is_agreed and self.follower and must_replace and self.claims is not None:
-            self._begin(ShardStep.COPY)
-        if self.step is ShardStep.SHUT and not must_replace:
-            if self._asked_at is None or now - self._asked_at > tuning["gone"]:
+            self._enter_step(ShardStep.COPY)
+        if self.step is ShardStep.CLAIMS_LOST and not must_replace:
+            if self._requested_at is None or now - self._requested_at > tuning["gone"]:
                 self.step = ShardStep.ADOPT
 
     def _copy_to(self, target: str) -> Send | None:
@@ -250,7 +250,7 @@
         if not target:
             return None
         assert self.claims is not None
-        return send(target, ClaimsCopy(self.name, self.epoch, self._copy_number, rows_of(self.claims)))
+        return send(target, ClaimsCopy(self.name, self.epoch, self._copy_number, claims_to_rows(self.claims)))
 
     def _assign(self, live: set[str]) -> FollowerAssignment | None:
         if self._copy_target not in live:
--- a/silverglade/testbed/simulator/inspection.py
+++ b/silverglade/testbed/simulator/inspection.py
@@ -86,7 +86,7 @@
     @property
     def leaving_replicas(self) -> Any:
         """Replicas that are known to leave: id to incarnation."""
-        return self._held("replica_registry", "table").leaving_marks
+        return self._held("replica_registry", "table").leaving_incarnations
 
     @property
     def tenant_context(self) -> Any:
--- a/tests/http/test_hostile_requests.py
+++ b/tests/http/test_hostile_requests.py
@@ -104,7 +104,7 @@
     except SilvergladeError as error:
         assert error.code in RESULT_CODES and ran_if_not_admitted(error, head) in ("no", "maybe")
         return
-    assert (facts.key + facts.prefix).isascii() and facts.time_left.total_seconds() > 0 and 0 <= facts.attempt <= 999
+    assert (facts.key + facts.prefix).isascii() and facts.time_left.total_seconds() > 0 and 0 <= facts.client_attempt <= 999
 
 
 class FleetDoor:
--- a/tests/replicas/test_candidate_selection.py
+++ b/tests/replicas/test_candidate_selection.py
@@ -21,7 +21,7 @@
     return ReplicaEntry(
         record=ReplicaRecord(name, 1, 1, "a", zone, kind, tuple(homes or [zone]), tuple(prefixes), 4, leaving),
         status=ReplicaStatus(name, 1, 1, 1, state, 0.0, 0.0, 0, 4, used),
-        heard_at=10 * SEC - age * SEC,
+        last_contact_at=10 * SEC - age * SEC,
     )
 
 
@@ -123,7 +123,7 @@
     at = next(n for n in ("edge-middle-0", "edge-south-0") if n != own)
     n, sent = s.w.nodes[at], []
     ctx = n.tenant_context
-    assert ctx.is_at_home(own, "pair") and not ctx.is_at_home(own, "lone") and not ctx.is_at_home("nobody", "pair")
+    assert ctx.is_in_home_zone(own, "pair") and not ctx.is_in_home_zone(own, "lone") and not ctx.is_in_home_zone("nobody", "pair")
     here = s.w.nodes[own].zone
     book = dict(ctx.store)
     v, cfg = book["config"]
--- a/tests/system/test_safety_rules.py
+++ b/tests/system/test_safety_rules.py
@@ -53,7 +53,7 @@
         [
             (
                 "silverglade.tenant_shards.shard",
-                "received = claims_of(message.claims)",
+                "received = claims_from_rows(message.claims)",
                 "received = {}",
                 "silverglade.tenant_shards.owned_shards.Shard",
             ),
@@ -90,8 +90,8 @@
             (ADMISSION, "        request.is_key_checked = False  # its", "        # its", "silverglade.tenant_shards.owner.Admission"),
             (
                 "silverglade.tenant_shards.request_queue",
-                "if claim is not None and claim.request_id != request.request_id:\n            return ran_by_claim",
-                "if False:\n            return ran_by_claim",
+                "if claim is not None and claim.request_id != request.request_id:\n            return run_status_of_claim",
+                "if False:\n            return run_status_of_claim",
                 "silverglade.tenant_shards.owner.RequestQueue",
             ),
         ],
@@ -153,11 +153,11 @@
         [
             (
                 "silverglade.replicas.replica_table",
-                "if self.leaving_marks.get(name, 0) >= record.incarnation:",
+                "if self.leaving_incarnations.get(name, 0) >= record.incarnation:",
                 "if False:",
                 "silverglade.replicas.replica_table.ReplicaTable",
             ),
-            (REG, "if why != HEARD_OF_BY_OTHERS:", "if False:", "silverglade.runtime.daemon_components.ReplicaRegistry"),
+            (REG, "if why != ANNOUNCED_BY_PEER:", "if False:", "silverglade.runtime.daemon_components.ReplicaRegistry"),
         ],
     ),
     (
--- a/tests/tenant_requests/test_forwarding.py
+++ b/tests/tenant_requests/test_forwarding.py
@@ -8,7 +8,7 @@
 from silverglade.runtime.settings import tuning
 from silverglade.tenant_requests.admission import RequestFacts, RequestHead
 from silverglade.tenant_requests.forwarding import ForwardedRequests, ReceivedRequests
-from silverglade.tenant_requests.messages import ForwardedResult, PiecesTaken
+from silverglade.tenant_requests.messages import ForwardedResult, PiecesConsumed
 from silverglade.tenant_requests.request_context import RequestContext
 from silverglade.tenant_requests.results import piece_result
 
@@ -59,21 +59,21 @@
 
 
 def test_a_request_is_given_up_when_it_is_overdue_or_its_daemon_is_gone(forwarded, context):
-    assert forwarded.overdue(SECOND) == []
-    [(request_id, effects, lost)] = forwarded.overdue(SECOND + TUNING["settle"])
+    assert forwarded.expire(SECOND) == []
+    [(request_id, effects, lost)] = forwarded.expire(SECOND + TUNING["settle"])
     assert (request_id, [effect.body for effect in effects], lost.code, lost.ran) == ("id", [("left", "id")], 403, "maybe")
     forwarded.forward("id", "home", HEAD, FACTS, b"", 0 * SECOND)
     context.set_members(())
-    [(request_id, effects, lost)] = forwarded.overdue(0 * SECOND)
+    [(request_id, effects, lost)] = forwarded.expire(0 * SECOND)
     assert (request_id, effects, lost.code, lost.ran) == ("id", [], 405, "maybe")
 
 
 def test_the_replica_is_not_read_on_while_the_client_has_128_pieces_to_take(received):
     sent = [effect for number in range(1, 140) for effect in received.send_back(piece_result("id", number, b"a"))]
     assert [(sent.index(effect), effect.read_on) for effect in sent if isinstance(effect, SetBackpressure)] == [(128, False)]
-    assert received.on_pieces_taken("other", PiecesTaken("id", 139)) == []
-    assert received.on_pieces_taken("home", PiecesTaken("id", 74)) == []
-    assert received.on_pieces_taken("home", PiecesTaken("id", 75)) == [SetBackpressure("id", True)]
+    assert received.on_pieces_consumed("other", PiecesConsumed("id", 139)) == []
+    assert received.on_pieces_consumed("home", PiecesConsumed("id", 74)) == []
+    assert received.on_pieces_consumed("home", PiecesConsumed("id", 75)) == [SetBackpressure("id", True)]
 
 
 def test_a_request_whose_sender_is_gone_is_an_orphan(received, context):
--- a/tests/tenant_requests/test_messages.py
+++ b/tests/tenant_requests/test_messages.py
@@ -4,17 +4,17 @@
 
 from silverglade.tenant_requests.admission import RequestHead
 from silverglade.tenant_requests.messages import (
-    Ask,
-    AskedFacts,
-    ClientLeft,
-    Deny,
-    DispatchEnded,
-    Forward,
+    Denial,
     ForwardedResult,
+    ForwardRequest,
     Grant,
-    Moved,
-    PiecesTaken,
-    Withdraw,
+    GrantRequest,
+    GrantRequestFacts,
+    OwnerMoved,
+    PiecesConsumed,
+    RequestAbandoned,
+    RequestCancelled,
+    RunEnded,
     decode,
     send,
 )
@@ -22,21 +22,21 @@
 from silverglade.transport.message_schemas import is_valid_message
 
 SENT = [
-    (Ask("id", 1, "t", 7, AskedFacts("chat", "key", "p", 300, 0)), ("ask", "id", 1, "t", 7, ("chat", "key", "p", 300, 0))),
-    (DispatchEnded("id", 2, "unrun"), ("fin", "id", 2, "unrun")),
-    (Withdraw("id"), ("quit", "id")),
-    (Forward("id", "b", "chat", "key", False, 300, "p", 2, b"x"), ("hand", "id", "b", "chat", "key", False, 300, "p", 2, b"x")),
+    (GrantRequest("id", 1, "t", 7, GrantRequestFacts("chat", "key", "p", 300, 0)), ("ask", "id", 1, "t", 7, ("chat", "key", "p", 300, 0))),
+    (RunEnded("id", 2, "unrun"), ("fin", "id", 2, "unrun")),
+    (RequestAbandoned("id"), ("quit", "id")),
+    (ForwardRequest("id", "b", "chat", "key", False, 300, "p", 2, b"x"), ("hand", "id", "b", "chat", "key", False, 300, "p", 2, b"x")),
     (ForwardedResult("id", 3, "piece", (1, b"x")), ("res", "id", 3, "piece", 1, b"x")),
-    (PiecesTaken("id", 64), ("more", "id", 64)),
-    (ClientLeft("id"), ("left", "id")),
+    (PiecesConsumed("id", 64), ("more", "id", 64)),
+    (RequestCancelled("id"), ("left", "id")),
 ]
 
 RECEIVED = [
     (("grant", "id", 1, "r", 2, "a:1", 7, True), Grant("id", 1, "r", 2, "a:1", 7, True, False)),
     (("grant", "id", 1, "r", 2, "a:1", 7, False, True), Grant("id", 1, "r", 2, "a:1", 7, False, True)),
     (("grant", "id", 1, "r", 2, "a:1", 7, False, 1, "later"), Grant("id", 1, "r", 2, "a:1", 7, False, False)),
-    (("deny", "id", 1, 301, "?", None), Deny("id", 1, 301, "?", None)),
-    (("moved", "id", 1), Moved("id", 1)),
+    (("deny", "id", 1, 301, "?", None), Denial("id", 1, 301, "?", None)),
+    (("moved", "id", 1), OwnerMoved("id", 1)),
     (("res", "id", 3, "fault", 301, "no", 1000), ForwardedResult("id", 3, "fault", (301, "no", 1000))),
 ]
 
@@ -55,7 +55,9 @@
     assert decode(body) == message
 
 
-@pytest.mark.parametrize("message", [m for m, _ in SENT if isinstance(m, Forward | ForwardedResult | PiecesTaken | ClientLeft)])
+@pytest.mark.parametrize(
+    "message", [m for m, _ in SENT if isinstance(m, ForwardRequest | ForwardedResult | PiecesConsumed | RequestCancelled)]
+)
 def test_what_one_ingress_sends_another_decodes(message):
     assert decode(message.to_body()) == message
 
@@ -66,7 +68,7 @@
 
 
 def test_a_forwarded_head_is_admitted_as_the_client_sent_it():
-    message = Forward("id", "b", "chat", "key", False, 300, "p", 2, b"x")
+    message = ForwardRequest("id", "b", "chat", "key", False, 300, "p", 2, b"x")
     assert message.head() == RequestHead("b", "chat", "key", "300", "p", "2")
     message.attempt = 0
     assert message.head().attempt == ""
--- a/tests/tenant_requests/test_request.py
+++ b/tests/tenant_requests/test_request.py
@@ -7,7 +7,7 @@
 from silverglade.runtime.effects import AbortDispatch, Broadcast, Dispatch, Send, TenantResult
 from silverglade.runtime.settings import tuning
 from silverglade.tenant_requests.admission import RequestFacts
-from silverglade.tenant_requests.messages import Deny, Grant, Moved
+from silverglade.tenant_requests.messages import Denial, Grant, OwnerMoved
 from silverglade.tenant_requests.request import TenantRequest
 from silverglade.tenant_requests.request_context import RequestContext
 
@@ -31,7 +31,9 @@
 
 
 def facts(**changes):
-    given = dict(tenant="t", class_name="chat", key="k", key_is_generated=False, prefix="", time_left=SECOND, attempt=0, kind="model")
+    given = dict(
+        tenant="t", class_name="chat", key="k", key_is_generated=False, prefix="", time_left=SECOND, client_attempt=0, kind="model"
+    )
     return RequestFacts(**{**given, **dict(is_streamed=True, is_resumable=False, homes=("z",)), **changes})
 
 
@@ -112,7 +114,7 @@
     assert not client.of(Dispatch) and client.of(Send)[0].body == ("fin", "id", 1, "barred")
 
 
-@pytest.mark.parametrize("answer", [Deny("id", 1, 304, "?", 500), Moved("id", 1)])
+@pytest.mark.parametrize("answer", [Denial("id", 1, 304, "?", 500), OwnerMoved("id", 1)])
 def test_an_owner_that_is_none_is_left_alone_for_a_while_and_asked_again(context, answer):
     client = Client(context)
     assert client.after(0.01, "on_owner_message", answer).effects == []
@@ -124,18 +126,18 @@
     "changes,seconds,ran,told",
     [
         ({}, 0.1, "?", "maybe"),
-        (dict(attempt=1), 0.1, "?", "no"),
-        (dict(attempt=1), 0.1, "blind", "maybe"),
-        (dict(attempt=1), 0.0, "blind", "no"),
-        (dict(attempt=2), 0.0, "?", "maybe"),
+        (dict(client_attempt=1), 0.1, "?", "no"),
+        (dict(client_attempt=1), 0.1, "blind", "maybe"),
+        (dict(client_attempt=1), 0.0, "blind", "no"),
+        (dict(client_attempt=2), 0.0, "?", "maybe"),
         (dict(key_is_generated=True), 0.9, "blind", "no"),
         (dict(is_resumable=True), 0.1, "?", "no"),
-        (dict(attempt=1), 0.1, "yes", "yes"),
+        (dict(client_attempt=1), 0.1, "yes", "yes"),
     ],
 )
 def test_not_run_is_promised_only_while_that_is_sure(context, changes, seconds, ran, told):
     client = Client(context, **changes)
-    assert client.after(seconds, "on_owner_message", Deny("id", 1, 301, ran, 500)).results() == [("fault", 301, told, 500)]
+    assert client.after(seconds, "on_owner_message", Denial("id", 1, 301, ran, 500)).results() == [("fault", 301, told, 500)]
 
 
 def test_a_key_that_its_owner_knew_is_taken_back_as_an_arrival_once(context):
@@ -147,7 +149,7 @@
 def test_a_client_that_left_ends_the_run_and_gets_nothing(context):
     client = Client(context)
     client.after(0.1, "on_owner_message", GRANT)
-    client.after(0.2, "on_client_left")
+    client.after(0.2, "on_client_disconnected")
     assert client.of(AbortDispatch) and client.results() == [] and client.request.is_finished
 
 
--- a/tests/tenant_shards/test_messages.py
+++ b/tests/tenant_shards/test_messages.py
@@ -3,7 +3,7 @@
 import pytest
 
 from silverglade.runtime.record import field_names, required_field_count
-from silverglade.tenant_shards.messages import MESSAGE_CLASSES, Grant, RequestFacts, decode, encode
+from silverglade.tenant_shards.messages import MESSAGE_CLASSES, Grant, GrantRequestFacts, decode, encode
 from silverglade.transport.message_schemas import MESSAGE_SHAPES
 
 SAMPLE_VALUES = {"s": "text", "i": 7, "b": True, "t": (), "?": None}
@@ -52,4 +52,4 @@
     ("rest", "attempt"), [((), 0), ((2,), 2), ((2, "later"), 2), (("2",), 0), ((True,), 0)], ids=["none", "known", "later", "text", "flag"]
 )
 def test_the_attempt_of_the_client_is_taken_where_it_is_known(rest, attempt):
-    assert RequestFacts.of(("chat", "key", "", 500, *rest)) == RequestFacts("chat", "key", "", 500, attempt)
+    assert GrantRequestFacts.of(("chat", "key", "", 500, *rest)) == GrantRequestFacts("chat", "key", "", 500, attempt)
--- a/tests/tenant_shards/test_retry_budget.py
+++ b/tests/tenant_shards/test_retry_budget.py
@@ -29,31 +29,31 @@
 def test_retries_are_a_share_of_first_requests(budget):
     count_first_requests(budget, 100)
     assert [budget.take_retry(SECOND, 0.1, 1.0) for _ in range(11)] == [True] * 10 + [False]
-    assert budget.pace == (100, 10) and budget.totals == {"fresh": 100, "again": 10, "refused": 1}
+    assert budget.counts == (100, 10) and budget.totals == {"fresh": 100, "again": 10, "refused": 1}
 
 
 def test_an_owner_of_half_the_shards_gets_its_part_of_the_fleets_allowance(budget):
-    budget.hear((member("other", (100, 0)),), SECOND)
+    budget.record_peer_counts((member("other", (100, 0)),), SECOND)
     assert [budget.take_retry(SECOND, 0.1, 0.5) for _ in range(3)] == [True, True, False]  # 0.1 * (0 + 100 * 0.5) / 2
 
 
 def test_what_the_fleet_has_used_bounds_each_owner(budget):
     count_first_requests(budget, 100)
-    budget.hear((member("other", (0, 10)),), SECOND)
+    budget.record_peer_counts((member("other", (0, 10)),), SECOND)
     assert not budget.take_retry(SECOND, 0.1, 1.0)
 
 
 @pytest.mark.parametrize("pace", [None, (1,), ("1", 2), [1, 2]])
 def test_a_malformed_count_of_another_daemon_is_passed_over(budget, pace):
-    budget.hear((member("other", pace),), SECOND)
+    budget.record_peer_counts((member("other", pace),), SECOND)
     count_first_requests(budget, 10)
     assert budget.take_retry(SECOND, 0.1, 1.0)
 
 
 def test_counts_older_than_the_window_are_dropped(budget):
     count_first_requests(budget, 10)
-    budget.hear((member("other", (100, 0)),), SECOND)
+    budget.record_peer_counts((member("other", (100, 0)),), SECOND)
     assert budget.take_retry(SECOND, 0.1, 1.0)
     budget.expire(32 * SECOND)
-    assert budget.pace == (0, 0) and not budget.is_counting
+    assert budget.counts == (0, 0) and not budget.is_counting
     assert not budget.take_retry(32 * SECOND, 0.1, 1.0)
--- a/tests/tenant_shards/test_shard.py
+++ b/tests/tenant_shards/test_shard.py
@@ -73,7 +73,7 @@
     shard = owned()
     advance(shard, SECOND)
     (line,) = shard.on_adoption_refused("f", AdoptionRefused("t", 2, "none"))
-    assert line.event == "claims-lost" and shard.is_shut
+    assert line.event == "claims-lost" and shard.has_lost_claims
 
 
 def test_claims_are_kept_over_the_next_epoch_alone(open_shard):
@@ -100,9 +100,9 @@
 
 
 def test_a_follower_in_another_process_is_asked_again(open_shard):
-    open_shard.see_follower_process("p1")
+    open_shard.observe_follower_process("p1")
     assert open_shard.is_open
-    open_shard.see_follower_process("p2")
+    open_shard.observe_follower_process("p2")
     assert open_shard.step is ShardStep.ADOPT
 
 
