--- a/silverglade/tenant_requests/__init__.py
+++ b/silverglade/tenant_requests/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants' requests at the daemon where they came in (design 6.5, 6.6)."""
+"""Tenants' requests at the daemon that receives them from the client (design 6.5, 6.6)."""
--- a/silverglade/tenant_requests/admission.py
+++ b/silverglade/tenant_requests/admission.py
@@ -1,4 +1,4 @@
-"""Admission (design 6.1): the head of a tenant's request, checked against the configuration."""
+"""Admission (design 6.1): validation of a tenant's request head against the configuration."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from .execution import RAN_MAYBE, RAN_NO
 
 MAX_HEADER_LENGTH = 200
-"""Of an idempotency key or a prefix; of what an error quotes."""
+"""Maximum length of an idempotency key or a prefix, and of the text that an error quotes."""
 
 MAX_DEADLINE_DIGITS = 9
 MAX_DEADLINE_MS = 600_000
@@ -35,14 +35,14 @@
 
 
 class RequestHead(NamedTuple):
-    """The head of a tenant's request as it came; absent headers are empty.
+    """The head of a tenant's request as received, not validated; absent headers are empty.
 
-    :ivar bearer_key: the tenant's key.
-    :ivar class_name: the class of requests, from the path.
+    :ivar bearer_key: the tenant's secret key.
+    :ivar class_name: the request class, from the path.
     :ivar key: the idempotency key.
-    :ivar deadline: milliseconds from now.
-    :ivar prefix: names the prompt prefix that the request begins with.
-    :ivar attempt: by the client's count, from 1.
+    :ivar deadline: in milliseconds from now.
+    :ivar prefix: name of the prompt prefix that the request begins with.
+    :ivar attempt: number of the attempt by the client's own count, from 1.
     """
 
     bearer_key: str
@@ -54,16 +54,16 @@
 
 
 class RequestFacts(NamedTuple):
-    """What admission found out about a request.
-
-    :ivar key: the idempotency key; unique and made here where the client gave none.
-    :ivar key_is_generated: the client gave no key.
-    :ivar time_left: until the deadline, at admission.
-    :ivar client_attempt: by the client's count, from 1; 0 where it gave none.
-    :ivar kind: of the replicas that may run it.
-    :ivar is_streamed: the answer comes in pieces.
-    :ivar is_resumable: it may run again as long as no piece of the answer went out.
-    :ivar homes: zones where it may run, in the order of preference.
+    """The validated facts about an admitted request.
+
+    :ivar key: the idempotency key; generated and unique if the client sent none.
+    :ivar key_is_generated: whether the client sent no key.
+    :ivar time_left: time until the deadline, at admission.
+    :ivar client_attempt: number of the attempt by the client's own count, from 1; 0 if it sent none.
+    :ivar kind: kind of the replicas that may run it.
+    :ivar is_streamed: whether the answer is sent in pieces.
+    :ivar is_resumable: whether it may run again as long as no piece of the answer was sent to the client.
+    :ivar homes: zones where it may run, in order of preference.
     """
 
     tenant: str
@@ -80,11 +80,11 @@
 
 
 def admit(configuration: Configuration | None, head: RequestHead, *, body_size: int, generated_key: str) -> RequestFacts:
-    """Check a request's head; nothing was handed on by then.
+    """Validate a request's head before anything is sent to another daemon or a replica.
 
-    :param body_size: in bytes.
-    :param generated_key: the idempotency key if the client gave none.
-    :raises SilvergladeError: of the class that says why the request is refused.
+    :param body_size: size of the body in bytes.
+    :param generated_key: the idempotency key to use if the client sent none.
+    :raises SilvergladeError: the subclass for the reason why the request is refused.
     """
     if configuration is None:
         raise NotConfiguredError()
@@ -114,7 +114,7 @@
 
 
 def _authenticate(configuration: Configuration, bearer_key: str) -> str:
-    """The tenant whose key this is."""
+    """Return the tenant that the bearer key belongs to."""
     if not bearer_key:
         raise MissingKeyError()
     tenant: str | None = tenant_of_key(configuration, bearer_key)
@@ -124,7 +124,7 @@
 
 
 def _time_left(deadline: str, *, default_ms: int) -> timedelta:
-    """The time until the deadline that a head names."""
+    """Return the time until the deadline in a head."""
     if deadline == "":
         left_ms = default_ms
     elif len(deadline) <= MAX_DEADLINE_DIGITS and is_whole_number(deadline.removeprefix("-"), max_digits=MAX_DEADLINE_DIGITS):
@@ -140,7 +140,7 @@
 
 
 def _attempt_number(attempt: str) -> int:
-    """The client's count of its attempts; 0 where it gave none."""
+    """Return the number of the attempt by the client's own count; 0 if it sent none."""
     if not attempt:
         return 0
     if not is_whole_number(attempt, max_digits=MAX_ATTEMPT_DIGITS) or not 0 < int(attempt) <= MAX_ATTEMPT:
@@ -149,17 +149,17 @@
 
 
 def is_surely_first(facts: RequestFacts) -> bool:
-    """Whether a refusal may promise that the request did not run, though no owner has looked for its key (design 6.5)."""
+    """Whether a refusal may state that the request did not run although no owner has checked its key (design 6.5)."""
     return facts.key_is_generated or facts.client_attempt == 1 or (facts.is_resumable and facts.client_attempt == 0)
 
 
 def ran_if_first(facts: RequestFacts) -> str:
-    """What a refusal here says of whether the request ran."""
+    """Return the `ran` value of a refusal at this daemon."""
     return RAN_NO if is_surely_first(facts) else RAN_MAYBE
 
 
 def ran_if_not_admitted(error: SilvergladeError, head: RequestHead) -> str:
-    """What the refusal of a head says of whether the request ran, while its class is not known."""
+    """Return the `ran` value of a request whose head is refused, so that its class is not known."""
     if not head.key:
         return RAN_NO
     is_repeated = is_whole_number(head.attempt, max_digits=MAX_ATTEMPT_DIGITS) and int(head.attempt) > 1
--- a/silverglade/tenant_requests/dispatch_outcomes.py
+++ b/silverglade/tenant_requests/dispatch_outcomes.py
@@ -1,4 +1,4 @@
-"""What a replica made of a dispatched request: typed forms of `DispatchProgressed.outcome`."""
+"""Outcomes of a request dispatched to a replica: typed forms of `DispatchProgressed.outcome`."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 
 
 class NotRun(NamedTuple):
-    """The replica surely did not have it: no connection was made, or it says so itself."""
+    """The replica certainly did not run it: no connection was made, or the replica refused it."""
 
 
 class DispatchFailed(NamedTuple):
-    """The connection or the answer broke.
+    """The connection or the answer broke off.
 
-    :ivar ran: what is known of whether it ran (execution.py).
+    :ivar ran: whether the request ran, as a value of execution.py.
     """
 
     ran: str
 
 
 class PieceReceived(NamedTuple):
-    """A piece of a streamed answer came; numbers count from 1."""
+    """A piece of a streamed answer; pieces are numbered from 1."""
 
     number: int
     data: bytes
 
 
 class StreamEnded(NamedTuple):
-    """A streamed answer has ended after so many pieces."""
+    """The end of a streamed answer, with the number of its pieces."""
 
     pieces: int
 
 
 class WholeAnswerReceived(NamedTuple):
-    """The answer came in one."""
+    """A complete answer that is not streamed."""
 
     data: bytes
 
@@ -43,7 +43,7 @@
 
 
 def decode_outcome(outcome: tuple[Any, ...], *, is_streamed: bool) -> DispatchOutcome:
-    """The typed form of an outcome; an answer of the wrong form counts as a failure of a replica that ran the request."""
+    """Return the typed form of an outcome; an answer of the wrong form counts as a failure of a replica that ran the request."""
     match outcome:
         case ("piece", number, data) if is_streamed:
             return PieceReceived(number, data)
--- a/silverglade/tenant_requests/forwarding.py
+++ b/silverglade/tenant_requests/forwarding.py
@@ -1,7 +1,8 @@
-"""Requests that run at another daemon than the one where they came in (design 6.6).
+"""Requests that run at another daemon than the one that received them from the client (design 6.6).
 
-`ForwardedRequests`: those that came in here and went to a daemon of their homes; results come back numbered.
-`ReceivedRequests`: those that other daemons sent here; results go back, and the replica is read on only as the client takes them.
+`ForwardedRequests`: received from clients here and forwarded to a daemon in their home zones, which returns numbered results.
+`ReceivedRequests`: forwarded here by other daemons. Results are sent back; reading from the replica is paused while the client
+consumes them too slowly.
 """
 
 from __future__ import annotations
@@ -20,16 +21,17 @@
 from .request_context import RequestContext
 
 MAX_PIECES_OUTSTANDING = 128
-"""Pieces sent back that the client has not taken yet; beyond it the replica is not read on."""
+"""Reading from the replica is paused while more than this many pieces sent back are not consumed by the client."""
 
 RESUME_PIECES_OUTSTANDING = MAX_PIECES_OUTSTANDING // 2
+"""Reading from the replica resumes once no more than this many pieces are outstanding."""
 
 
 class ForwardedRequest(Record):
-    """A request that went to a daemon of its homes.
+    """A request forwarded to a daemon in its home zones.
 
-    :ivar last_number: of the results that came back.
-    :ivar has_pieces: the client got a piece of the answer.
+    :ivar last_number: sequence number of the last result received.
+    :ivar has_pieces: whether the client was sent a piece of the answer.
     """
 
     daemon: str
@@ -39,14 +41,14 @@
 
 
 class LostRequest(Record):
-    """A forwarded request of which nothing more will be heard: what its client is told."""
+    """The fault to report to the client of a forwarded request that was lost."""
 
     code: int
     ran: str
 
 
 class ForwardedRequests:
-    """Requests that came in here and run elsewhere, by request id."""
+    """Requests received from clients here that run at another daemon, by request id."""
 
     def __init__(self, *, tuning: Mapping[str, Any], context: RequestContext) -> None:
         self._tuning = tuning
@@ -60,7 +62,7 @@
         return request_id in self._requests
 
     def forward(self, request_id: str, to: str, head: RequestHead, facts: RequestFacts, body: bytes, now: timedelta) -> Effect:
-        """Send a request to a daemon of its homes."""
+        """Register a request as forwarded, and return the effect that sends it to daemon `to`."""
         self._requests[request_id] = ForwardedRequest(to, now + facts.time_left)
         message = ForwardRequest(
             request_id=request_id,
@@ -76,17 +78,17 @@
         return send(to, message)
 
     def report_consumed(self, request_id: str, pieces: int) -> Effect:
-        """Say how many pieces the client has taken."""
+        """Return the message that reports how many pieces the client has consumed."""
         return send(self._requests[request_id].daemon, PiecesConsumed(request_id, pieces))
 
     def abandon(self, request_id: str) -> Effect:
-        """Drop a request for which nobody waits any more."""
+        """Remove a request whose client has disconnected, and return the message that cancels it."""
         return send(self._requests.pop(request_id).daemon, RequestCancelled(request_id))
 
     def on_result(self, sender: str, message: ForwardedResult) -> tuple[list[Effect], LostRequest | None]:
-        """Take a part of an answer; a gap in the numbers means that one was lost.
+        """Handle a part of an answer; a gap in the sequence numbers means that a part was lost, and ends the request.
 
-        :returns: effects, and what to tell the client if the request is lost.
+        :returns: effects, and the fault to report to the client if the request is lost.
         """
         request_id = message.request_id
         request = self._requests[request_id]
@@ -104,9 +106,9 @@
         return [TenantResult(request_id, message.kind, message.details)], None
 
     def expire(self, now: timedelta) -> list[tuple[str, list[Effect], LostRequest]]:
-        """Give up the requests whose deadline is past or whose daemon is gone.
+        """Remove the requests whose deadline is past by the `settle` time, or whose daemon is no longer live.
 
-        :returns: request id, effects and what to tell the client of each.
+        :returns: for each of them its id, effects, and the fault to report to its client.
         """
         given_up: list[tuple[str, list[Effect], LostRequest]] = []
         for request_id, request in list(self._requests.items()):
@@ -142,7 +144,7 @@
 
 
 class ReceivedRequests:
-    """Requests of other daemons that run here, by request id."""
+    """Requests forwarded here by other daemons, by request id."""
 
     def __init__(self, *, tuning: Mapping[str, Any], context: RequestContext) -> None:
         self._tuning = tuning
@@ -156,15 +158,15 @@
         return request_id in self._requests
 
     def add(self, request_id: str, sender: str, now: timedelta) -> None:
-        """Take a request in."""
+        """Register a request received from another daemon."""
         self._requests[request_id] = ReceivedRequest(sender, now)
 
     def remove(self, request_id: str) -> None:
-        """Forget a request that has ended, if it is one of these."""
+        """Remove a request that has ended; no effect on other requests."""
         self._requests.pop(request_id, None)
 
     def send_back(self, result: TenantResult) -> list[Effect]:
-        """Send a result to where its request came in; pause the replica's answer while the client is slow."""
+        """Send a result back to the daemon that forwarded its request; pause reading from the replica if the client is slow."""
         request_id = result.request_id
         request = self._requests[request_id]
         effects: list[Effect] = []
@@ -178,7 +180,7 @@
         return effects
 
     def on_pieces_consumed(self, sender: str, message: PiecesConsumed) -> list[Effect]:
-        """The client has taken more: read the replica on once enough of it is through."""
+        """Update the number of consumed pieces; resume reading from the replica once few enough are outstanding."""
         request = self._requests.get(message.request_id)
         if request is None or request.sender != sender:
             return []
@@ -189,7 +191,7 @@
         return []
 
     def orphaned(self, now: timedelta) -> list[str]:
-        """Ids of the requests whose sender is gone."""
+        """Return the ids of the requests whose sender is not live; a request is exempt for the `gone` time after its receipt."""
         return [
             request_id
             for request_id, request in self._requests.items()
--- a/silverglade/tenant_requests/ingress.py
+++ b/silverglade/tenant_requests/ingress.py
@@ -1,7 +1,7 @@
-"""The tenant ingress (design 6.5, 6.6): tenants' requests that come in at this daemon, and those that others forward to it.
+"""The tenant ingress (design 6.5, 6.6): handles tenants' requests received from clients or forwarded by other daemons.
 
-The component "tenant_ingress". A request whose homes include this daemon's zone runs here (request.py); any other is forwarded to
-a daemon of its homes (forwarding.py).
+Component "tenant_ingress". A request whose home zones include this daemon's zone runs here (request.py); any other request is
+forwarded to a daemon in its home zones (forwarding.py).
 """
 
 from __future__ import annotations
@@ -57,19 +57,19 @@
 from .results import RETRY_AFTER_MS, fault_result, key_result
 
 MAX_KNOWN_KEYS = 4096
-"""Idempotency keys that are remembered, to tell a repeated one without its header."""
+"""Number of idempotency keys remembered to detect a retry that has no attempt header."""
 
 MAX_FIRST_ATTEMPT = 1
-"""A client that gives no count (0) or counts 1 may be asking for the first time."""
+"""Highest client attempt number, including 0 for none, that may be a first request."""
 
 UNUSED_KEY = "-"
-"""In place of a generated key while only the head is checked."""
+"""Placeholder for a generated key while only the head is validated."""
 
 
 class TenantIngress:
     """The state machine of the ingress.
 
-    :ivar context: what requests under way may look at.
+    :ivar context: state that requests in progress read.
     """
 
     handled_events: ClassVar[tuple[type[Event], ...]] = (
@@ -121,13 +121,13 @@
         }
 
     def step(self, now: timedelta, event: Event) -> list[Effect]:
-        """Handle one event; -> its effects in their order."""
+        """Handle one event and return its effects in order."""
         self._handlers[type(event)](now, event)
         effects = self._effects
         self._effects = []
         return effects
 
-    # --- what this daemon knows
+    # --- updates of the shared state
 
     def _on_store_updated(self, now: timedelta, event: StoreUpdated) -> None:
         self.context.set_store(event.store)
@@ -147,13 +147,13 @@
     def _on_drain_started(self, now: timedelta, event: DrainStarted) -> None:
         self._is_draining = True
 
-    # --- calls of the control API, and figures for it
+    # --- calls of the control API, and reports for it
 
     def _on_api_call(self, now: timedelta, event: ApiCall) -> None:
         match event.operation:
             case "trace":
-                (word,) = event.arguments
-                rows = self._traces.find(word, now)
+                (identifier,) = event.arguments
+                rows = self._traces.find(identifier, now)
                 code = result_codes.OK if rows else result_codes.NOT_FOUND
                 self._effects.append(Reply(event.call_id, code, {"orders": rows}))
             case "head":
@@ -161,9 +161,9 @@
                 self._effects.append(Reply(event.call_id, code, fields))
 
     def _check_head(self, head: RequestHead) -> tuple[int, dict[str, Any]]:
-        """Check the head of a request before its body is read.
+        """Validate the head of a request before its body is read.
 
-        :returns: a result code, with what to say of the refusal, or with the largest body that is taken.
+        :returns: a result code, and the fields of the reply: details of a refusal, or the maximum body size ("cap").
         """
         configuration = self.context.configuration
         try:
@@ -173,14 +173,14 @@
             return error.code, {"ran": ran, "detail": error.detail, "wait": _retry_after(error)}
         if self._is_draining:
             return result_codes.DRAINING, {"ran": ran_if_first(facts), "wait": RETRY_AFTER_MS}
-        assert configuration is not None  # admit() refuses all without one
+        assert configuration is not None  # admit() raises without one
         return result_codes.OK, {"cap": configuration["body_cap"]}
 
     def _on_report_requested(self, now: timedelta, event: ReportRequested) -> None:
         counts = TenantRequestCounts(len(self._running), len(self._forwarded), self.context.overflow_count)
         self._effects.append(Post(Component.OPERATOR_API, counts))
 
-    # --- requests of this daemon's clients
+    # --- requests received from clients
 
     def _on_request_arrived(self, now: timedelta, event: TenantRequestArrived) -> None:
         *head_texts, body = event.facts
@@ -203,7 +203,7 @@
     def _route(
         self, request_id: str, head: RequestHead, facts: RequestFacts, body: bytes, now: timedelta, trace: RequestTrace | None
     ) -> None:
-        """Run an admitted request here, forward it towards its homes, or refuse it."""
+        """Run an admitted request here, forward it to a daemon in its home zones, or refuse it."""
         code = self._refusal_code(now)
         if code is None and self._zone in facts.homes:
             self._run(request_id, facts, body, now, trace)
@@ -215,7 +215,7 @@
         self._effects.append(self._forwarded.forward(request_id, daemon, head, facts, body, now))
 
     def _refusal_code(self, now: timedelta) -> int | None:
-        """The result code that says why no request may begin here now."""
+        """Return the result code for why no request may be started here now, or None if it may."""
         if self._is_draining:
             return result_codes.DRAINING
         if not self.context.has_recent_proof(now):
@@ -223,7 +223,7 @@
         return None
 
     def _refuse(self, request_id: str, now: timedelta, code: int, ran: str, retry_after_ms: int | None, detail: str = "") -> None:
-        """Answer a client of this daemon with a fault."""
+        """Send a fault to a client of this daemon."""
         self._effects.append(fault_result(request_id, code, ran, retry_after_ms, detail))
         self._traces.record(request_id, now, f"told {code} ran={ran}")
 
@@ -242,7 +242,7 @@
     # --- requests that run here
 
     def _run(self, request_id: str, facts: RequestFacts, body: bytes, now: timedelta, trace: RequestTrace | None) -> None:
-        """Begin a request; a retry never counts as an arrival for the scaler (design 9.3)."""
+        """Start a request here; a retry never counts as an arrival for the scaler (design 9.3)."""
         known_key = (facts.tenant, facts.key)
         counts_as_arrival = facts.client_attempt <= MAX_FIRST_ATTEMPT and known_key not in self._known_keys
         self._known_keys[known_key] = True
@@ -262,7 +262,7 @@
         self._collect(request_id, request, request.start(now))
 
     def _collect(self, request_id: str, request: TenantRequest, effects: Sequence[Effect]) -> None:
-        """Take the effects of a request that runs here; results go to where it came in."""
+        """Add the effects of a request that runs here, sending its results to the daemon that received it, and remove it if finished."""
         if request_id in self._received:
             for effect in effects:
                 if isinstance(effect, TenantResult):
@@ -295,7 +295,7 @@
             self._effects.append(WakeAt(IDLE))
 
     def _on_sender_gone(self, now: timedelta, request_id: str) -> None:
-        """Nobody waits any more for a request that another daemon forwarded here."""
+        """End a request forwarded here, since its sender is gone or no longer wants the answer."""
         request = self._running.get(request_id)
         if request is not None:
             self._collect(request_id, request, request.on_client_disconnected(now))
@@ -325,7 +325,7 @@
         if request is not None:
             self._collect(message.request_id, request, request.on_owner_message(now, message))
         elif isinstance(message, Grant):
-            self._effects.append(send(sender, RequestAbandoned(message.request_id)))  # nobody waits: it will not be sent
+            self._effects.append(send(sender, RequestAbandoned(message.request_id)))  # the request has ended meanwhile and will not be sent
 
     def _on_forwarded_result(self, now: timedelta, sender: str, message: ForwardedResult) -> None:
         if message.request_id not in self._forwarded:
@@ -336,7 +336,7 @@
             self._refuse_lost(message.request_id, now, lost)
 
     def _on_forward(self, now: timedelta, sender: str, message: ForwardRequest) -> None:
-        """Take in a request of another daemon, which is outside the request's homes. It is never forwarded again."""
+        """Handle a request from a daemon outside its home zones. A forwarded request is never forwarded again."""
         request_id = message.request_id
         if request_id in self._received:
             return
@@ -362,5 +362,5 @@
 
 
 def _retry_after(error: SilvergladeError) -> int | None:
-    """When a request that was not admitted may come back; None where it would be refused again."""
+    """Return the retry-after of a request that was not admitted, in milliseconds; None if a retry would be refused too."""
     return RETRY_AFTER_MS if error.code == result_codes.NO_CONFIG else None
--- a/silverglade/tenant_requests/messages.py
+++ b/silverglade/tenant_requests/messages.py
@@ -1,7 +1,8 @@
-"""Messages between an ingress and other daemons (design 6.5, 6.6), one class a kind.
+"""Messages between an ingress and other daemons (design 6.5, 6.6), one class per kind.
 
-On the wire each is an array of its `TAG` and its fields in the order given here (transport/message_schemas.py checks the shapes
-before any component sees them). `decode` builds those that an ingress receives; `to_body` gives the array of those that it sends.
+On the wire each message is an array of its `TAG` and its fields in the order given here. The shapes are validated before any
+component receives them (transport/message_schemas.py). `decode` builds the messages that an ingress receives, `to_body` returns the
+array of those that it sends.
 """
 
 from __future__ import annotations
@@ -22,10 +23,10 @@
 
 
 class GrantRequestFacts(NamedTuple):
-    """What an owner is told of a request.
+    """The request data that an owner needs for its decision.
 
-    :ivar left_ms: until the deadline, at least 1.
-    :ivar client_attempt: by the client's count; 0 where it gave none.
+    :ivar left_ms: time until the deadline, at least 1.
+    :ivar client_attempt: number of the attempt by the client's own count, from 1; 0 if it sent none.
     """
 
     class_name: str
@@ -36,10 +37,10 @@
 
 
 class GrantRequest(Record):
-    """To the owner: a request wants a replica and, where its class needs one, a claim.
+    """To the owner: requests a replica and, if the request class needs one, a claim.
 
-    :ivar attempt: number of the dispatch that it is for, from 1.
-    :ivar epoch: of the owner's role.
+    :ivar attempt: number of the dispatch attempt, from 1.
+    :ivar epoch: epoch of the owner's assignment.
     """
 
     TAG: ClassVar[str] = "ask"
@@ -50,7 +51,7 @@
     facts: GrantRequestFacts
 
     def to_body(self) -> tuple[Any, ...]:
-        """The array that travels."""
+        """Return the message in its wire form."""
         return (self.TAG, self.request_id, self.attempt, self.tenant, self.epoch, tuple(self.facts))
 
 
@@ -77,8 +78,8 @@
 class Denial(Record):
     """From the owner: the request is refused.
 
-    :ivar ran: what the owner knows of whether it ran (execution.py).
-    :ivar retry_after_ms: None where another attempt is of no use.
+    :ivar ran: whether the request ran, as far as the owner knows (execution.py).
+    :ivar retry_after_ms: time after which the client may retry; None if a retry is useless.
     """
 
     TAG: ClassVar[str] = "deny"
@@ -90,7 +91,7 @@
 
 
 class OwnerMoved(Record):
-    """From a daemon that does not own the shard, or not under this epoch."""
+    """From a queried daemon: it does not own the shard, or owns it under another epoch."""
 
     TAG: ClassVar[str] = "moved"
     request_id: str
@@ -98,7 +99,7 @@
 
 
 class RunEnded(Record):
-    """To the owner: what became of a granted dispatch.
+    """To the owner: how a granted dispatch ended.
 
     :ivar outcome: `OUTCOME_NOT_SENT`, `OUTCOME_NOT_RUN`, `OUTCOME_DONE` or `OUTCOME_MAY_HAVE_RAN`.
     """
@@ -109,7 +110,7 @@
     outcome: str
 
     def to_body(self) -> tuple[Any, ...]:
-        """The array that travels."""
+        """Return the message in its wire form."""
         return (self.TAG, self.request_id, self.attempt, self.outcome)
 
 
@@ -120,19 +121,19 @@
     request_id: str
 
     def to_body(self) -> tuple[Any, ...]:
-        """The array that travels."""
+        """Return the message in its wire form."""
         return (self.TAG, self.request_id)
 
 
-# --- between the daemon where a request came in and one of the tenant's homes
+# --- between the daemon that received a request from its client and one in the tenant's home zones
 
 
 class ForwardRequest(Record):
-    """A request on its way to a daemon of its homes.
+    """A request forwarded to a daemon in its home zones.
 
-    :ivar bearer_key: the tenant's key, checked again there.
-    :ivar left_ms: until the deadline.
-    :ivar attempt: by the client's count; 0 where it gave none.
+    :ivar bearer_key: the tenant's secret key, validated again by the receiver.
+    :ivar left_ms: time until the deadline.
+    :ivar attempt: number of the attempt by the client's own count, from 1; 0 if it sent none.
     """
 
     TAG: ClassVar[str] = "hand"
@@ -147,7 +148,7 @@
     body: bytes
 
     def to_body(self) -> tuple[Any, ...]:
-        """The array that travels."""
+        """Return the message in its wire form."""
         return (
             self.TAG,
             self.request_id,
@@ -162,15 +163,15 @@
         )
 
     def head(self) -> RequestHead:
-        """The head as a client would have sent it."""
+        """Return the head as the client would have sent it."""
         return RequestHead(self.bearer_key, self.class_name, self.key, str(self.left_ms), self.prefix, str(self.attempt or ""))
 
 
 class ForwardedResult(Record):
-    """Back to where the request came in: a part of the answer.
+    """To the daemon that forwarded the request: a part of the answer.
 
-    :ivar number: of the results of this request, from 1, without gaps.
-    :ivar kind: of results.py; `details` depend on it.
+    :ivar number: sequence number among the results of this request, from 1, without gaps.
+    :ivar kind: kind of the result (results.py); determines the form of `details`.
     """
 
     TAG: ClassVar[str] = "res"
@@ -180,30 +181,30 @@
     details: tuple[Any, ...]
 
     def to_body(self) -> tuple[Any, ...]:
-        """The array that travels."""
+        """Return the message in its wire form."""
         return (self.TAG, self.request_id, self.number, self.kind, *self.details)
 
 
 class PiecesConsumed(Record):
-    """To the forwarded request's daemon: its client has taken the pieces up to this number."""
+    """To the daemon that runs a forwarded request: the client has consumed the pieces up to this number (flow control)."""
 
     TAG: ClassVar[str] = "more"
     request_id: str
     pieces: int
 
     def to_body(self) -> tuple[Any, ...]:
-        """The array that travels."""
+        """Return the message in its wire form."""
         return (self.TAG, self.request_id, self.pieces)
 
 
 class RequestCancelled(Record):
-    """To the forwarded request's daemon: nobody waits for the answer any more."""
+    """To the daemon that runs a forwarded request: the answer is no longer wanted."""
 
     TAG: ClassVar[str] = "left"
     request_id: str
 
     def to_body(self) -> tuple[Any, ...]:
-        """The array that travels."""
+        """Return the message in its wire form."""
         return (self.TAG, self.request_id)
 
 
@@ -213,15 +214,15 @@
 
 
 def send(to: str, message: SentMessage) -> Send:
-    """The effect that sends a message."""
+    """Return the effect that sends a message to a daemon."""
     return Send(to, message.to_body())
 
 
 def decode(body: tuple[Any, ...]) -> ReceivedMessage | None:
-    """The message of a body; None for a kind that an ingress does not receive."""
+    """Return the message in a body; None for a kind that an ingress does not receive."""
     match body:
         case (Grant.TAG, request_id, attempt, replica, incarnation, address, epoch, is_overflow, *rest):
-            is_retry = bool(rest) and rest[0] is True  # owners of an earlier version don't say
+            is_retry = bool(rest) and rest[0] is True  # earlier versions omit this field
             return Grant(request_id, attempt, replica, incarnation, address, epoch, is_overflow, is_retry)
         case (Denial.TAG, request_id, attempt, code, ran, retry_after_ms):
             return Denial(request_id, attempt, code, ran, retry_after_ms)
--- a/silverglade/tenant_requests/request.py
+++ b/silverglade/tenant_requests/request.py
@@ -1,7 +1,7 @@
-"""One tenant's request at a daemon of its homes (design 6.5): ask the shard's owner, dispatch, relay the answer.
+"""One tenant's request at a daemon in its home zones (design 6.5): get a grant from the shard's owner, dispatch, relay the answer.
 
-A state machine without I/O. Each attempt asks the owner for a replica, and is dispatched there once it is granted. An attempt
-that surely did not run, or one of a resumable class before its first piece, is followed by another while there is time.
+A state machine without I/O. Each attempt requests a grant and is dispatched to the granted replica. If an attempt certainly did
+not run, or failed before the first piece of a resumable request's answer, another attempt follows while there is time.
 """
 
 from __future__ import annotations
@@ -45,13 +45,14 @@
 from .results import RETRY_AFTER_MS, done_result, fault_result, piece_result, whole_result
 
 OWNER_WAITS_WITHOUT_OWNER = 3
-"""A request is refused after so many times `owner_wait` without an owner that may be asked."""
+"""A request fails after this multiple of `owner_wait` without a reachable owner."""
 
 MIN_TIME_FOR_RETRY = milliseconds(50)
+"""No further attempt is begun with less time than this before the deadline."""
 
 
 class Stage(Enum):
-    """Where a request is on its way."""
+    """The stages of a request."""
 
     AWAITING_GRANT = "asking"
     DISPATCHED = "dispatched"
@@ -77,18 +78,19 @@
     AttemptEnd.DEADLINE_PASSED: OUTCOME_MAY_HAVE_RAN,
     AttemptEnd.CLIENT_DISCONNECTED: OUTCOME_MAY_HAVE_RAN,
 }
-"""What the shard's owner is told of an end."""
+"""The outcome reported to the shard's owner for each way an attempt can end."""
 
 ABORTED_ENDS: Final = frozenset((AttemptEnd.FAILED, AttemptEnd.DEADLINE_PASSED, AttemptEnd.CLIENT_DISCONNECTED))
-"""Ends after which the replica's answer is not read on."""
+"""Ends after which the dispatch is aborted and the rest of the replica's answer is not read."""
 
 NOT_RUN_ENDS: Final = frozenset((AttemptEnd.NOT_SENT, AttemptEnd.NOT_RUN))
+"""Ends after which the request certainly did not run in this attempt."""
 
 
 class TenantRequest:
-    """A request under way; every method that an event calls returns the effects in their order.
+    """A request in progress. Every event handler returns its effects in order.
 
-    :ivar stage: where the request is.
+    :ivar stage: the current stage.
     """
 
     __slots__ = (
@@ -133,29 +135,29 @@
         self._body = body
         self._tuning = tuning
         self._context = context
-        self._counts_as_arrival = counts_as_arrival  # the scaler was told of it as of a new request
+        self._counts_as_arrival = counts_as_arrival  # it was reported to the scaler as an arrival
         self._trace = trace
         self._arrived_at = now
         self._deadline = now + facts.time_left
         self.stage = Stage.AWAITING_GRANT
         self._effects: list[Effect] = []
-        # all attempts: their number, the worst that is known of whether one ran, pieces passed on, how the last one failed
+        # over all attempts: their number, whether any may have run, pieces relayed to the client, (code, ran) of the last failure
         self._attempt = 0
         self._ran = RAN_NO
         self._pieces = 0
         self._last_failure: tuple[int, str] = (result_codes.NO_SLOT, RAN_NO)
-        # this attempt: the owner that was asked, when, and whether it is to be asked anew though it is the same one
+        # of this attempt: the owner last queried, when, and whether to query it again although it is unchanged
         self._queried_owner: ShardOwner | None = None
         self._queried_at = now
         self._must_resend = False
         self._seeking_since = now
-        self._owner_moved_at: timedelta | None = None  # when a daemon said that it does not own the shard
+        self._owner_moved_at: timedelta | None = None  # when the queried daemon reported that it does not own the shard
         self._dispatch_id = ""
         self._dispatched_at = now
 
     @property
     def is_finished(self) -> bool:
-        """Whether nothing more is to be done for it."""
+        """Whether the request has ended."""
         return self.stage is Stage.FINISHED
 
     def start(self, now: timedelta) -> Sequence[Effect]:
@@ -164,7 +166,7 @@
         return self._drain_effects()
 
     def on_timer(self, now: timedelta) -> Sequence[Effect]:
-        """Look at the clock."""
+        """Check deadlines and resend the grant request if it is due."""
         if self.stage is Stage.AWAITING_GRANT:
             self._seek_grant(now)
         else:
@@ -172,7 +174,7 @@
         return self._drain_effects()
 
     def on_owner_message(self, now: timedelta, message: OwnerMessage) -> Sequence[Effect]:
-        """Handle an owner's answer; one to an earlier attempt only makes the request look at the clock."""
+        """Handle an owner's answer; an answer to an earlier attempt only triggers the checks of a timer."""
         if self.stage is Stage.DISPATCHED:
             self._end_if_overdue(now)
         elif message.attempt != self._attempt:
@@ -188,7 +190,7 @@
         return self._drain_effects()
 
     def on_dispatch_progress(self, now: timedelta, outcome: tuple[Any, ...]) -> Sequence[Effect]:
-        """Handle what the replica made of the dispatch so far."""
+        """Handle progress of the dispatch at the replica."""
         if self.stage is Stage.AWAITING_GRANT:
             self._seek_grant(now)
         elif not self._end_if_overdue(now):
@@ -196,7 +198,7 @@
         return self._drain_effects()
 
     def on_client_disconnected(self, now: timedelta) -> Sequence[Effect]:
-        """Nobody waits for the answer any more."""
+        """End the request, since its client no longer waits for the answer."""
         if self.stage is Stage.AWAITING_GRANT:
             self._abandon()
             self.stage = Stage.FINISHED
@@ -215,7 +217,7 @@
         if self._trace is not None:
             self._trace.record(now, step)
 
-    # --- asking for a replica
+    # --- requesting a grant
 
     def _begin_attempt(self, now: timedelta) -> None:
         self.stage = Stage.AWAITING_GRANT
@@ -227,7 +229,7 @@
         self._seek_grant(now)
 
     def _seek_grant(self, now: timedelta) -> None:
-        """Ask the shard's owner for a replica and, where needed, a claim; or give up."""
+        """Send the shard's owner a grant request if one is due; fail the request if it is too late or no owner is reachable."""
         owner = self._context.reachable_owner(self._facts.tenant, now)
         if owner is not None and self._should_request_grant(owner, now):
             self._request_grant(owner, now)
@@ -239,7 +241,10 @@
             self._fail(now, result_codes.NO_OWNER, RAN_KEY_NOT_CHECKED, RETRY_AFTER_MS)
 
     def _should_request_grant(self, owner: ShardOwner, now: timedelta) -> bool:
-        """Whether this owner was not asked yet, or did not answer; one that does not own the shard is left alone for a while."""
+        """Whether a grant request is due: the owner is new, did not answer in time, or must be queried again.
+
+        After a daemon reported that it does not own the shard, no request is sent for half a `beat`.
+        """
         if self._owner_moved_at is not None and now - self._owner_moved_at <= self._tuning["beat"] / 2:
             return False
         return self._must_resend or owner != self._queried_owner or now - self._queried_at > self._tuning["owner_wait"]
@@ -257,12 +262,12 @@
         self._seeking_since = now
 
     def _abandon(self) -> None:
-        """Tell the owner that was asked that the request will not be sent."""
+        """Notify the owner last queried that the request will not be sent."""
         if self._queried_owner is not None:
             self._effects.append(send(self._queried_owner.name, RequestAbandoned(self._request_id)))
 
     def _may_still_find_owner(self, now: timedelta, deny: Denial) -> bool:
-        """Whether the daemon that was asked lacks an owner, and there is still time to find one."""
+        """Whether the queried daemon knows no owner, and there is still time to find one."""
         return deny.code == result_codes.NO_OWNER and now - self._seeking_since < self._tuning["owner_wait"]
 
     def _on_grant(self, now: timedelta, grant: Grant) -> None:
@@ -275,22 +280,22 @@
         code, ran = deny.code, deny.ran
         if self._attempt == 1 and code in (result_codes.RETRY_BUDGET, result_codes.SEEN):
             self._retract_arrival()
-        if code == result_codes.RETRY_BUDGET and self._attempt > 1:  # no more attempts: the client is told of the last one
+        if code == result_codes.RETRY_BUDGET and self._attempt > 1:  # no further attempt is allowed: report the failure of the last one
             code, ran = self._last_failure
         if ran == RAN_UNKNOWN_TO_OWNER and code in (result_codes.UNKNOWN_CLASS, result_codes.STALE):
             ran = RAN_KEY_NOT_CHECKED
         self._fail(now, code, ran, deny.retry_after_ms)
 
     def _retract_arrival(self) -> None:
-        """The owner knew the key: the request was no arrival for the scaler after all (design 9.3)."""
+        """Report to the scaler that the request was a retry, not an arrival: its owner knew the key (design 9.3)."""
         if self._counts_as_arrival:
             self._counts_as_arrival = False
             self._effects.append(Broadcast(TenantRetryObserved(self._facts.kind)))
 
-    # --- running on a replica
+    # --- dispatch to a replica
 
     def _dispatch(self, now: timedelta, grant: Grant) -> None:
-        """Send the request to the granted replica, unless something has come between (design 7.2)."""
+        """Send the request to the granted replica, unless the replica has become unusable since the grant (design 7.2)."""
         self.stage = Stage.DISPATCHED
         self._dispatched_at = now
         self._dispatch_id = f"{self._request_id}.{self._attempt}"
@@ -312,7 +317,7 @@
         self._record(now, f"dispatched {self._dispatch_id} to {grant.replica}")
 
     def _end_if_overdue(self, now: timedelta) -> bool:
-        """End the attempt if the deadline has passed; -> whether it has."""
+        """End the attempt if the deadline has passed, and return whether it has."""
         if now < self._deadline:
             return False
         self._end_attempt(now, AttemptEnd.DEADLINE_PASSED, RAN_MAYBE)
@@ -335,7 +340,7 @@
                 self._end_attempt(now, AttemptEnd.FAILED, ran)
 
     def _on_piece(self, now: timedelta, number: int, data: bytes) -> None:
-        if number != self._pieces + 1:  # lost, repeated or foreign: never passed on
+        if number != self._pieces + 1:  # lost, duplicated or of another answer: never relayed
             self._end_attempt(now, AttemptEnd.FAILED, RAN_YES)
             return
         self._pieces = number
@@ -344,7 +349,7 @@
             self._record(now, "first piece")
 
     def _end_attempt(self, now: timedelta, end: AttemptEnd, ran: str) -> None:
-        """Tell the replica and the owner, then answer the client, or begin another attempt."""
+        """End the attempt: notify the replica and the owner, then answer the client or begin another attempt."""
         if end in ABORTED_ENDS:
             self._effects.append(AbortDispatch(self._dispatch_id))
         if self._queried_owner is not None:
@@ -372,12 +377,12 @@
         self.stage = Stage.FINISHED
 
     def _may_run_again(self, end: AttemptEnd) -> bool:
-        """Whether another attempt cannot run the request twice, nor join two answers."""
+        """Whether another attempt is safe: it neither runs a non-resumable request twice nor joins parts of two answers."""
         is_safe = end in NOT_RUN_ENDS or (end is AttemptEnd.FAILED and self._facts.is_resumable)
         return is_safe and not self._pieces
 
     def _record_failure(self, end: AttemptEnd, ran: str) -> None:
-        """Keep what is known of this attempt for the answer, should it be the last."""
+        """Record the failure of this attempt, to be reported to the client if no attempt follows."""
         if self._ran == RAN_NO and ran == RAN_NO:
             self._ran = RAN_NO
         elif RAN_YES in (ran, self._ran) or self._pieces:
@@ -395,26 +400,29 @@
         is_unclaimed = self._facts.is_resumable or self._ran != RAN_NO
         self._last_failure = (code, RAN_KEY_NOT_CHECKED if is_unclaimed else RAN_NO)
 
-    # --- the final answer
+    # --- final answer
 
     def _fail(self, now: timedelta, code: int, ran: str, retry_after_ms: Any) -> None:
-        """Answer the client with a fault, at once; `ran` is only ever as good as what is sure."""
+        """Answer the client with a fault and end the request.
+
+        :param ran: whether the request ran according to the owner; RAN_NO is reported only if it is certain.
+        """
         reported_ran = self._ran if self._ran != RAN_NO else self._reportable_ran(now, ran)
         self._effects.append(fault_result(self._request_id, code, reported_ran, retry_after_ms))
         self._record(now, f"told {code} ran={reported_ran}")
         self.stage = Stage.FINISHED
 
     def _reportable_ran(self, now: timedelta, ran: str) -> str:
-        """What the client may be told of whether a request ran that no attempt of ours has run.
+        """Return the `ran` value to report for a request that no attempt from here has run.
 
-        After a while, or when no owner has looked for the key, the client may have asked elsewhere.
+        If some time has passed, or no owner has checked the key, the client may have sent the request through another daemon too.
         """
         facts = self._facts
         if ran in (RAN_UNKNOWN_TO_OWNER, RAN_KEY_NOT_CHECKED):
-            patience = self._tuning["settle"] if ran == RAN_UNKNOWN_TO_OWNER else ZERO
-            is_soon = facts.key_is_generated or now - self._arrived_at <= patience
+            max_age = self._tuning["settle"] if ran == RAN_UNKNOWN_TO_OWNER else ZERO
+            is_soon = facts.key_is_generated or now - self._arrived_at <= max_age
             ran = RAN_NO if is_soon and is_surely_first(facts) else RAN_MAYBE
         is_late = now > self._deadline + self._tuning["beat"]
         if ran == RAN_NO and is_late and not facts.key_is_generated:
-            return RAN_MAYBE  # this process was paused meanwhile: the owner's word is old
+            return RAN_MAYBE  # this process was paused in between, so the owner's answer is outdated
         return ran
--- a/silverglade/tenant_requests/request_context.py
+++ b/silverglade/tenant_requests/request_context.py
@@ -1,4 +1,4 @@
-"""What a daemon knows that decides whether and where its tenants' requests may run (design 5.7, 6.5, 7.2)."""
+"""The daemon state that decides whether and where its tenants' requests may run (design 5.7, 6.5, 7.2)."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class DispatchBlocker(StrEnum):
-    """Why a replica may not be sent a request now."""
+    """Why a request may not be dispatched to a replica now."""
 
     NO_RECENT_PROOF = "stale"
     OTHER_INCARNATION = "incarnation"
@@ -27,22 +27,22 @@
 
 
 class ShardOwner(NamedTuple):
-    """The owner of a tenant's shard, and the epoch of its role."""
+    """The owner of a tenant's shard, and the epoch of its assignment."""
 
     epoch: int
     name: str
 
 
 class RequestContext:
-    """What requests under way may look at; the ingress keeps it up to date.
+    """State that requests in progress read; the ingress keeps it up to date.
 
     :ivar tuning: the settings that all components share.
-    :ivar configuration: the one in force here, or None.
-    :ivar replicas: id to `ReplicaEntry`.
-    :ivar members: the live daemons in the order of their names.
-    :ivar drained_zones: nothing new is started there.
-    :ivar proved_at: when the store was last proved to be the newest, or None.
-    :ivar overflow_count: grants for a replica outside the tenant's first home.
+    :ivar configuration: the configuration in force at this daemon, or None.
+    :ivar replicas: `ReplicaEntry` by replica id.
+    :ivar members: the live daemons, sorted by name.
+    :ivar drained_zones: zones in which no new work is started.
+    :ivar proved_at: when the store was last confirmed to be current, or None.
+    :ivar overflow_count: number of grants for a replica outside the tenant's first home.
     """
 
     __slots__ = (
@@ -67,40 +67,40 @@
         self.proved_at: timedelta | None = None
         self.overflow_count = 0
         self._store: Mapping[str, tuple[Version, Any]] = {}
-        self._owners: dict[str, ShardOwner | None] = {}  # by tenant, as the store has them
+        self._owners: dict[str, ShardOwner | None] = {}  # cache by tenant, cleared when the store changes
         self._zones: dict[str, str] = {}
 
     @property
     def store(self) -> Mapping[str, tuple[Version, Any]]:
-        """What control has acknowledged: key to (version, value)."""
+        """The state acknowledged by control: key to (version, value)."""
         return self._store
 
     def set_store(self, store: Mapping[str, tuple[Version, Any]]) -> None:
-        """Take a newer store."""
+        """Replace the store, and what is derived from it."""
         self._store = store
         self._owners.clear()
         self.configuration = value_of(store, "config")
         self.drained_zones = evacuated_zones(store)
 
     def set_members(self, rows: tuple[tuple[Any, ...], ...]) -> None:
-        """Take a newer list of the live daemons."""
+        """Replace the list of live daemons."""
         self.members = members_of(rows)
         self._zones = {member.name: member.zone for member in self.members}
 
     def is_live(self, daemon: str) -> bool:
-        """Whether the daemon is among the live ones."""
+        """Whether the daemon is live."""
         return daemon in self._zones
 
     def is_in_home_zone(self, daemon: str, tenant: str) -> bool:
-        """Whether a daemon lives in a zone of the tenant's homes as they are now. An owner may not have been moved yet."""
+        """Whether a daemon is in one of the tenant's current home zones. After homes change, a shard's owner may not be for a while."""
         return self._zones.get(daemon) in homes_of_tenant(self.configuration, tenant)
 
     def has_recent_proof(self, now: timedelta) -> bool:
-        """Whether the store was proved to be the newest so lately that work may be started on it."""
+        """Whether the store was confirmed to be current recently enough to start work on it."""
         return self.proved_at is not None and now - self.proved_at <= self.tuning["alone"]
 
     def shard_owner(self, tenant: str) -> ShardOwner | None:
-        """The owner of the tenant's shard, wherever it is; None while there is none."""
+        """Return the owner of the tenant's shard, in whatever zone it is; None while there is none."""
         if tenant not in self._owners:
             self._owners[tenant] = self._read_shard_owner(tenant)
         return self._owners[tenant]
@@ -113,9 +113,9 @@
         return ShardOwner(epoch, name) if name else None
 
     def reachable_owner(self, tenant: str, now: timedelta) -> ShardOwner | None:
-        """The shard's owner if it may be asked now.
+        """Return the shard's owner if a grant may be requested from it now, or None.
 
-        A daemon without a recent proof may hold homes that are none any more: it asks nobody (design 5.7).
+        A daemon without a recent proof may use outdated home zones, so it sends no grant requests (design 5.7).
         """
         owner = self.shard_owner(tenant)
         if owner is not None and self.has_recent_proof(now) and self.is_in_home_zone(owner.name, tenant):
@@ -123,7 +123,10 @@
         return None
 
     def forwarding_target(self, facts: RequestFacts) -> str | None:
-        """The shard's owner where it lives, else a ready daemon of the homes in their order."""
+        """Return the daemon to forward a request to: the shard's owner if it is in a home zone, else a ready daemon there.
+
+        Home zones are tried in order of preference; None if none of them has a ready daemon.
+        """
         owner = self.shard_owner(facts.tenant)
         if owner is not None and self.is_in_home_zone(owner.name, facts.tenant):
             return owner.name
@@ -135,7 +138,7 @@
         return None
 
     def dispatch_blocker(self, replica: str, incarnation: int, facts: RequestFacts, now: timedelta) -> DispatchBlocker | None:
-        """Why this replica may not be sent this request now, or None (design 7.2)."""
+        """Return why this request may not be dispatched to this replica now, or None if it may (design 7.2)."""
         if not self.has_recent_proof(now):
             return DispatchBlocker.NO_RECENT_PROOF
         entry = self.replicas.get(replica)
--- a/silverglade/tenant_requests/request_traces.py
+++ b/silverglade/tenant_requests/request_traces.py
@@ -1,4 +1,4 @@
-"""The steps of the last requests that came in here, for `silverglade trace` (design 8.6); no content."""
+"""Traces of the most recent requests received here, for `silverglade trace` (design 8.6); they hold no request content."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 from ..runtime.record import Record, field
 
 MAX_TRACES = 512
+"""Number of requests whose traces are kept."""
 
 
 class RequestTrace(Record):
-    """What befell one request.
+    """The trace of one request.
 
-    :ivar key: its idempotency key; as the client gave it until the request is admitted.
-    :ivar steps: (milliseconds since it arrived, what happened) each.
+    :ivar key: its idempotency key; until admission the one that the client sent, which may be empty.
+    :ivar steps: the recorded steps, each as (milliseconds since arrival, description).
     :ivar tenant: None until the request is admitted.
     """
 
@@ -29,11 +30,11 @@
     tenant: str | None = None
 
     def record(self, now: timedelta, step: str) -> None:
-        """Note that something happened now."""
+        """Record a step at the current time."""
         self.steps.append((to_milliseconds(now - self.arrived_at), step))
 
     def to_row(self, now: timedelta) -> dict[str, Any]:
-        """The trace as the control API gives it; "born": milliseconds since the request arrived."""
+        """Return the trace in the form of the control API; "born" is the time since arrival in milliseconds."""
         row: dict[str, Any] = {
             "order": self.request_id,
             "key": self.key,
@@ -53,16 +54,16 @@
         self._traces: LRI = LRI(max_size=MAX_TRACES)
 
     def begin(self, *, request_id: str, key: str, class_name: str, now: timedelta) -> RequestTrace:
-        """Start the trace of a request that has just arrived."""
+        """Begin and return the trace of a request that has just arrived."""
         trace = RequestTrace(request_id, key, class_name, now)
         self._traces[request_id] = trace
         return trace
 
     def record(self, request_id: str, now: timedelta, step: str) -> None:
-        """Note a step of a request, if its trace is still kept."""
+        """Record a step of a request, if its trace is still kept."""
         if request_id in self._traces:
             self._traces[request_id].record(now, step)
 
-    def find(self, word: str, now: timedelta) -> list[dict[str, Any]]:
-        """The rows of all requests with this id or idempotency key, the oldest first."""
-        return [trace.to_row(now) for trace in self._traces.values() if word in (trace.request_id, trace.key)]
+    def find(self, identifier: str, now: timedelta) -> list[dict[str, Any]]:
+        """Return the traces of all requests with this request id or idempotency key, oldest first."""
+        return [trace.to_row(now) for trace in self._traces.values() if identifier in (trace.request_id, trace.key)]
--- a/silverglade/tenant_requests/results.py
+++ b/silverglade/tenant_requests/results.py
@@ -1,6 +1,6 @@
-"""Results: the parts of the answer to a tenant's request, as I/O takes them for the client.
+"""Results: the parts of the answer to a tenant's request, as handed to the I/O layer for the client.
 
-First the request's key, then pieces or one whole body, and last "done" or a fault. A whole body ends the answer by itself.
+The request's key comes first, then pieces or one whole body, and finally "done" or a fault. A whole body also ends the answer.
 """
 
 from __future__ import annotations
@@ -16,37 +16,37 @@
 FAULT: Final = "fault"
 
 LAST_RESULTS = frozenset((WHOLE, DONE, FAULT))
-"""After one of these nothing follows."""
+"""Kinds of result that end the answer."""
 
 RETRY_AFTER_MS: Final = 1000
-"""When the client of a refused request may come back."""
+"""Default time after which the client of a refused request may retry."""
 
 
 def key_result(request_id: str, key: str, is_streamed: bool) -> TenantResult:
-    """The idempotency key under which the request runs."""
+    """Return the result that gives the idempotency key of the request."""
     return TenantResult(request_id, KEY, (key, is_streamed))
 
 
 def piece_result(request_id: str, number: int, data: bytes) -> TenantResult:
-    """A piece of a streamed answer; numbers count from 1."""
+    """Return the result for a piece of a streamed answer; pieces are numbered from 1."""
     return TenantResult(request_id, PIECE, (number, data))
 
 
 def whole_result(request_id: str, data: bytes) -> TenantResult:
-    """The answer in one."""
+    """Return the result for a complete answer that is not streamed."""
     return TenantResult(request_id, WHOLE, (data,))
 
 
 def done_result(request_id: str, pieces: int) -> TenantResult:
-    """A streamed answer is complete."""
+    """Return the result that ends a streamed answer after this many pieces."""
     return TenantResult(request_id, DONE, (pieces,))
 
 
 def fault_result(request_id: str, code: int, ran: str, retry_after_ms: Any, *detail: str) -> TenantResult:
-    """The request failed or is refused.
+    """Return the result for a request that failed or is refused.
 
     :param code: a result code.
-    :param ran: what is known of whether it ran (execution.py).
-    :param retry_after_ms: None where another attempt is of no use.
+    :param ran: whether the request ran, as a value of execution.py.
+    :param retry_after_ms: time after which the client may retry; None if a retry is useless.
     """
     return TenantResult(request_id, FAULT, (code, ran, retry_after_ms, *detail))
--- a/silverglade/tenant_shards/__init__.py
+++ b/silverglade/tenant_shards/__init__.py
@@ -1,1 +1,1 @@
-"""Shards (design 6): the requests of one tenant, their owner, and the follower that keeps a copy of the owner's claims."""
+"""Shards (design 6): one per tenant, with an owner that queues the tenant's requests and a follower that replicates its claims."""
--- a/silverglade/tenant_shards/admission.py
+++ b/silverglade/tenant_shards/admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests at a shard owner (design 6.2): a slot's lease, then the claim of the key, then the grant."""
+"""Admission of requests at a shard owner (design 6.2): lease a slot, claim the key, then grant."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 from .shard import Shard
 
 RETRY_SOON_MS = 500
-"""After how many milliseconds a client may come back where the shard's owner or follower is about to change."""
+"""Retry-after for clients while the shard's owner or follower is being replaced."""
 
 OVERFLOW_TIME_DIVISOR = 4
-"""A request may overflow after this part of the time that it had left."""
+"""A request may overflow once it has waited this fraction (one fourth) of its time left, or `spill_wait` if that is shorter."""
 
 
 def _request_of_lease(lease_id: str) -> str:
-    """The request that a lease was asked for (see `Admission.ask_next_candidate`)."""
+    """Return the id of the request that a lease was requested for (see `Admission.ask_next_candidate`)."""
     return lease_id.rsplit("/", 1)[0]
 
 
 class Admission:
-    """Moves requests on, from waiting to the grant."""
+    """Takes queued requests through slot lease and key claim to the grant."""
 
     __slots__ = ("_context", "_queue", "_last_lease")
 
@@ -48,23 +48,23 @@
         self._queue = queue
         self._last_lease = 0
 
-    # --- a slot's lease
+    # --- slot leases
 
     def advance(self, request: QueuedRequest, now: timedelta) -> None:
-        """Look for a slot for a request that waits."""
+        """Look for a slot for a waiting request; deny it if this daemon no longer owns its shard or its key is already claimed."""
         shard = self._context.shards.get(request.tenant)
         if shard is None:
             self._queue.deny(request, result_codes.NO_OWNER, retry_after_ms=RETRY_SOON_MS)
             return
         if not request.is_resumable and not shard.is_open:
-            return  # it waits for the follower for a while; the timer gives up
+            return  # waits until owner and follower agree; RequestTimeouts ends the wait
         if self.refuse_if_claimed(shard, request):
             return
         request.candidates = self._candidates(request, now)
         self.ask_next_candidate(request, now)
 
     def ask_next_candidate(self, request: QueuedRequest, now: timedelta) -> None:
-        """Ask the lease holder of the next candidate for a slot; without one the request waits on."""
+        """Request a slot lease for the next candidate; without a candidate the request waits and is retried after a `beat`."""
         replicas = self._context.replicas
         request.candidates = [name for name in request.candidates if name in replicas]
         while request.candidates:
@@ -82,7 +82,7 @@
         request.next_attempt_at = now + self._context.tuning["beat"]
 
     def on_lease_granted(self, sender: str, message: LeaseGranted, now: timedelta) -> None:
-        """A lease holder has leased the slot that was asked for, perhaps too late."""
+        """Use the granted lease, or release it if its request no longer waits for it."""
         request = self._leasing_request(message.lease_id)
         if request is not None and message.replica in self._context.replicas:
             self._on_slot_leased(request, message.replica, message.lease_id, now)
@@ -90,13 +90,13 @@
             self._context.send(sender, LeaseRelease(message.replica, message.lease_id, False))
 
     def on_lease_denied(self, message: LeaseDenied, now: timedelta) -> None:
-        """A lease holder has no slot."""
+        """Try the next candidate after a lease was denied."""
         request = self._leasing_request(message.lease_id)
         if request is not None:
             self.ask_next_candidate(request, now)
 
     def on_lease_offer(self, sender: str, message: LeaseOffer, now: timedelta) -> None:
-        """A slot came free: the request with the earliest deadline that may use it gets it."""
+        """Give a freed slot to the waiting request with the earliest deadline that may use it, or release the lease."""
         request = self._request_for_offer(message, now)
         if request is not None:
             self._on_slot_leased(request, message.replica, message.lease_id, now)
@@ -121,10 +121,10 @@
     # --- candidates
 
     def _candidates(self, request: QueuedRequest, now: timedelta) -> list[str]:
-        """The replicas that the request may go to now, the preferred ones first (design 7.2, 7.4)."""
+        """Return the replicas that may run the request now, in order of preference (design 7.2, 7.4)."""
         context = self._context
         configuration = context.configuration
-        assert configuration is not None  # without one no request is queued
+        assert configuration is not None  # requests are queued only under a configuration
         home, elsewhere = select_candidates(
             replicas=context.replicas,
             configuration=configuration,
@@ -144,7 +144,7 @@
         return [name for name in home if name not in request.refused_by]
 
     def _is_home_short(self, request: QueuedRequest, configuration: Mapping[str, Any]) -> bool:
-        """Whether fewer replicas are ready in the home region than the scaler requires."""
+        """Whether the home region has fewer ready replicas of this kind than the scaler requires."""
         zones = configuration["zones"]
         home_zone = configuration["tenants"][request.tenant]["homes"][0]
         region = zones[home_zone]["region"]
@@ -156,16 +156,16 @@
         return self._context.required_replicas.get((region, request.kind), 0) > ready
 
     def _may_overflow(self, request: QueuedRequest, now: timedelta) -> bool:
-        """Whether the request has looked for a slot at home for long enough."""
+        """Whether the request has waited long enough for a slot in its home region to use another one."""
         overflow_wait: timedelta = min(self._context.tuning["spill_wait"], request.time_left / OVERFLOW_TIME_DIVISOR)
         return now - request.received_at >= overflow_wait
 
     # --- the claim, and the grant
 
     def refuse_if_claimed(self, shard: Shard, request: QueuedRequest) -> bool:
-        """Look the key up, once the claims are known, and answer the request if another one has claimed it.
+        """Deny the request if another one has claimed its key; check once, as soon as the shard is open.
 
-        :returns: whether it was answered.
+        :returns: whether the request was denied.
         """
         if request.is_resumable or request.is_key_checked or not shard.is_open:
             return False
@@ -177,7 +177,7 @@
         return True
 
     def _on_slot_leased(self, request: QueuedRequest, replica: str, lease_id: str, now: timedelta) -> None:
-        """The request holds a slot: grant it, or claim its key first where it must not run twice."""
+        """Grant a request that holds a slot now, or claim its key first if it must not run twice."""
         context = self._context
         request.replica, request.lease_id = replica, lease_id
         context.leases_held[replica] = context.leases_held.get(replica, 0) + 1
@@ -189,7 +189,7 @@
         if shard is None or not shard.is_open:
             self._queue.deny(request, result_codes.NO_FOLLOWER, retry_after_ms=RETRY_SOON_MS)
             return
-        request.is_key_checked = False  # its key may have been claimed while it waited
+        request.is_key_checked = False  # its key may have been claimed by another request while it waited
         if self.refuse_if_claimed(shard, request):
             return
         request.enter_step(RequestStep.CLAIMING, until=now + context.tuning["claim_wait"])
@@ -197,7 +197,7 @@
         context.effects.append(shard.claim(request.key_digest, request.request_id))
 
     def on_claimed(self, message: Claimed, now: timedelta) -> None:
-        """The follower has synced the claim: the request may run."""
+        """Grant the request once the follower has synced its claim."""
         request = self._context.requests.get(message.call_id)
         shard = self._context.shards.get(message.shard)
         if request is None or request.step is not RequestStep.CLAIMING:
@@ -206,7 +206,7 @@
             self.grant(request, now)
 
     def on_claim_refused(self, message: ClaimRefused) -> None:
-        """The follower did not take the claim: the key was claimed before, or it follows another owner."""
+        """Deny a request whose claim the follower refused: the key was claimed before, or the follower has no claims of this epoch."""
         request = self._context.requests.get(message.call_id)
         if request is None or request.step is not RequestStep.CLAIMING:
             return
@@ -221,7 +221,7 @@
         self._queue.deny(request, result_codes.NO_FOLLOWER, retry_after_ms=RETRY_SOON_MS)
 
     def grant(self, request: QueuedRequest, now: timedelta) -> None:
-        """Tell the ingress that the request may run on its replica."""
+        """Send the ingress the grant to run the request on its replica."""
         context = self._context
         record = context.replicas[request.replica].record
         request.enter_step(RequestStep.GRANTED, until=now + request.time_left + context.tuning["grant"])
--- a/silverglade/tenant_shards/claims.py
+++ b/silverglade/tenant_shards/claims.py
@@ -1,4 +1,4 @@
-"""Claims (design 6.3): notes that a request's idempotency key was taken once, by the digest of the key."""
+"""Claims (design 6.3): records, by key digest, that an idempotency key is in use by one request."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from .messages import ClaimRow
 
 SURPLUS_DIVISOR = 8
-"""Claims are dropped once an eighth more than the limit has gathered."""
+"""Claims are expired in batches, once their number exceeds the limit by one eighth."""
 
 
 class ClaimState(StrEnum):
-    """What is known of a claimed request. Claims hold the plain value; FREE takes a claim back and is never stored."""
+    """What is known of a claimed request. Claims hold the plain string; FREE deletes a claim and is never stored."""
 
     CLAIMED = "claimed"  # it may run
-    MAY_HAVE_RAN = "ran"  # a replica had it
-    DONE = "done"
-    FREE = "free"  # it surely never ran: the key may be claimed anew
+    MAY_HAVE_RAN = "ran"  # it was sent to a replica that may have run it
+    DONE = "done"  # a replica ran it to completion
+    FREE = "free"  # it certainly never ran: the key may be claimed again
 
 
 class Claim(NamedTuple):
     """A claim of a key.
 
-    :ivar request_id: the request that claimed it.
+    :ivar request_id: the request that claimed the key.
     :ivar state: a `ClaimState` value.
-    :ivar number: of the claim within its shard, in the order of the claims.
+    :ivar number: sequence number of the claim within its shard.
     """
 
     request_id: str
@@ -35,7 +35,7 @@
 
 
 def expired_keys(claims: Mapping[str, Claim], limit: int) -> tuple[str, ...]:
-    """The keys of claims older than the newest `limit`, once a surplus has gathered."""
+    """Return the keys of all claims but the newest `limit`; none until the surplus is reached (`SURPLUS_DIVISOR`)."""
     if len(claims) <= limit + limit // SURPLUS_DIVISOR:
         return ()
     oldest_kept = max([claim.number for claim in claims.values()]) - limit
@@ -43,10 +43,10 @@
 
 
 def claims_to_rows(claims: Mapping[str, Claim]) -> tuple[ClaimRow, ...]:
-    """Claims as they travel, in the order of their keys."""
+    """Return the claims in their wire form, sorted by key."""
     return tuple([(key, claim.request_id, claim.state, claim.number) for key, claim in sorted(claims.items())])
 
 
 def claims_from_rows(rows: Iterable[ClaimRow]) -> dict[str, Claim]:
-    """Claims from the rows of a message."""
+    """Return the claims in the rows of a message, by key digest."""
     return {key: Claim(request_id, state, number) for key, request_id, state, number in rows}
--- a/silverglade/tenant_shards/context.py
+++ b/silverglade/tenant_shards/context.py
@@ -1,4 +1,4 @@
-"""What the modules of the shard owner share: its state, and the effects of the present step."""
+"""State shared by the modules of the shard owner, and the effects of the current event."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 class OwnerContext:
     """State of the shard owner.
 
-    :ivar shards: tenant to the shard that this daemon owns.
-    :ivar requests: the requests of these tenants that were not answered yet, or run, by id, in the order of their arrival.
-    :ivar store: what control has acknowledged.
-    :ivar lease_holders: replica to the holder of its slot leases.
-    :ivar drained_zones: zones in which nothing new is started.
-    :ivar proved_at: when the store was last proved to be the newest, or None.
+    :ivar shards: the shards that this daemon owns, by tenant.
+    :ivar requests: requests of these tenants that wait for a grant or are running, by id, in order of arrival.
+    :ivar store: the newest known state acknowledged by control.
+    :ivar lease_holders: replica id to the holder of its slot leases.
+    :ivar drained_zones: zones in which no new work is started.
+    :ivar proved_at: when the store was last confirmed to be current, or None.
     :ivar replicas: all registered replicas by id.
-    :ivar required_replicas: how many replicas must be ready: (region, kind) to count.
-    :ivar leases_held: replica to the number of its slots that are leased by this daemon.
+    :ivar required_replicas: number of replicas that must be ready, by (region, kind).
+    :ivar leases_held: number of slots that this daemon leases, by replica id.
     :ivar members: the live daemons.
     :ivar budget: the retry budget.
-    :ivar owned_fraction: the part of all shards that this daemon owns.
-    :ivar effects: of the present step, in their order.
+    :ivar owned_fraction: fraction of all shards that this daemon owns.
+    :ivar effects: effects of the current event, in order.
     """
 
     __slots__ = (
@@ -75,15 +75,15 @@
 
     @property
     def configuration(self) -> Mapping[str, Any] | None:
-        """The configuration in force, or None before the first."""
+        """The configuration in force, or None before the first one is known."""
         configuration: Mapping[str, Any] | None = value_of(self.store, "config")
         return configuration
 
     def has_class(self, tenant: str, request_class: str) -> bool:
-        """Whether the configuration has that class of that tenant."""
+        """Whether the configuration defines this request class for this tenant."""
         tenants = (self.configuration or {"tenants": {}})["tenants"]
         return tenant in tenants and request_class in tenants[tenant]["classes"]
 
     def send(self, to: str, message: Message) -> None:
-        """Send a message to a daemon."""
+        """Add the effect that sends a message to a daemon."""
         self.effects.append(Send(to, encode(message)))
--- a/silverglade/tenant_shards/follower.py
+++ b/silverglade/tenant_shards/follower.py
@@ -1,6 +1,6 @@
-"""The follower of shards on a core (design 6.3): it syncs claims to disk before any grant exists.
+"""The follower of shards on a core (design 6.3): syncs each claim to disk before its request is granted.
 
-Tables on disk: "shard" holds shard -> epoch; "claim" holds shard, separator and key digest -> (request id, state, number).
+Disk tables: "shard" maps shard -> epoch; "claim" maps shard, separator and key digest -> (request id, state, number).
 """
 
 from __future__ import annotations
@@ -54,27 +54,27 @@
 class ClaimFollower:
     """Component "claim_follower" of a core.
 
-    :ivar epochs: shard to the epoch of the owner that it follows.
-    :ivar claims: shard to key digest to claim.
+    :ivar epochs: epoch of the followed owner, by shard.
+    :ivar claims: claims by shard and key digest.
     """
 
     handled_events: ClassVar[tuple[type[Event], ...]] = (MessageReceived, StoreUpdated, DiskWriteCompleted)
 
     def __init__(self, *, own_name: str, saved: Mapping[str, Mapping[str, Any]], tuning: Mapping[str, Any]) -> None:
-        """:param saved: the tables as last synced."""
+        """:param saved: the disk tables as last synced."""
         self.epochs: dict[str, int] = dict(saved.get(SHARD_TABLE, {}))
         self.claims: dict[str, dict[str, Claim]] = {shard: {} for shard in self.epochs}
         for key, row in saved.get(CLAIM_TABLE, {}).items():
-            shard, key_digest = key.rsplit(KEY_SEPARATOR, 1)  # a tenant's name may hold the separator too
+            shard, key_digest = key.rsplit(KEY_SEPARATOR, 1)  # tenant names may contain the separator
             self.claims.setdefault(shard, {})[key_digest] = Claim(*row)
         self._own_name = own_name
         self._tuning = tuning
         self._last_write = 0
-        self._answers: dict[int, tuple[str, Message] | None] = {}  # write -> whom to answer once it is synced, and what
+        self._answers: dict[int, tuple[str, Message] | None] = {}  # write number -> (recipient, answer) to send once it is synced
         self._effects: list[Effect] = []
 
     def step(self, now: timedelta, event: Event) -> list[Effect]:
-        """Handle one event and return the effects in their order."""
+        """Handle one event and return its effects in order."""
         self._effects = []
         match event:
             case MessageReceived():
@@ -97,7 +97,7 @@
                 self._on_copy(sender, message)
 
     def _on_claim(self, sender: str, request: ClaimRequest) -> None:
-        """Take a claim of the epoch that is followed, unless another request has claimed the key."""
+        """Store a claim if it is of the followed epoch and no other request has claimed the key; refuse it otherwise."""
         shard, key_digest = request.shard, request.key_digest
         epoch = self.epochs.get(shard)
         if epoch is None or epoch != request.epoch:
@@ -119,7 +119,7 @@
         )
 
     def _on_claim_state_update(self, update: ClaimStateUpdate) -> None:
-        """Change the state of a claim, or take it back; a request that is done stays so."""
+        """Change the state of a claim, or delete it. The state DONE is final, but the claim may still be deleted."""
         shard, key_digest = update.shard, update.key_digest
         if self.epochs.get(shard) != update.epoch:
             return
@@ -134,7 +134,7 @@
             self._write([_put_claim(shard, key_digest, claim)])
 
     def _on_adopt(self, sender: str, request: AdoptRequest) -> None:
-        """Follow a new owner and tell it all claims; no claim of an earlier epoch is taken any more."""
+        """Follow a new owner and send it all claims; claims of earlier epochs are refused from now on."""
         shard, epoch = request.shard, self.epochs.get(request.shard)
         if epoch is None or request.epoch < epoch:
             reason = RefusalReason.UNKNOWN_SHARD.value if epoch is None else RefusalReason.OTHER_EPOCH.value
@@ -145,7 +145,7 @@
         self._write([_put_shard(shard, request.epoch)], answer=(sender, answer))
 
     def _on_copy(self, sender: str, copy: ClaimsCopy) -> None:
-        """Begin to follow a shard with all its claims; what was held of it is dropped."""
+        """Follow a shard from a full copy of its claims, which replaces what was stored of it."""
         shard = copy.shard
         if copy.epoch < self.epochs.get(shard, 0):
             self._effects.append(send(sender, AdoptionRefused(shard, copy.epoch, RefusalReason.OTHER_EPOCH.value)))
@@ -164,14 +164,14 @@
         )
 
     def _on_store_updated(self, event: StoreUpdated) -> None:
-        """Drop the shards that another daemon follows by now."""
+        """Delete the shards that another daemon follows now, or that were dropped."""
         for shard, epoch in list(self.epochs.items()):
             if is_followed_elsewhere(event.store, shard, epoch=epoch, own_name=self._own_name):
                 self._write([("del", SHARD_TABLE, shard), *_delete_claims(shard, self.claims[shard])])
                 del self.epochs[shard], self.claims[shard]
 
     def _write(self, operations: list[DiskOperation], *, answer: tuple[str, Message] | None = None) -> None:
-        """Write to disk, and send the answer only once that is synced."""
+        """Write to disk; the answer is sent only after the write is synced."""
         self._last_write += 1
         self._answers[self._last_write] = answer
         self._effects.append(WriteToDisk((Component.CLAIM_FOLLOWER.value, self._last_write), tuple(operations)))
--- a/silverglade/tenant_shards/follower_choice.py
+++ b/silverglade/tenant_shards/follower_choice.py
@@ -1,4 +1,4 @@
-"""Which core is to follow a shard (design 6.3, 6.4)."""
+"""Choice of the core that follows a shard (design 6.3, 6.4)."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class FollowerAssignment(NamedTuple):
-    """The role that control is to assign, in the form of its operation."""
+    """A role for control to assign, as a row of the control operation "duties"."""
 
     kind: str
     shard: str
@@ -22,8 +22,9 @@
     """The cores that may follow this daemon's shards.
 
     :ivar live: all live daemons.
-    :ivar eligible: ready cores; those of other zones where there are any.
-    :ivar same_zone: this daemon and the cores of its zone, where there are others: one fault must not take both.
+    :ivar eligible: ready cores; only those in other zones, if there are any.
+    :ivar same_zone: this daemon and the cores in its zone, if there are cores in other zones: the failure of one zone must not take
+        owner and follower together.
     """
 
     live: set[str]
@@ -31,6 +32,6 @@
     same_zone: set[str]
 
     def ranked(self, shard: str) -> tuple[str, ...]:
-        """The eligible cores in the order in which they are to follow the shard."""
+        """Return the eligible cores in order of preference for this shard (rendezvous hashing)."""
         ranked: tuple[str, ...] = rank_nodes(f"follow/{shard}", self.eligible)
         return ranked
--- a/silverglade/tenant_shards/intake.py
+++ b/silverglade/tenant_shards/intake.py
@@ -1,4 +1,4 @@
-"""How a shard owner takes a request that an ingress asks for (design 6.2, 7.5): checks, retry budget, queue."""
+"""Intake of grant requests at a shard owner (design 6.2, 7.5): validity checks, retry budget, queue limit."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 NOT_READY_RETRY_MS = 500
 RETRY_BUDGET_RETRY_MS = 2000
 QUEUE_FULL_RETRY_MS = 1000
-"""After how many milliseconds a client may come back."""
+"""Retry-after for clients, by cause of the denial."""
 
 
 class RequestIntake:
-    """Takes requests into the queue, or answers them at once."""
+    """Queues requests, or denies them immediately."""
 
     __slots__ = ("_context", "_queue", "_admission")
 
@@ -33,7 +33,7 @@
         self._admission = admission
 
     def on_grant_request(self, sender: str, message: GrantRequest, now: timedelta) -> None:
-        """An ingress asks for a grant, for the first time, once more, or for a redispatch."""
+        """Handle a grant request: the first one, a repeated one, or one for a redispatch."""
         context = self._context
         facts = GrantRequestFacts.of(message.facts)
         shard = context.shards.get(message.tenant)
@@ -47,17 +47,17 @@
             self._enqueue(sender, message, facts, shard, context.configuration, now)
 
     def _refuse(self, sender: str, message: GrantRequest, code: int) -> None:
-        """Refuse what an ingress asks for before the request is looked at."""
+        """Deny a grant request that was not queued; nothing is known of its key."""
         self._context.send(sender, Denial(message.request_id, message.attempt, code, RunStatus.UNKNOWN.value, NOT_READY_RETRY_MS))
 
     def _is_up_to_date(self, now: timedelta) -> bool:
-        """Whether the store was proved to be the newest of late; without that nothing is started."""
+        """Whether the store was confirmed to be current within `alone`; otherwise no request is started."""
         if self._context.proved_at is None or now - self._context.proved_at > self._context.tuning["alone"]:
             return False
         return True
 
     def _is_duplicate(self, message: GrantRequest, now: timedelta) -> bool:
-        """Whether this asking, or a later one, was taken already; a grant of it is sent again."""
+        """Whether this attempt, or a later one, is already queued; if this attempt was granted, the grant is sent again."""
         known = self._context.requests.get(message.request_id)
         if known is None or known.attempt < message.attempt:
             return False
@@ -74,7 +74,7 @@
         configuration: Mapping[str, Any],
         now: timedelta,
     ) -> None:
-        """Queue a request, and look for a slot at once unless others of its kind wait before it."""
+        """Queue a request, and look for a slot immediately unless earlier requests wait for the same kind of replica."""
         waiting = self._queue.waiting(message.tenant)
         earlier = self._context.requests.get(message.request_id)
         request = self._build_request(sender, message, facts, configuration, now)
@@ -117,13 +117,15 @@
     def _is_within_retry_budget(
         self, shard: Shard, request: QueuedRequest, earlier: QueuedRequest | None, client_attempt: int, now: timedelta
     ) -> bool:
-        """Count the request, and take it from the retry budget if it is a retry (design 7.5).
+        """Count the request, and charge it to the retry budget if it is a retry (design 7.5).
 
-        Owners see every request, so they know a repeated key without its header.
+        The owner sees every request of its tenants, so it detects a repeated key even without the attempt header.
+
+        :returns: whether the request may go on.
         """
         budget, tuning, owned_fraction = self._context.budget, self._context.tuning, self._context.owned_fraction
         first_request: str = shard.first_requests.setdefault(request.key_digest, request.request_id)
-        if request.attempt > 1:  # a redispatch; it is free if the request was not sent before
+        if request.attempt > 1:  # a redispatch; not charged if the earlier attempt was never sent
             was_not_sent = earlier is not None and earlier.was_not_sent
             return was_not_sent or budget.take_retry(now, tuning["retry_share"], owned_fraction)
         if earlier is not None:
--- a/silverglade/tenant_shards/messages.py
+++ b/silverglade/tenant_shards/messages.py
@@ -1,8 +1,8 @@
-"""The messages about tenants' shards and replicas' slots, one class a kind (design 6, 7.3).
+"""Messages about tenants' shards and replicas' slots, one class per kind (design 6, 7.3).
 
-On the wire each is an array of its kind (`MESSAGE_CLASSES`) and its fields in the order given here. Shapes of all kinds are
-checked before any component sees them (transport/message_schemas.py); `decode` makes the message of a checked body, and `encode`
-the body again.
+On the wire each message is an array of its kind (`MESSAGE_CLASSES`) and its fields in the order given here. The shapes are
+validated before any component receives them (transport/message_schemas.py). `decode` converts a validated body to a message,
+`encode` a message to its body.
 """
 
 from __future__ import annotations
@@ -15,46 +15,46 @@
 
 
 class RefusalReason(StrEnum):
-    """Why a follower refuses a claim or an adoption. Messages hold the plain value."""
+    """Why a follower refuses a claim or an adoption. Messages hold the plain string."""
 
-    UNKNOWN_SHARD = "none"  # it holds nothing of the shard
-    OTHER_EPOCH = "old"  # it follows another epoch
+    UNKNOWN_SHARD = "none"  # the follower has no claims of the shard
+    OTHER_EPOCH = "old"  # the follower follows another epoch
     ALREADY_CLAIMED = "seen"  # another request has claimed the key
 
 
 class RunOutcome(StrEnum):
-    """How a granted request ended, as its ingress tells. Messages hold the plain value."""
+    """How a granted request ended, as reported by its ingress. Messages hold the plain string."""
 
-    DONE = "done"  # the replica answered to the end
-    MAY_HAVE_RAN = "ran"  # a replica had it, perhaps
-    REFUSED = "unrun"  # the replica surely did not run it
-    NOT_SENT = "barred"  # it was not sent, since the replica could not be used any more
+    DONE = "done"  # the replica ran it to completion
+    MAY_HAVE_RAN = "ran"  # it was sent to a replica that may have run it
+    REFUSED = "unrun"  # the replica certainly did not run it
+    NOT_SENT = "barred"  # not dispatched, since the replica was no longer usable
 
 
 class RunStatus(StrEnum):
-    """What the owner knows of whether a request's key ran. Messages hold the plain value."""
+    """What the owner knows of whether a request's key ran. Messages hold the plain string."""
 
     NO = "no"
     MAYBE = "maybe"
     YES = "yes"
-    UNKNOWN = "?"  # the owner cannot tell
+    UNKNOWN = "?"  # the owner has no information on the key
 
 
 ClaimRow = tuple[str, str, str, int]
-"""A claim as it travels: (key digest, request id, state, number)."""
+"""Wire form of a claim: (key digest, request id, state, number)."""
 
 
-# --- between a request's ingress and the owner of its tenant's shard
+# --- between the ingress of a request and the owner of its tenant's shard
 
 
 class GrantRequestFacts(NamedTuple):
-    """What an owner must know of a request.
+    """The request data that an owner needs for its decision.
 
-    :ivar request_class: of the tenant.
+    :ivar request_class: name of the request class in the tenant's configuration.
     :ivar key: the idempotency key.
-    :ivar prefix: the prompt prefix that it declares, or empty.
-    :ivar time_left_ms: until its deadline.
-    :ivar client_attempt: which attempt of its client it is; 0 where that is not known.
+    :ivar prefix: the prompt prefix that the request declares, or empty.
+    :ivar time_left_ms: time until its deadline.
+    :ivar client_attempt: number of the attempt by the client's own count, from 1; 0 if unknown.
     """
 
     request_class: str
@@ -65,14 +65,14 @@
 
     @classmethod
     def of(cls, row: tuple[Any, ...]) -> GrantRequestFacts:
-        """The facts of a checked row; an earlier program sends no attempt, a later one may append fields."""
+        """Return the facts in a validated row; earlier versions send no client attempt, later ones may append fields."""
         request_class, key, prefix, time_left_ms, *rest = row
         client_attempt = rest[0] if rest and type(rest[0]) is int else 0
         return cls(request_class, key, prefix, time_left_ms, client_attempt)
 
 
 class GrantRequest(Record):
-    """An ingress asks the owner to run a request: `asking` is 1, and one more for each redispatch."""
+    """From an ingress: requests a grant. `attempt` is 1 for the first dispatch, and one more for each redispatch."""
 
     request_id: str
     attempt: int
@@ -82,7 +82,7 @@
 
 
 class Grant(Record):
-    """The request may run on this replica; `is_overflow`: outside its first home, `is_retry`: its key was asked before."""
+    """The request may run on this replica. `is_overflow`: outside the tenant's first home; `is_retry`: the key was used before."""
 
     request_id: str
     attempt: int
@@ -98,8 +98,8 @@
     """The request may not run.
 
     :ivar code: the result code.
-    :ivar ran: whether the key ran, as a `Ran` value (design 6.5).
-    :ivar retry_after_ms: when the client may come back, or None.
+    :ivar ran: whether the key ran, as a `RunStatus` value (design 6.5).
+    :ivar retry_after_ms: time after which the client may retry, or None.
     """
 
     request_id: str
@@ -110,14 +110,14 @@
 
 
 class OwnerMoved(Record):
-    """The shard is owned elsewhere, or under another epoch."""
+    """This daemon does not own the shard, or owns it under another epoch."""
 
     request_id: str
     attempt: int
 
 
 class RunEnded(Record):
-    """The ingress tells how a granted request ended, as a `RunOutcome` value."""
+    """From an ingress: reports how a granted request ended, as a `RunOutcome` value."""
 
     request_id: str
     attempt: int
@@ -125,7 +125,7 @@
 
 
 class RequestAbandoned(Record):
-    """The ingress will never send this request to a replica."""
+    """From an ingress: the request will never be sent to a replica."""
 
     request_id: str
 
@@ -134,7 +134,7 @@
 
 
 class LeaseRequest(Record):
-    """An owner asks for one slot."""
+    """From an owner: requests the lease of one slot."""
 
     replica: str
     epoch: int
@@ -143,7 +143,7 @@
 
 
 class LeaseGranted(Record):
-    """The owner holds the slot."""
+    """To the owner: it holds the lease of the slot."""
 
     lease_id: str
     replica: str
@@ -151,7 +151,7 @@
 
 
 class LeaseDenied(Record):
-    """The owner does not get the slot: "moved" (another daemon leases them, or another epoch) or "full"."""
+    """To the owner: no lease, because of "moved" (other lease holder or epoch) or "full" (no free slot)."""
 
     lease_id: str
     replica: str
@@ -159,7 +159,7 @@
 
 
 class LeaseOffer(Record):
-    """A slot came free that this tenant waited for; the owner holds it from here on."""
+    """To the owner: a slot that this tenant waited for is free; the owner holds its lease from now on."""
 
     replica: str
     epoch: int
@@ -168,7 +168,7 @@
 
 
 class LeaseRelease(Record):
-    """The owner gives a slot back; `succeeded`: the request ran to its end."""
+    """From the owner: ends a lease; `succeeded`: the request ran to completion."""
 
     replica: str
     lease_id: str
@@ -176,7 +176,7 @@
 
 
 class LeaseRenewal(Record):
-    """The owner still holds these leases: (lease id, tenant) each."""
+    """From the owner: it still holds these leases, each given as (lease id, tenant)."""
 
     replica: str
     epoch: int
@@ -187,7 +187,7 @@
 
 
 class ClaimRequest(Record):
-    """The owner asks the follower to sync a claim; `call_id` comes back in the answer."""
+    """From the owner: has the follower sync a claim; the answer repeats `call_id`."""
 
     shard: str
     epoch: int
@@ -198,7 +198,7 @@
 
 
 class Claimed(Record):
-    """The claim is synced."""
+    """To the owner: the claim is synced to the follower's disk."""
 
     shard: str
     epoch: int
@@ -206,7 +206,7 @@
 
 
 class ClaimRefused(Record):
-    """The claim was not taken, for a `Refusal`."""
+    """To the owner: the claim was refused, for a `RefusalReason` value."""
 
     shard: str
     epoch: int
@@ -215,7 +215,7 @@
 
 
 class ClaimStateUpdate(Record):
-    """The state of a claim has changed; "free": it is taken back."""
+    """From the owner: changes the state of a claim; "free" deletes it."""
 
     shard: str
     epoch: int
@@ -225,14 +225,14 @@
 
 
 class AdoptRequest(Record):
-    """An owner asks for all claims and has the follower take none of an earlier epoch any more."""
+    """From an owner: requests all claims, and has the follower refuse claims of earlier epochs from now on."""
 
     shard: str
     epoch: int
 
 
 class Adopted(Record):
-    """All claims that the follower holds."""
+    """To the owner: all claims that the follower holds."""
 
     shard: str
     epoch: int
@@ -240,7 +240,7 @@
 
 
 class AdoptionRefused(Record):
-    """The follower does not follow this owner, for a `Refusal`."""
+    """To the owner: the follower does not follow it, for a `RefusalReason` value."""
 
     shard: str
     epoch: int
@@ -248,7 +248,7 @@
 
 
 class ClaimsCopy(Record):
-    """All claims for a new follower, which drops what it held of the shard."""
+    """From the owner: all claims, which replace what the new follower held of the shard."""
 
     shard: str
     epoch: int
@@ -257,7 +257,7 @@
 
 
 class ClaimsCopied(Record):
-    """The copy of that number is synced."""
+    """To the owner: the copy with this number is synced."""
 
     shard: str
     epoch: int
@@ -311,7 +311,7 @@
     "copy": ClaimsCopy,
     "copied": ClaimsCopied,
 }
-"""The class of each kind on the wire."""
+"""Message class by kind on the wire."""
 
 _TAGS: dict[type[Message], str] = {message_class: tag for tag, message_class in MESSAGE_CLASSES.items()}
 
@@ -319,26 +319,29 @@
     tag: (message_class, 1 + required_field_count(message_class), 1 + len(field_names(message_class)))
     for tag, message_class in MESSAGE_CLASSES.items()
 }
-"""Of each kind: its class, and the least and the greatest length of a body that is read."""
+"""By kind: its class, the minimum length of a body, and the length beyond which fields are ignored."""
 
 
 def encode(message: Message) -> tuple[Any, ...]:
-    """The body that travels."""
+    """Return the body of a message in its wire form."""
     return (_TAGS[type(message)], *fields_of(message))
 
 
 def decode(body: tuple[Any, ...]) -> Message | None:
-    """The message of a checked body; None for a kind that is not of this package. Fields of a later program are dropped."""
+    """Return the message in a validated body; None for a kind of another package or a body that is too short.
+
+    Fields appended by later versions are dropped.
+    """
     shape = _SHAPES.get(body[0])
     if shape is None:
         return None
-    message_class, least_length, greatest_length = shape
-    if len(body) < least_length:
+    message_class, min_length, max_length = shape
+    if len(body) < min_length:
         return None
-    message: Message = message_class(*body[1:greatest_length])
+    message: Message = message_class(*body[1:max_length])
     return message
 
 
 def send(to: str, message: Message) -> Send:
-    """The effect that sends a message to a daemon."""
+    """Return the effect that sends a message to a daemon."""
     return Send(to, encode(message))
--- a/silverglade/tenant_shards/owned_shards.py
+++ b/silverglade/tenant_shards/owned_shards.py
@@ -1,4 +1,4 @@
-"""Which shards this daemon owns (design 5.6, 6.4), and how each of them keeps a follower."""
+"""Tracks which shards this daemon owns (design 5.6, 6.4) and maintains a follower for each."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class OwnedShards:
-    """Follows what control assigns."""
+    """Applies the shard assignments of the control group to this daemon."""
 
     __slots__ = ("_context", "_queue")
 
@@ -29,10 +29,10 @@
         self._queue = queue
 
     def apply_assignments(self) -> None:
-        """Begin to own the shards that control assigned to this daemon, and hand over those it assigned elsewhere."""
+        """Take ownership of the shards assigned to this daemon, and hand over those assigned to another one."""
         context = self._context
         for name in [name for name in context.shards if shard_role(context.store, name) is None]:
-            del context.shards[name]  # its tenant was taken out long ago
+            del context.shards[name]  # its tenant was removed from the configuration long ago
         assigned = 0
         for name, role in shard_roles(context.store):
             assigned += 1
@@ -56,7 +56,7 @@
         self._context.effects.append(log_record("shard-owned", shard=name, epoch=role.epoch, follower=role.follower or NO_FOLLOWER_LOGGED))
 
     def _hand_over(self, name: str, role: ShardRole) -> None:
-        """Another daemon owns the shard: the ingresses of the requests that were not granted are to ask that one."""
+        """Remove a shard that another daemon owns now, and redirect the ingresses of its requests not granted yet."""
         context = self._context
         del context.shards[name]
         context.effects.append(log_record("shard-handed-over", shard=name, epoch=role.epoch, owner=role.owner))
@@ -67,7 +67,7 @@
                 context.send(request.ingress, OwnerMoved(request.request_id, request.attempt))
 
     def advance(self, live_daemons: set[str], now: timedelta) -> None:
-        """Do what each shard's present step needs."""
+        """Advance each shard, and request the follower assignments that they need."""
         context = self._context
         cores = self._follower_candidates(live_daemons)
         assignments: list[FollowerAssignment] = []
@@ -77,12 +77,12 @@
                 assignments.append(effect)
             elif effect is not None:
                 context.effects.append(effect)
-        if assignments:  # all in one change: hundreds of shards move at once
+        if assignments:  # in one change, since hundreds of shards may move together
             rows = tuple([tuple(assignment) for assignment in assignments])
             context.effects.append(Post(Component.OPERATOR_API, OwnOperationRequested(("duties", rows))))
 
     def _follower_candidates(self, live_daemons: set[str]) -> FollowerCandidates:
-        """The cores that may follow; not of this daemon's zone where that can be."""
+        """Return the cores that may follow; cores in this daemon's zone are eligible only if there are no others."""
         cores = {member.name: member for member in self._context.members if self._may_follow(member)}
         elsewhere = [name for name, core in cores.items() if core.zone != self._context.zone]
         if not elsewhere:
--- a/silverglade/tenant_shards/owner.py
+++ b/silverglade/tenant_shards/owner.py
@@ -1,6 +1,6 @@
-"""The owner of shards (design 6): queues a tenant's requests, leases slots, claims keys, grants.
+"""The shard owner component (design 6): queues tenants' requests, leases slots, claims keys and grants requests.
 
-This module only dispatches; the modules beside it do the work over one shared state (context.py).
+This module only dispatches events; the other modules of the package do the work on one shared state (context.py).
 """
 
 from __future__ import annotations
@@ -54,13 +54,13 @@
 from .retry_budget import COUNTS_ATTRIBUTE, RetryBudget
 
 ROUNDS_PER_BEAT = 2
-"""Leases are renewed and shards are looked after so many times in the `beat` time."""
+"""Leases are renewed and shards are advanced this many times per `beat`."""
 
 
 class ShardOwner:
     """Component "shard_owner": the shards that this daemon owns, and their requests.
 
-    :ivar context: the state.
+    :ivar context: state shared with the other modules of the package.
     """
 
     handled_events: ClassVar[tuple[type[Event], ...]] = (
@@ -85,7 +85,7 @@
         self._next_round = ZERO
 
     def step(self, now: timedelta, event: Event) -> list[Effect]:
-        """Handle one event and return the effects in their order."""
+        """Handle one event and return its effects in order."""
         context = self.context
         context.effects = []
         match event:
@@ -125,7 +125,7 @@
         self.context.budget.record_peer_counts(members, now)
 
     def _on_process_paused(self) -> None:
-        """Others may own the shards by now."""
+        """Confirm everything again after a pause of the process, during which other daemons may have become owners."""
         self.context.proved_at = None
         for shard in self.context.shards.values():
             shard.restart_adoption()
@@ -145,7 +145,7 @@
             context.effects.append(WakeAt(self._next_round if is_needed else IDLE))
 
     def _renew_leases(self) -> None:
-        """Leases last only while their owner says that it holds them (design 7.3)."""
+        """Renew the slot leases held by requests; lease holders end leases that are not renewed (design 7.3)."""
         held: dict[str, list[tuple[str, str]]] = {}
         for request in self.context.requests.values():
             if request.lease_id:
@@ -156,7 +156,7 @@
                 self.context.send(holder.daemon, LeaseRenewal(replica, holder.epoch, tuple(leases)))
 
     def _on_message(self, sender: str, message: Message | None, now: timedelta) -> None:
-        """A message of an ingress or of a lease holder; all others are about the agreement with a follower."""
+        """Dispatch a message from an ingress, a lease holder or a follower."""
         match message:
             case LeaseDenied():
                 self._admission.on_lease_denied(message, now)
@@ -190,7 +190,7 @@
                 shard.on_copied(sender, message)
 
     def _report(self) -> None:
-        """Give the figures to the operator API."""
+        """Post retry counts and shard states to the operator API."""
         self.context.effects.append(Post(Component.OPERATOR_API, RetryCounts(dict(self.context.budget.totals))))
         rows = [
             (name, shard.epoch, shard.follower, shard.is_open, len(shard.claims or {}), len(self._queue.waiting(name)))
--- a/silverglade/tenant_shards/request_queue.py
+++ b/silverglade/tenant_shards/request_queue.py
@@ -1,4 +1,4 @@
-"""The requests at a shard owner: which wait, what may be said of their keys, and how they end (design 6.2, 6.5)."""
+"""The requests at a shard owner: which wait for a slot, whether their keys ran, and how they end (design 6.2, 6.5)."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from .queued_request import GRANTED, REFUSED, WAITING, QueuedRequest, RequestStep
 
 NO_HOLDER = ""
-"""Whom a lease is given back to while no lease holder is named; the message is dropped."""
+"""Destination of a lease release while the replica has no lease holder; the message is dropped."""
 
 
 def run_status_of_claim(claim: Claim) -> str:
-    """What another request's claim of a key says of whether the key ran."""
+    """Return the `RunStatus` value of a key that another request has claimed."""
     return RunStatus.YES.value if claim.state == ClaimState.DONE else RunStatus.MAYBE.value
 
 
 class RequestQueue:
-    """Looks at the requests of the context, and ends them."""
+    """Queries and ends the requests held in the context."""
 
     __slots__ = ("_context",)
 
@@ -28,27 +28,27 @@
         self._context = context
 
     def waiting(self, tenant: str) -> list[QueuedRequest]:
-        """The tenant's requests that wait for a slot, in the order of their arrival."""
+        """Return the tenant's requests that wait for a slot, in order of arrival."""
         return [request for request in self._context.requests.values() if request.tenant == tenant and request.step is WAITING]
 
     def run_status(self, request: QueuedRequest) -> str:
-        """What this owner can say of whether the request's key ran, as a `RunStatus` value."""
+        """Return what this owner knows of whether the request's key ran, as a `RunStatus` value."""
         shard = self._context.shards.get(request.tenant)
         for other in self._context.requests.values():
             if other.key_digest == request.key_digest and other is not request:
-                return RunStatus.MAYBE.value  # its client asked twice at once
+                return RunStatus.MAYBE.value  # concurrent requests with the same key
         if request.is_resumable:
             was_granted = shard is not None and request.key_digest in shard.granted_keys
             return RunStatus.MAYBE.value if was_granted else RunStatus.UNKNOWN.value
         claim = shard.claim_of(request.key_digest) if shard is not None else None
         if claim is not None and claim.request_id != request.request_id:
-            return run_status_of_claim(claim)  # another request with the key has come first
+            return run_status_of_claim(claim)  # another request claimed the key first
         return RunStatus.NO.value if request.is_key_checked else RunStatus.UNKNOWN.value
 
     def deny(self, request: QueuedRequest, code: int, *, ran: str | None = None, retry_after_ms: int | None = None) -> None:
-        """Answer a request that will not be granted, and drop it.
+        """Deny a request and remove it. Its claim is deleted if its key certainly did not run.
 
-        :param ran: what to say of whether its key ran; None for what this owner knows.
+        :param ran: the `RunStatus` value to report; None for the result of `run_status`.
         """
         if ran is None:
             ran = self.run_status(request)
@@ -59,12 +59,12 @@
         self._context.send(request.ingress, Denial(request.request_id, request.attempt, code, ran, retry_after_ms))
 
     def drop(self, request: QueuedRequest) -> None:
-        """Drop a request of which nobody wants to hear any more; its claim stays, since it may have run."""
+        """Remove a request without an answer, since nobody waits for one; its claim stays, since it may have run."""
         self.release_lease(request, succeeded=False)
         self._context.requests.pop(request.request_id)
 
     def release_lease(self, request: QueuedRequest, *, succeeded: bool) -> None:
-        """Give the request's slot back, if it holds one."""
+        """Release the request's slot lease, if it holds one."""
         if not request.lease_id:
             return
         replica, leases_held = request.replica, self._context.leases_held
@@ -75,14 +75,14 @@
         request.lease_id = ""
 
     def deny_unconfigured(self) -> None:
-        """Answer the requests that wait for a tenant or class which the configuration no longer has (design 6.7)."""
+        """Deny the requests not granted yet whose tenant or class is no longer in the configuration (design 6.7)."""
         for request in list(self._context.requests.values()):
             is_waiting = request.step not in (GRANTED, REFUSED)
             if is_waiting and not self._context.has_class(request.tenant, request.request_class):
                 self.deny(request, result_codes.WITHDRAWN)
 
     def on_run_ended(self, sender: str, message: RunEnded, now: timedelta) -> None:
-        """A granted request has ended; if its replica did not run it, the ingress may ask again under its claim."""
+        """End a granted request; if its replica did not run it, keep it so that the ingress may redispatch under the same claim."""
         request = self._context.requests.get(message.request_id)
         if request is None or request.attempt != message.attempt or request.ingress != sender:
             return
@@ -97,7 +97,7 @@
             self._set_claim_state(request, message.outcome)
 
     def on_request_abandoned(self, sender: str, message: RequestAbandoned) -> None:
-        """The ingress will never send the request: its key is free."""
+        """Remove a request that the ingress will never send, and free its key."""
         request = self._context.requests.pop(message.request_id, None)
         if request is None or request.ingress != sender:
             return
--- a/silverglade/tenant_shards/request_timeouts.py
+++ b/silverglade/tenant_shards/request_timeouts.py
@@ -1,4 +1,4 @@
-"""What the passing of time means for the requests at a shard owner (design 6.2)."""
+"""Time-outs and retries of the requests at a shard owner (design 6.2)."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from .request_queue import RequestQueue
 
 RETRY_LATER_MS = 1000
-"""After how many milliseconds a client may come back."""
+"""Retry-after for clients whose request has timed out."""
 
 
 class RequestTimeouts:
-    """Ends the requests whose time is over, and moves the others on."""
+    """Ends the requests that have timed out, and retries the others when they are due."""
 
     __slots__ = ("_context", "_queue", "_admission")
 
@@ -26,7 +26,7 @@
         self._admission = admission
 
     def check(self, live_daemons: set[str], now: timedelta) -> None:
-        """Check every request."""
+        """Check every request; to be called on each timer event."""
         for request in list(self._context.requests.values()):
             if request.step in (GRANTED, REFUSED):
                 self._check_answered(request, live_daemons, now)
@@ -43,13 +43,13 @@
                     self._admission.ask_next_candidate(request, now)
 
     def _check_answered(self, request: QueuedRequest, live_daemons: set[str], now: timedelta) -> None:
-        """A request that was granted, or that its replica refused: it is dropped when nobody will say how it went on."""
+        """Drop a granted or refused request once its ingress is gone (granted ones only) or its step has timed out."""
         is_orphaned = request.step is GRANTED and request.ingress not in live_daemons
         if is_orphaned or request.has_step_timed_out(now):
             self._queue.drop(request)
 
     def _time_out_claim(self, request: QueuedRequest, now: timedelta) -> None:
-        """The follower lives but does not sync: another core is to follow."""
+        """Deny a request whose claim was not synced in time, and mark the follower unresponsive so that it is replaced."""
         shard = self._context.shards.get(request.tenant)
         if shard is not None:
             shard.unresponsive[shard.follower] = now
@@ -65,7 +65,7 @@
             self._admission.advance(request, now)
 
     def _is_claim_impossible(self, request: QueuedRequest, waited: timedelta) -> bool:
-        """Whether the shard has not been open for too long, or will not open by itself."""
+        """Whether the shard did not open within `claim_wait` of the request, or has lost its claims."""
         shard = self._context.shards.get(request.tenant)
         if shard is not None and shard.is_open:
             return False
--- a/silverglade/tenant_shards/shard.py
+++ b/silverglade/tenant_shards/shard.py
@@ -1,6 +1,6 @@
-"""One shard at its owner (design 6.3, 6.4): its claims, and the way on which owner and follower agree on them.
+"""State machine of one shard at its owner (design 6.3, 6.4): holds the claims and keeps them in agreement with the follower.
 
-Requests that are not resumable wait while the shard is not open.
+Requests that are not resumable wait until the shard is open.
 """
 
 from __future__ import annotations
@@ -30,29 +30,29 @@
 NO_CORE = ""
 
 UNRESPONSIVE_GONE_FACTOR = 2
-"""A core that did not answer is passed over for so many times the `gone` time."""
+"""An unresponsive core is not chosen as follower for this multiple of the `gone` time."""
 
 REQUESTS_PER_TAKEOVER = 3
-"""A follower is asked again so many times within the `takeover` time."""
+"""Unanswered requests to a follower are repeated this many times per `takeover` time."""
 
 
 class ShardStep(Enum):
-    """Where an owner is with its shard."""
+    """The steps by which an owner makes its shard ready for claims."""
 
-    ADOPT = "adopt"  # fetch the follower's claims under this epoch
-    OPEN = "open"
-    COPY = "copy"  # give a new follower every claim
-    ASSIGN = "assign"  # have control name the new follower
-    CLAIMS_LOST = "shut"  # the follower lost its claims, and this owner does not know them either
+    ADOPT = "adopt"  # fetch the claims from the follower under this epoch
+    OPEN = "open"  # owner and follower agree: requests may be claimed
+    COPY = "copy"  # send all claims to a new follower
+    ASSIGN = "assign"  # have the control group record the new follower
+    CLAIMS_LOST = "shut"  # the follower lost its claims, and this owner has no copy
 
 
 class Shard:
     """A shard that this daemon owns.
 
-    :ivar claims: key digest to claim; None while they are not known here.
-    :ivar granted_keys: the last resumable keys that were granted here.
-    :ivar first_requests: key digest to the request that first asked with it.
-    :ivar unresponsive: cores that did not answer in time, and when that was seen.
+    :ivar claims: key digest to claim; None until they are fetched from the follower.
+    :ivar granted_keys: the most recent resumable keys granted here.
+    :ivar first_requests: key digest to the id of the first request that used the key.
+    :ivar unresponsive: cores that did not answer in time, and when that was detected.
     """
 
     __slots__ = (
@@ -76,12 +76,12 @@
     )
 
     def __init__(self, *, name: str, epoch: int, follower: str, owner: str, claims: dict[str, Claim] | None, claims_limit: int) -> None:
-        """:param claims: what is known from an earlier epoch, if nobody owned the shard in between."""
+        """:param claims: the claims kept from the previous epoch, if this daemon owned the shard in it; None otherwise."""
         self.name = name
         self.epoch = epoch
         self.follower = follower
         self.step = ShardStep.ADOPT if follower else ShardStep.COPY
-        self.claims = claims if follower else {}  # without a follower nothing was ever claimed
+        self.claims = claims if follower else {}  # a shard without a follower has never had a claim
         self.granted_keys = LRI(max_size=claims_limit)
         self.first_requests = LRI(max_size=claims_limit)
         self.unresponsive: dict[str, timedelta] = {}
@@ -91,32 +91,32 @@
         self._requested_at: timedelta | None = None
         self._copy_target = NO_CORE
         self._copy_number = 0
-        self._follower_process: str | None = None  # as last seen
-        self._attempt: tuple[ShardStep, str] | None = None  # the step and the copy's target, and since when they are the same
+        self._follower_process: str | None = None  # process id last seen in the membership
+        self._attempt: tuple[ShardStep, str] | None = None  # (step, copy target), to time how long they stay unchanged
         self._attempt_since = ZERO
 
     @property
     def is_open(self) -> bool:
-        """Whether requests may be claimed."""
+        """Whether keys may be claimed."""
         return self.step is ShardStep.OPEN
 
     @property
     def has_lost_claims(self) -> bool:
-        """Whether the claims are lost: the shard opens only with another epoch, or when its follower has them again."""
+        """Whether the claims are lost: the shard opens only under another epoch, or once its follower has the claims again."""
         return self.step is ShardStep.CLAIMS_LOST
 
     def claims_for(self, epoch: int) -> dict[str, Claim] | None:
-        """The claims, if they are still complete under this epoch: nobody owned the shard in between."""
+        """Return the claims if `epoch` directly follows this one, so that no other owner can have added any; None otherwise."""
         return self.claims if epoch == self.epoch + 1 else None
 
     # --- claims
 
     def claim_of(self, key_digest: str) -> Claim | None:
-        """The claim of a key, if it is known."""
+        """Return the claim of a key, or None if there is none or the claims are not loaded."""
         return self.claims.get(key_digest) if self.claims is not None else None
 
     def claim(self, key_digest: str, request_id: str) -> Send:
-        """Claim a key for a request, and ask the follower to sync that; the shard must be open."""
+        """Claim a key for a request, and return the message that has the follower sync the claim. The shard must be open."""
         assert self.claims is not None
         held = self.claims.get(key_digest)
         if held is None:
@@ -128,7 +128,7 @@
         return send(self.follower, ClaimRequest(self.name, self.epoch, request_id, key_digest, request_id, number))
 
     def set_claim_state(self, key_digest: str, request_id: str, state: str) -> list[Effect]:
-        """Change the state of a request's claim, or take it back (`ClaimState.FREE`)."""
+        """Change the state of a request's claim, or delete the claim (`ClaimState.FREE`), and notify the follower."""
         claim = self.claim_of(key_digest)
         if self.claims is None or claim is None or claim.request_id != request_id:
             return []
@@ -138,22 +138,22 @@
             self.claims[key_digest] = claim._replace(state=state)
         return [send(self.follower, ClaimStateUpdate(self.name, self.epoch, key_digest, request_id, state))]
 
-    # --- what puts the agreement with the follower in doubt
+    # --- events that invalidate the agreement with the follower
 
     def restart_adoption(self) -> None:
-        """Another daemon may own the shard by now, or the follower may have lost its disk: ask it again what it holds."""
+        """Fetch the follower's claims again: another daemon may own the shard by now, or the follower may have lost its disk."""
         if self.is_open:
             self._enter_step(ShardStep.ADOPT)
 
     def observe_follower_process(self, process_id: str | None) -> None:
-        """A follower in another process may have lost its disk (design 6.4)."""
+        """Restart adoption if the follower runs in another process than before: it may have lost its disk (design 6.4)."""
         if process_id is not None and process_id != self._follower_process:
             if self._follower_process is not None:
                 self.restart_adoption()
             self._follower_process = process_id
 
     def on_claim_refused(self, epoch: int, reason: str) -> None:
-        """The follower holds nothing of the shard, or follows another epoch."""
+        """Copy the claims to a follower that has none of this shard, or adopt again from one that follows another epoch."""
         if epoch != self.epoch:
             return
         if reason == RefusalReason.UNKNOWN_SHARD:
@@ -164,10 +164,10 @@
     def _enter_step(self, step: ShardStep) -> None:
         self.step, self._requested_at = step, None
 
-    # --- answers of the follower
+    # --- responses from the follower
 
     def on_adopted(self, sender: str, message: Adopted) -> list[LogRecord]:
-        """The follower's claims have come: the shard opens, unless the follower holds less than this owner."""
+        """Merge the follower's claims and open the shard; if the follower lacks claims that this owner has, copy them all first."""
         if message.epoch != self.epoch or sender != self.follower or self.step is not ShardStep.ADOPT:
             return []
         received = claims_from_rows(message.claims)
@@ -182,7 +182,7 @@
         return [log_record("shard-open", shard=self.name, epoch=self.epoch, claims=len(received))]
 
     def on_adoption_refused(self, sender: str, message: AdoptionRefused) -> list[LogRecord]:
-        """A follower without claims gets them from here; where they are not known either, the shard shuts."""
+        """Copy the claims to a follower that has none of this shard; if this owner has none either, the claims are lost."""
         if message.epoch != self.epoch or self.step is not ShardStep.ADOPT or message.reason != RefusalReason.UNKNOWN_SHARD:
             return []
         if self.claims is not None:
@@ -192,16 +192,16 @@
         return [log_record("claims-lost", shard=self.name, follower=sender)]
 
     def on_copied(self, sender: str, message: ClaimsCopied) -> None:
-        """The copy is synced: it adopts, if it is the follower already; else control is to name it."""
+        """Continue once the copy is synced: adopt if its target already is the follower, else have control assign it."""
         if message.epoch != self.epoch or self.step is not ShardStep.COPY:
             return
         if sender == self._copy_target and message.number == self._copy_number:
             self._enter_step(ShardStep.ADOPT if sender == self.follower else ShardStep.ASSIGN)
 
-    # --- time
+    # --- timer
 
     def advance(self, now: timedelta, cores: FollowerCandidates, tuning: Mapping[str, Any]) -> Send | FollowerAssignment | None:
-        """Do what the present step needs: ask the follower, copy the claims, or have control name another follower."""
+        """Return what the current step needs now: a message to the follower or copy target, an assignment for control, or None."""
         self._note_unresponsive(now, tuning)
         is_live = self.follower in cores.live
         is_unfit = self.follower in self.unresponsive or self.follower in cores.same_zone
@@ -222,7 +222,7 @@
         return None
 
     def _note_unresponsive(self, now: timedelta, tuning: Mapping[str, Any]) -> None:
-        """Note the core that has let this owner wait for too long, and forget those that did so long ago."""
+        """Record the core that has not answered within `claim_wait`, and drop records that have expired."""
         attempt = (self.step, self._copy_target)
         if self._attempt != attempt:
             self._attempt, self._attempt_since = attempt, now
@@ -236,7 +236,7 @@
             self.unresponsive = {core: seen_at for core, seen_at in self.unresponsive.items() if now - seen_at < kept_for}
 
     def _change_step(self, must_replace: bool, now: timedelta, tuning: Mapping[str, Any]) -> None:
-        """Replace the follower where that must and can be; a shard that is shut tries again when its follower is back."""
+        """Begin to replace the follower if needed and possible; retry adoption of lost claims once the follower is live again."""
         is_agreed = self.step in (ShardStep.OPEN, ShardStep.ADOPT)
         if is_agreed and self.follower and must_replace and self.claims is not None:
             self._enter_step(ShardStep.COPY)
--- a/silverglade/tenant_shards/shard_roles.py
+++ b/silverglade/tenant_shards/shard_roles.py
@@ -1,4 +1,4 @@
-"""Who owns and follows which shard (design 5.6, 6), as control has it: key "duty/shard/TENANT" of the store."""
+"""Owner and follower of each shard (design 5.6, 6) as assigned by control: key "duty/shard/TENANT" of the store."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from ..control.replicated_state import value_of
 
 Store = Mapping[str, tuple[Any, Any]]
-"""What control has acknowledged: key to (version, value)."""
+"""The state acknowledged by control: key to (version, value)."""
 
 SHARD_ROLE_KEY = "duty/shard/"
-"""Prefix of the store's keys that name owners and followers."""
+"""Prefix of the store keys that hold shard roles."""
 
 HIGHEST_DROPPED_EPOCH_KEY = "floor/shard"
-"""Key of the highest epoch of all shards that nobody needs any more."""
+"""Store key of the highest epoch among all dropped shards."""
 
 
 class ShardRole(NamedTuple):
-    """The owner and the follower ("" for none) of a shard in one epoch."""
+    """Owner and follower of a shard in one epoch; "" stands for no daemon."""
 
     epoch: int
     owner: str
@@ -26,22 +26,22 @@
 
 
 def shard_role(store: Store, shard: str) -> ShardRole | None:
-    """The role of a shard, or None."""
+    """Return the role of a shard, or None."""
     role = value_of(store, SHARD_ROLE_KEY + shard)
     return ShardRole(*role) if role else None
 
 
 def shard_roles(store: Store) -> Iterator[tuple[str, ShardRole]]:
-    """Every shard with its role, in the order of the store."""
+    """Yield every shard with its role, in the order of the store."""
     for key, (_, role) in store.items():
         if key.startswith(SHARD_ROLE_KEY) and role:
             yield key[len(SHARD_ROLE_KEY) :], ShardRole(*role)
 
 
 def is_followed_elsewhere(store: Store, shard: str, *, epoch: int, own_name: str) -> bool:
-    """Whether the shard is followed by another daemon under a later epoch, or was dropped for good (design 6.3).
+    """Whether another daemon follows the shard under a later epoch, or the shard was dropped permanently (design 6.3).
 
-    Whoever follows it was given every claim before it was named.
+    A new follower receives every claim before it is assigned, so the claims held here may then be deleted.
     """
     role = shard_role(store, shard)
     if role is not None:
