--- a/silverglade/replicas/__init__.py
+++ b/silverglade/replicas/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants' replicas (design 7): what they declared, how they do, who may use their slots."""
+"""Tenants' replicas (design 7): their registration, their health, and leases of their slots."""
--- a/silverglade/replicas/candidate_selection.py
+++ b/silverglade/replicas/candidate_selection.py
@@ -1,4 +1,4 @@
-"""Which replicas a tenant's request may go to, in order of preference (design 7.2)."""
+"""Selection of the replicas that may run a tenant's request, in order of preference (design 7.2)."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Candidates(NamedTuple):
-    """Ids of replicas, the preferred ones first.
+    """Replica ids in order of preference.
 
     :ivar home: in the region of the tenant's first home.
     :ivar elsewhere: in the regions of its other homes.
@@ -35,10 +35,10 @@
     drained_zones: Collection[str],
     own_leases: Mapping[str, int],
 ) -> Candidates:
-    """Select the replicas that may get a request of this tenant and kind.
+    """Select the replicas that may run a request of this tenant and kind.
 
-    :param prefix: the prompt prefix that it declares; empty for none.
-    :param own_leases: how many leases this daemon holds of each replica; a status may not show them yet.
+    :param prefix: the prompt prefix that the request declares; empty for none.
+    :param own_leases: number of leases that this daemon holds of each replica, since a status may not include them yet.
     """
     homes = [zone for zone in homes_of_tenant(configuration, tenant) if zone in configuration["zones"]]
     if not homes:
@@ -63,7 +63,7 @@
 
 
 class _Candidate(NamedTuple):
-    """A usable replica. load: its leases, by its status or by our own count."""
+    """A usable replica; `load` is the number of its leases, by its status or this daemon's own count, whichever is higher."""
 
     name: str
     entry: ReplicaEntry
@@ -72,7 +72,10 @@
 
 
 def _ranked(candidates: list[_Candidate], *, tenant: str, prefix: str, hot_factor: float) -> list[str]:
-    """The ids of a region's candidates: those with far more than the mean load last; then by prefix, or by load."""
+    """Return the ids of a region's candidates in order of preference: by prefix affinity if there is a prefix, else by load.
+
+    Replicas with a load far above the mean, or without a free slot, come last.
+    """
     mean_load = (sum([candidate.load for candidate in candidates]) + 1) / max(1, len(candidates))
     hot_load = max(1, hot_factor * mean_load)
 
--- a/silverglade/replicas/records.py
+++ b/silverglade/replicas/records.py
@@ -1,6 +1,6 @@
 """Records of tenants' replicas (design 7.1): what a replica declared, and what health checks measured.
 
-Both travel as soft state, as arrays of their fields in the order given here; a later program may append fields.
+Both are sent as soft state, as arrays of their fields in the order given here; later versions may append fields.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 
 class ReplicaState(StrEnum):
-    """What a health check said of a replica. Statuses hold the plain value."""
+    """State of a replica according to its health checks. Statuses hold the plain string."""
 
     READY = "ready"
     STARTING = "starting"
     LEAVING = "leaving"
-    UNRESPONSIVE = "dark"  # it answers no health check
+    UNRESPONSIVE = "dark"  # answers no health check
 
 
 READY: str = ReplicaState.READY.value
-"""The plain value that statuses hold, for loops over all replicas: reading a member of an enum takes its time."""
+"""The plain string that statuses hold, for loops over all replicas: looking up an enum member is slow."""
 
 
 def _matches(row: Any, types: tuple[type, ...]) -> bool:
-    """Whether a row from the network begins with fields of exactly these types."""
+    """Whether a row received from the network begins with fields of exactly these types."""
     return isinstance(row, tuple) and len(row) >= len(types) and all(type(value) is kind for value, kind in zip(row, types))
 
 
@@ -32,14 +32,14 @@
     """What a replica declared when it registered.
 
     :ivar name: the replica's id, unique in the fleet.
-    :ivar incarnation: raised at each start of the replica.
-    :ivar heartbeat: number of the record within the incarnation.
+    :ivar incarnation: incremented at each start of the replica.
+    :ivar heartbeat: sequence number of the record within the incarnation.
     :ivar address: HOST:PORT.
-    :ivar kind: which requests it serves.
+    :ivar kind: the kind of requests that it serves.
     :ivar homes: zones whose tenants it serves.
     :ivar prefixes: prompt prefixes that it keeps in its cache.
-    :ivar slots: requests that it runs at once.
-    :ivar is_leaving: it takes nothing new; never taken back within an incarnation.
+    :ivar slots: number of requests that it runs concurrently.
+    :ivar is_leaving: whether it accepts no new work; never reset within an incarnation.
     """
 
     name: str
@@ -55,25 +55,25 @@
 
     @classmethod
     def of(cls, row: tuple[Any, ...]) -> ReplicaRecord:
-        """A record from its array; fields of a later program are dropped."""
+        """Return the record in an array; fields appended by later versions are dropped."""
         return row if isinstance(row, cls) else cls(*row[: len(cls._fields)])
 
     @classmethod
     def parse(cls, row: Any) -> ReplicaRecord | None:
-        """A record from a row of soft state, or None for one that is not well formed."""
+        """Return the record in a row of soft state, or None if the row is malformed."""
         return cls.of(row) if _matches(row, _RECORD_TYPES) else None
 
     @property
     def version(self) -> tuple[int, int]:
-        """(incarnation, heartbeat): the record with the higher one is the newer."""
+        """(incarnation, heartbeat): the record with the higher version is newer."""
         return self.incarnation, self.heartbeat
 
     def as_leaving(self) -> ReplicaRecord:
-        """The same record, of a replica that takes nothing new."""
+        """Return a copy of the record with `is_leaving` set."""
         return self._replace(is_leaving=True)
 
     def differs_from(self, other: ReplicaRecord) -> bool:
-        """Whether anything but the heartbeat differs."""
+        """Whether any field but the heartbeat differs."""
         return self._replace(heartbeat=0) != other._replace(heartbeat=0)
 
 
@@ -84,15 +84,15 @@
     """What the holder of a replica's slot leases measured.
 
     :ivar name: the replica's id.
-    :ivar incarnation: of the replica.
-    :ivar lease_epoch: epoch of the holder of the slot leases.
-    :ivar sequence: of the status within the epoch.
+    :ivar incarnation: incarnation of the replica.
+    :ivar lease_epoch: epoch of the lease holder.
+    :ivar sequence: sequence number of the status within the epoch.
     :ivar state: a `ReplicaState` value, as a plain string.
-    :ivar use: share of the replica's time that is used, 0 to 1.
-    :ivar served: requests a second.
-    :ivar running: requests that run.
-    :ivar capacity: slots that may be leased.
-    :ivar used: slots that are leased.
+    :ivar use: utilization of the replica, 0 to 1.
+    :ivar served: requests served per second.
+    :ivar running: number of requests in progress.
+    :ivar capacity: number of slots that may be leased.
+    :ivar used: number of slots that count as used.
     """
 
     name: str
@@ -108,17 +108,17 @@
 
     @classmethod
     def of(cls, row: tuple[Any, ...]) -> ReplicaStatus:
-        """A status from its array; fields of a later program are dropped."""
+        """Return the status in an array; fields appended by later versions are dropped."""
         return row if isinstance(row, cls) else cls(*row[: len(cls._fields)])
 
     @classmethod
     def parse(cls, row: Any) -> ReplicaStatus | None:
-        """A status from a row of soft state, or None for one that is not well formed."""
+        """Return the status in a row of soft state, or None if the row is malformed."""
         return cls.of(row) if _matches(row, _STATUS_TYPES) else None
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """(incarnation, lease epoch, sequence): the status with the higher one is the newer."""
+        """(incarnation, lease epoch, sequence): the status with the higher rank is newer."""
         return self.incarnation, self.lease_epoch, self.sequence
 
 
@@ -126,7 +126,7 @@
 
 
 class ReplicaEntry(NamedTuple):
-    """All that a daemon knows of a replica: what it declared, its status if known, and when that was heard."""
+    """A replica's record, its status if known, and the time of the last evidence that the status is current."""
 
     record: ReplicaRecord
     status: ReplicaStatus | None
@@ -134,7 +134,7 @@
 
     @classmethod
     def of(cls, entry: tuple[Any, ...]) -> ReplicaEntry:
-        """An entry from a tuple of arrays."""
+        """Return an entry from a tuple (record, status, last contact) of arrays."""
         if isinstance(entry, cls):
             return entry
         record, status, last_contact_at = entry
--- a/silverglade/replicas/registry.py
+++ b/silverglade/replicas/registry.py
@@ -1,6 +1,7 @@
-"""What replicas declared and what health checks measured (design 7.1), known to every daemon.
+"""The replica registry (design 7.1): at each daemon, the records and statuses of all tenants' replicas.
 
-Both merge monotonically (replica_table.py) and travel as soft state (design 4.1): kinds "replica", "mark" and "status".
+They are merged monotonically (replica_table.py) and distributed as soft state (design 4.1) of the kinds "replica", "mark" and
+"status".
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 from .replica_table import ReplicaTable
 from .status_publisher import StatusPublisher
 
-# positions in records and statuses, for packages that still read them so
+# positions of fields in the rows of records and statuses
 INC, ADDR, ZONE, KIND, HOMES, PREFIXES, SLOTS, LEAVING = 1, 3, 4, 5, 6, 7, 8, 9
 S_STATE, S_USE, S_RUNNING, S_CAP, S_USED = 4, 5, 7, 8, 9
 
@@ -41,13 +42,13 @@
 """Kinds of soft state."""
 
 DRAINED_ZONE_KEY = "evac/"
-"""Prefix of the store's keys that say whether a zone is drained."""
+"""Prefix of the store keys that hold whether a zone is drained."""
 
-ANNOUNCED_BY_PEER = "heard"
-"""Why a replica counts as leaving: another daemon has published that."""
+ANNOUNCED_BY_PEER = "announced by another daemon"
+"""Why a replica counts as leaving: another daemon has published it."""
 
 TOMBSTONE_RANK = 1
-"""Appended to a row's rank, so that its tombstone wins over it."""
+"""Appended to the rank of a row to give the rank of its tombstone, which then supersedes the row."""
 
 ANNOTATIONS = validation.record(
     {
@@ -64,13 +65,13 @@
 
 
 MAY_CHANGE_RECORDS = (TimerFired, SoftStateChanged, ReplicaStatusMeasured, ApiCall)
-"""Events after which other replicas may be registered than before."""
+"""Events that may change the set of registered replicas or their zones."""
 
 
 class ReplicaRegistry:
     """Component "replica_registry": broadcasts all replicas and their zones when they change.
 
-    :ivar table: what is known of all replicas.
+    :ivar table: merged records and statuses of all replicas.
     """
 
     handled_events: ClassVar[tuple[type[Event], ...]] = (
@@ -89,7 +90,7 @@
         self._tuning = tuning
         self._statuses = StatusPublisher(tuning)
         self._effects: list[Effect] = []
-        self._replicas_changed = True  # not broadcast yet
+        self._replicas_changed = True  # there are changes to broadcast
         self._zones_broadcast: tuple[tuple[str, str], ...] | None = None
         self._next_check = ZERO
         self._last_check = ZERO
@@ -99,7 +100,7 @@
         self._configured_zones: set[str] = set()
 
     def step(self, now: timedelta, event: Event) -> list[Effect]:
-        """Handle one event and return the effects in their order."""
+        """Handle one event and return its effects in order."""
         self._effects = []
         self._on_event(event, now)
         if self._replicas_changed:
@@ -127,7 +128,7 @@
             case ApiCall():
                 self._on_call(event, now)
 
-    # --- time
+    # --- timer
 
     def _on_timer(self, now: timedelta) -> None:
         if now >= self._next_check:
@@ -138,8 +139,11 @@
         self._effects.append(WakeAt(self._next_check))
 
     def _forget_unrenewed(self, now: timedelta) -> None:
-        """A replica that was not renewed for long leaves no record; after as long again nothing at all."""
-        if now - self._last_check > self._tuning["late"]:  # paused, or the clock leapt: nothing was heard meanwhile
+        """Drop replicas not renewed for the `forget` time, and all memory of them after the same time again.
+
+        Cores publish tombstones for the rows of a dropped replica.
+        """
+        if now - self._last_check > self._tuning["late"]:  # the process was paused or the clock jumped: renewals were missed meanwhile
             self.table.renew_all(now)
         self._last_check = now
         for name in self.table.not_renewed_for(self._tuning["forget"], now):
@@ -155,7 +159,10 @@
         self.table.drop_forgotten_before(now - self._tuning["forget"])
 
     def _refresh_contact_times(self) -> None:
-        """While its lease holder lives and says nothing else, a replica is heard of; as of the proof held here, no later."""
+        """Refresh the contact time of each replica whose lease holder is live and has published no other status.
+
+        Statuses are published only when they change. The contact time is that of the last proof held here, never later.
+        """
         if self._proved_at is None:
             return
         for name, status in self.table.statuses.items():
@@ -169,7 +176,7 @@
             ):
                 self.table.last_contact_at[name] = max(self.table.last_contact_at.get(name, self._proved_at), self._proved_at)
 
-    # --- rows of other daemons, and statuses measured here
+    # --- rows from other daemons, and statuses measured here
 
     def _on_soft_state(self, event: SoftStateChanged, now: timedelta) -> None:
         if event.kind == LEAVING_ROWS:
@@ -193,11 +200,11 @@
         if self._statuses.is_due(status, live_daemons=len(self._live_daemons), now=now):
             self._publish(STATUS_ROWS, status.name, status.rank, tuple(status))
         if status.state == ReplicaState.LEAVING:
-            self._replicas_changed |= self._mark_leaving(status.name, status.incarnation, "said so when probed", now)
+            self._replicas_changed |= self._mark_leaving(status.name, status.incarnation, "reported by a health check", now)
         self._broadcast_replicas()
 
     def _mark_leaving(self, name: str, incarnation: int, why: str, now: timedelta) -> bool:
-        """Note that a replica leaves, and tell the other daemons, unless they said it; whether that is new."""
+        """Mark a replica as leaving and publish that, unless it came from another daemon; return whether it is new."""
         if not self.table.mark_leaving(name, incarnation, now):
             return False
         if why != ANNOUNCED_BY_PEER:
@@ -205,7 +212,7 @@
         self._effects.append(log_record("replica-leaving", replica=name, incarnation=incarnation, why=why))
         return True
 
-    # --- calls
+    # --- API calls
 
     def _on_call(self, call: ApiCall, now: timedelta) -> None:
         match call.operation, call.arguments:
@@ -217,7 +224,7 @@
                 self._on_platform_report(call.call_id, rows, now)
 
     def _register(self, call_id: str, name: str, annotations: Any, now: timedelta) -> None:
-        """A replica registers, or renews its registration."""
+        """Register a replica, or renew its registration."""
         declared, faults = validation.validate(ANNOTATIONS, annotations)
         if faults:
             detail = "; ".join(f"{path}: {sentence}" for path, sentence in faults)
@@ -254,7 +261,7 @@
             )
 
     def _refusal(self, call_id: str, name: str, declared: Mapping[str, Any]) -> Reply | None:
-        """Why a replica may not register with what it declares, or None."""
+        """Return the reply that refuses a registration, or None if it is acceptable."""
         if self._configured_zones and declared["zone"] not in self._configured_zones:
             return Reply(call_id, result_codes.BAD_ANNOTATION, {"detail": f"zone: unknown zone {declared['zone']}"})
         old = self.table.records.get(name)
@@ -267,24 +274,24 @@
         return None
 
     def _is_renewal_due(self, name: str, now: timedelta) -> bool:
-        """A renewal that changes nothing is published only once in a while."""
+        """Whether an unchanged registration must be published again: a quarter of the `forget` time has passed."""
         renewed_at = self.table.renewed_at.get(name, now)
         return bool(now - renewed_at > self._tuning["forget"] / 4)
 
     def _deregister(self, call_id: str, name: str, now: timedelta) -> None:
-        """A replica says that it leaves."""
+        """Mark a replica as leaving at its own request."""
         record = self.table.records.get(name)
         if record is not None:
-            self._replicas_changed |= self._mark_leaving(name, record.incarnation, "signed off", now)
+            self._replicas_changed |= self._mark_leaving(name, record.incarnation, "requested by the replica", now)
         self._effects.append(Reply(call_id, result_codes.OK if record is not None else result_codes.NOT_FOUND, {}))
 
     def _on_platform_report(self, call_id: str, rows: Iterable[tuple[str, int | None, bool]], now: timedelta) -> None:
-        """The platform says of replicas whether they leave. It may not count incarnations: the present one is meant then."""
+        """Mark the replicas that the platform reports as leaving. Without an incarnation, the current one is meant."""
         for name, incarnation, is_leaving in rows:
             if incarnation is None and name in self.table.records:
                 incarnation = self.table.records[name].incarnation
             if is_leaving and incarnation is not None:
-                self._replicas_changed |= self._mark_leaving(name, incarnation, "marked by the platform", now)
+                self._replicas_changed |= self._mark_leaving(name, incarnation, "reported by the platform", now)
         self._effects.append(Reply(call_id, result_codes.OK, {"known": sorted(self.table.records)}))
 
     # --- effects
@@ -314,10 +321,10 @@
     homes: Collection[str] | None = None,
     kind: str | None = None,
 ) -> bool:
-    """Whether this replica may get new work now (design 7.2); checked at selection and again before sending.
+    """Whether this replica may get new work now (design 7.2); checked at selection and again before dispatch.
 
     :param homes: the zones where the work may run; None for any.
-    :param kind: which requests it must serve; None for any.
+    :param kind: the kind of requests that it must serve; None for any.
     """
     record, status, last_contact_at = entry
     return (
@@ -333,5 +340,5 @@
 
 
 def evacuated_zones(store: Store) -> set[str]:
-    """The zones that an operator has drained: nothing new is started there."""
+    """Return the zones that an operator has drained: no new work is started there."""
     return {key[len(DRAINED_ZONE_KEY) :] for key, (_, on) in store.items() if key.startswith(DRAINED_ZONE_KEY) and on}
--- a/silverglade/replicas/replica_table.py
+++ b/silverglade/replicas/replica_table.py
@@ -1,6 +1,6 @@
-"""The merged knowledge of all replicas (design 7.1): records, statuses, marks of those that leave, and who was forgotten.
+"""The merged table of all replicas (design 7.1): records, statuses, leaving marks and forgotten replicas.
 
-Every merge is monotonic, so daemons that hear the same rows in any order agree. Leaving is never taken back within an incarnation.
+Every merge is monotonic, so daemons that receive the same rows in any order agree. Leaving is never reset within an incarnation.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from .records import ReplicaEntry, ReplicaRecord, ReplicaStatus
 
 ANY_HEARTBEAT = 1 << 62
-"""Above the heartbeat of every record: of a replica that was forgotten while only its mark was known."""
+"""Above the heartbeat of every record: for a replica that was forgotten while only its leaving mark was known."""
 
 
 class ForgottenReplica(NamedTuple):
     """A replica whose record was dropped.
 
-    :ivar version: the newest (incarnation, heartbeat) that was known.
+    :ivar version: the newest known (incarnation, heartbeat).
     :ivar forgotten_at: when it was dropped.
     :ivar was_leaving: whether that incarnation was leaving.
     """
@@ -28,14 +28,14 @@
 
 
 class ReplicaTable:
-    """What one daemon knows of all replicas.
-
-    :ivar records: what replicas declared, by id.
-    :ivar statuses: the newest status of each.
-    :ivar last_contact_at: when a replica was last heard of.
-    :ivar leaving_incarnations: id to the newest incarnation that is known to leave.
-    :ivar renewed_at: when a replica's record or mark last became newer.
-    :ivar forgotten: replicas that were dropped, kept for as long again.
+    """One daemon's table of all replicas; each field is keyed by replica id.
+
+    :ivar records: what replicas declared.
+    :ivar statuses: the newest known status.
+    :ivar last_contact_at: time of the last evidence that the status is current.
+    :ivar leaving_incarnations: the newest incarnation known to be leaving.
+    :ivar renewed_at: when the record last became newer, or the leaving mark became known.
+    :ivar forgotten: replicas that were dropped, kept for another `forget` time so that outdated rows do not readmit them.
     """
 
     __slots__ = ("records", "statuses", "last_contact_at", "leaving_incarnations", "renewed_at", "forgotten")
@@ -60,7 +60,7 @@
         if old is None or record.version > old.version:
             self.renewed_at[name] = now
         if self.leaving_incarnations.get(name, 0) >= record.incarnation:
-            record = record.as_leaving()  # it was marked before it was known here
+            record = record.as_leaving()  # the leaving mark arrived before the record
         if old is not None and record.incarnation == old.incarnation and (record.is_leaving or old.is_leaving):
             record = record.as_leaving()
             old_leaving = old.as_leaving()
@@ -73,7 +73,10 @@
         return old is None or record.differs_from(old)
 
     def _readmit(self, record: ReplicaRecord) -> bool:
-        """Take a forgotten replica up again, unless the record is one that was forgotten here and not yet elsewhere."""
+        """Readmit a forgotten replica, unless the record is an outdated one that other daemons have not forgotten yet.
+
+        :returns: whether it was readmitted.
+        """
         forgotten = self.forgotten[record.name]
         if record.version <= forgotten.version:
             return False
@@ -95,7 +98,7 @@
         return old is None or old.state != status.state
 
     def mark_leaving(self, name: str, incarnation: int, now: timedelta) -> bool:
-        """Note that an incarnation of a replica leaves.
+        """Mark an incarnation of a replica as leaving.
 
         :returns: whether that was not known before.
         """
@@ -111,25 +114,25 @@
         return True
 
     def known_version(self, name: str) -> tuple[int, int] | None:
-        """The newest (incarnation, heartbeat) known of a replica, also of one that was forgotten; None for a new name."""
+        """Return the newest known (incarnation, heartbeat) of a replica, even a forgotten one; None for an unknown name."""
         record = self.records.get(name)
         if record is not None:
             return record.version
         return self.forgotten[name].version if name in self.forgotten else None
 
     def renew_all(self, now: timedelta) -> None:
-        """Count every replica as renewed now."""
+        """Treat every replica as renewed now."""
         for name in self.renewed_at:
             self.renewed_at[name] = now
 
     def not_renewed_for(self, duration: timedelta, now: timedelta) -> list[str]:
-        """The replicas whose record was not renewed for longer than that."""
+        """Return the replicas that were not renewed for longer than `duration`."""
         return [name for name, renewed_at in self.renewed_at.items() if now - renewed_at > duration]
 
     def forget(self, name: str, now: timedelta) -> tuple[ForgottenReplica, ReplicaStatus | None]:
-        """Drop all that is known of a replica, but that it was forgotten.
+        """Remove a replica, keeping only a note in `forgotten`.
 
-        :returns: what is kept of it, and its last status.
+        :returns: that note, and the replica's last status.
         """
         record = self.records.pop(name, None)
         if record is not None:
@@ -142,13 +145,13 @@
         self.renewed_at.pop(name, None)
         return forgotten, self.statuses.pop(name, None)
 
-    def drop_forgotten_before(self, time: timedelta) -> None:
-        """Keep nothing at all of replicas that were forgotten before that time."""
-        for name in [name for name, forgotten in self.forgotten.items() if forgotten.forgotten_at < time]:
+    def drop_forgotten_before(self, cutoff: timedelta) -> None:
+        """Remove the notes of replicas that were forgotten before the cutoff."""
+        for name in [name for name, forgotten in self.forgotten.items() if forgotten.forgotten_at < cutoff]:
             del self.forgotten[name]
 
     def entries(self) -> dict[str, ReplicaEntry]:
-        """Every registered replica with its status, if that is of the same incarnation."""
+        """Return an entry for every registered replica, with its status if that is of the same incarnation."""
         return {
             name: ReplicaEntry(record, self._current_status(record), self.last_contact_at.get(name))
             for name, record in self.records.items()
--- a/silverglade/replicas/slot_leases.py
+++ b/silverglade/replicas/slot_leases.py
@@ -1,4 +1,4 @@
-"""Slot leases (design 7.3): one lease holder a replica hands out its slots, under an epoch."""
+"""Slot leases (design 7.3): each replica has one lease holder, which leases out its slots under an epoch."""
 
 from __future__ import annotations
 
@@ -38,16 +38,16 @@
 from .replica_slots import ReplicaSlots, SlotLease, WaitingTenant, parse_report
 
 WAITING_SETTLE_FACTOR = 2
-"""A tenant waits for so many times the `settle` time after it asked."""
+"""A tenant counts as waiting for this multiple of the `settle` time after its last request."""
 
 NOT_THE_HOLDER, NO_FREE_SLOT = "moved", "full"
-"""Why a lease is denied."""
+"""Reasons for which a lease is denied."""
 
 
 class SlotLeases:
     """Component "slot_leases": the leases of all replicas whose lease holder this daemon is.
 
-    :ivar slots: replica id to its slots.
+    :ivar slots: slots by replica id.
     """
 
     handled_events: ClassVar[tuple[type[Event], ...]] = (
@@ -67,13 +67,13 @@
         self._tuning = tuning
         self._effects: list[Effect] = []
         self._replicas: Mapping[str, ReplicaEntry] = {}
-        self._own_epochs: dict[str, int] = {}  # of the replicas whose holder this daemon is to be
+        self._own_epochs: dict[str, int] = {}  # by replica: the epochs under which this daemon is assigned as lease holder
         self._drained_zones: set[str] = set()
         self._live_daemons: set[str] = set()
         self._proved_at: timedelta | None = None
 
     def step(self, now: timedelta, event: Event) -> list[Effect]:
-        """Handle one event and return the effects in their order."""
+        """Handle one event and return its effects in order."""
         self._effects = []
         match event:
             case MessageReceived():
@@ -88,7 +88,7 @@
                 self._replicas = event.replicas  # type: ignore[assignment]  # the registry broadcasts entries
                 self._apply_assignments(now)
             case ProcessPaused():
-                self.slots.clear()  # leases may have ended and been handed out elsewhere meanwhile
+                self.slots.clear()  # meanwhile leases may have ended and another holder may have leased the slots
                 self._apply_assignments(now)
             case TimerFired():
                 self._on_timer(now)
@@ -96,7 +96,7 @@
                 self._on_probed(event, now)
         return self._effects
 
-    # --- which replicas are ours
+    # --- assignments
 
     def _on_store_updated(self, event: StoreUpdated, now: timedelta) -> None:
         self._drained_zones = evacuated_zones(event.store)
@@ -104,7 +104,7 @@
         self._apply_assignments(now)
 
     def _apply_assignments(self, now: timedelta) -> None:
-        """Begin with the replicas that control assigned to this daemon, and end with those it did not."""
+        """Start managing the replicas assigned to this daemon, and stop managing those that no longer are."""
         wanted = {name: epoch for name, epoch in self._own_epochs.items() if name in self._replicas}
         for name in [name for name in self.slots if name not in wanted]:
             del self.slots[name]
@@ -116,7 +116,7 @@
             slots.epoch = epoch
             slots.resume_sequence(status)
 
-    # --- time and health checks
+    # --- timer and health checks
 
     def _on_timer(self, now: timedelta) -> None:
         for name, slots in self.slots.items():
@@ -179,7 +179,7 @@
             self._effects.append(send(sender, LeaseDenied(lease_id, name, NO_FREE_SLOT)))
 
     def _on_renewal(self, sender: str, renewal: LeaseRenewal, now: timedelta) -> None:
-        """An owner names the leases that it holds; a new lease holder so learns which are out."""
+        """Renew the leases that an owner holds; a new lease holder learns of them in this way."""
         slots = self.slots.get(renewal.replica)
         if slots is not None and renewal.epoch == slots.epoch:
             for lease_id, tenant in renewal.leases:
@@ -197,11 +197,11 @@
         slots.leases[lease_id] = SlotLease(owner, tenant, now + self._tuning["lease"])
 
     def _free_slots(self, name: str, slots: ReplicaSlots, now: timedelta) -> int:
-        """How many slots may be leased now."""
+        """Return how many slots may be leased now."""
         record = self._replicas[name].record
         if (
             slots.state != READY
-            or now - slots.opened_at < self._tuning["learn"]  # owners are heard first: which leases are out?
+            or now - slots.opened_at < self._tuning["learn"]  # wait for renewals, to learn of leases granted by the previous holder
             or record.is_leaving
             or record.zone in self._drained_zones
             or self._proved_at is None
@@ -211,12 +211,12 @@
         return max(0, min(slots.capacity, record.slots) - slots.used())
 
     def _is_fair(self, slots: ReplicaSlots, tenant: str, now: timedelta) -> bool:
-        """A tenant that holds more yields to one that waits with fewer."""
+        """Whether a tenant may be granted a slot: no waiting tenant holds fewer."""
         slots.drop_stale_waiting(now - self._tuning["settle"] * WAITING_SETTLE_FACTOR)
         return slots.is_fair_to_lease(tenant)
 
     def _offer_free_slots(self, name: str, slots: ReplicaSlots, now: timedelta) -> None:
-        """Offer free slots to the waiting tenants that hold least."""
+        """Offer free slots to the waiting tenants that hold the fewest."""
         while self._free_slots(name, slots, now) and slots.waiting:
             tenant = slots.neediest_tenant()
             waiting = slots.waiting.pop(tenant)
--- a/silverglade/replicas/status_publisher.py
+++ b/silverglade/replicas/status_publisher.py
@@ -1,4 +1,4 @@
-"""Which of the statuses that this daemon measured are published (design 7.1): when they change, and under load not each time."""
+"""Decides which of the statuses measured by this daemon are published (design 7.1): only changed ones, and at a limited rate."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from .records import ReplicaStatus
 
 INTERVAL_PER_DAEMON_MS = 10
-"""Milliseconds between two statuses of a replica, for each live daemon."""
+"""Minimum interval between two published statuses of a replica, per live daemon."""
 
 SERVED_TOLERANCE = 0.2
-"""By which part the rate of requests served must have changed."""
+"""Relative change of the rate of requests served that makes a status worth publishing."""
 
 
 def _rounded(status: ReplicaStatus) -> tuple[int, int, str, int, int, int, float]:
-    """What of a status is worth publishing, with its use in tenths."""
+    """Return the fields whose change makes a status worth publishing, with `use` rounded to tenths."""
     return (
         status.incarnation,
         status.lease_epoch,
@@ -30,7 +30,7 @@
 
 
 class StatusPublisher:
-    """Decides whether a status is published."""
+    """Remembers the last published status of each replica, and decides whether to publish the next."""
 
     __slots__ = ("_tuning", "_published")
 
@@ -39,7 +39,7 @@
         self._published: dict[str, tuple[ReplicaStatus, timedelta]] = {}
 
     def is_due(self, status: ReplicaStatus, *, live_daemons: int, now: timedelta) -> bool:
-        """Whether to publish this status; if so it counts as published."""
+        """Return whether to publish this status, and if so record it as published."""
         last, published_at = self._published.get(status.name, (None, now))
         if last is None or self._must_publish(last, status) or self._may_publish(last, status, now - published_at, live_daemons):
             self._published[status.name] = status, now
@@ -47,7 +47,7 @@
         return False
 
     def forget(self, replica: str) -> None:
-        """Drop what was published of a replica."""
+        """Remove the record of what was published for a replica."""
         self._published.pop(replica, None)
 
     def _must_publish(self, last: ReplicaStatus, status: ReplicaStatus) -> bool:
--- a/silverglade/tenant_requests/forwarding.py
+++ b/silverglade/tenant_requests/forwarding.py
@@ -127,12 +127,12 @@
 
 
 class ReceivedRequest(Record):
-    """A request that another daemon sent here.
+    """A request forwarded here by another daemon.
 
-    :ivar results: how many were sent back.
+    :ivar results_sent: number of results sent back.
     :ivar last_piece: number of the last piece sent back.
-    :ivar taken: pieces that the client has taken.
-    :ivar is_paused: the replica is not read on.
+    :ivar consumed: number of pieces that the client has consumed.
+    :ivar is_paused: whether reading from the replica is paused.
     """
 
     sender: str
--- a/silverglade/tenant_requests/messages.py
+++ b/silverglade/tenant_requests/messages.py
@@ -58,10 +58,10 @@
 class Grant(Record):
     """From the owner: the request may be sent to this replica.
 
-    :ivar incarnation: of the replica.
-    :ivar epoch: of the owner's role.
-    :ivar is_overflow: the replica is outside the tenant's first home.
-    :ivar key_was_known: the owner saw the key before.
+    :ivar incarnation: incarnation of the replica.
+    :ivar epoch: epoch of the owner's assignment.
+    :ivar is_overflow: whether the replica is outside the tenant's first home.
+    :ivar is_retry: whether the owner has seen the key before.
     """
 
     TAG: ClassVar[str] = "grant"
