--- a/silverglade/tenant_requests/request.py
+++ b/silverglade/tenant_requests/request.py
@@ -252,9 +252,9 @@
     def _request_grant(self, owner: ShardOwner, now: timedelta) -> None:
         facts = self._facts
         left_ms = max(1, to_milliseconds(self._deadline - now))
-        asked_facts = GrantRequestFacts(facts.class_name, facts.key, facts.prefix, left_ms, facts.client_attempt)
-        ask = GrantRequest(self._request_id, self._attempt, facts.tenant, owner.epoch, asked_facts)
-        self._effects.append(send(owner.name, ask))
+        grant_facts = GrantRequestFacts(facts.class_name, facts.key, facts.prefix, left_ms, facts.client_attempt)
+        grant_request = GrantRequest(self._request_id, self._attempt, facts.tenant, owner.epoch, grant_facts)
+        self._effects.append(send(owner.name, grant_request))
         self._record(now, f"asked {owner.name}")
         self._queried_owner = owner
         self._must_resend = False
@@ -266,9 +266,9 @@
         if self._queried_owner is not None:
             self._effects.append(send(self._queried_owner.name, RequestAbandoned(self._request_id)))
 
-    def _may_still_find_owner(self, now: timedelta, deny: Denial) -> bool:
+    def _may_still_find_owner(self, now: timedelta, denial: Denial) -> bool:
         """Whether the queried daemon knows no owner, and there is still time to find one."""
-        return deny.code == result_codes.NO_OWNER and now - self._seeking_since < self._tuning["owner_wait"]
+        return denial.code == result_codes.NO_OWNER and now - self._seeking_since < self._tuning["owner_wait"]
 
     def _on_grant(self, now: timedelta, grant: Grant) -> None:
         if grant.is_retry:
@@ -276,15 +276,15 @@
         self._context.overflow_count += bool(grant.is_overflow)
         self._dispatch(now, grant)
 
-    def _on_denial(self, now: timedelta, deny: Denial) -> None:
-        code, ran = deny.code, deny.ran
+    def _on_denial(self, now: timedelta, denial: Denial) -> None:
+        code, ran = denial.code, denial.ran
         if self._attempt == 1 and code in (result_codes.RETRY_BUDGET, result_codes.SEEN):
             self._retract_arrival()
         if code == result_codes.RETRY_BUDGET and self._attempt > 1:  # no further attempt is allowed: report the failure of the last one
             code, ran = self._last_failure
         if ran == RAN_UNKNOWN_TO_OWNER and code in (result_codes.UNKNOWN_CLASS, result_codes.STALE):
             ran = RAN_KEY_NOT_CHECKED
-        self._fail(now, code, ran, deny.retry_after_ms)
+        self._fail(now, code, ran, denial.retry_after_ms)
 
     def _retract_arrival(self) -> None:
         """Report to the scaler that the request was a retry, not an arrival: its owner knew the key (design 9.3)."""
--- a/tests/replicas/test_candidate_selection.py
+++ b/tests/replicas/test_candidate_selection.py
@@ -1,4 +1,4 @@
-"""Where an order goes (design 7.2, 7.4) and who waits for whom (7.3)."""
+"""Selection of replicas for a request (design 7.2, 7.4), and fairness of slot leases between tenants (7.3)."""
 
 from datetime import timedelta
 
@@ -17,45 +17,45 @@
 TUNING = tuning()
 
 
-def entry(name, zone, *, prefixes=(), used=0, homes=None, state="ready", leaving=False, kind="model", age=0):
+def entry(name, zone, *, prefixes=(), used=0, homes=None, state="ready", leaving=False, kind="model", age_s=0):
     return ReplicaEntry(
         record=ReplicaRecord(name, 1, 1, "a", zone, kind, tuple(homes or [zone]), tuple(prefixes), 4, leaving),
         status=ReplicaStatus(name, 1, 1, 1, state, 0.0, 0.0, 0, 4, used),
-        last_contact_at=10 * SEC - age * SEC,
+        last_contact_at=10 * SEC - age_s * SEC,
     )
 
 
-def selected(entries, prefix="", tenant="pair", evac=(), kind="model"):
+def selected(entries, prefix="", tenant="pair", drained_zones=(), kind="model"):
     return select_candidates(
-        replicas={e.record.name: e for e in entries},
+        replicas={replica.record.name: replica for replica in entries},
         configuration=hamlet()["config"],
         tenant=tenant,
         kind=kind,
         prefix=prefix,
         now=10 * SEC,
         tuning=TUNING,
-        drained_zones=set(evac),
+        drained_zones=set(drained_zones),
         own_leases={},
     )
 
 
-def test_the_home_region_comes_first_and_nothing_outside_the_homes_ever():
-    reps = [entry("n", "north"), entry("m", "middle"), entry("s", "south")]
-    assert selected(reps) == (["m"], ["s"])
-    assert selected(reps, tenant="lone") == (["n"], [])
+def test_home_region_is_preferred_and_replicas_outside_the_homes_are_never_selected():
+    replicas = [entry("n", "north"), entry("m", "middle"), entry("s", "south")]
+    assert selected(replicas) == (["m"], ["s"])
+    assert selected(replicas, tenant="lone") == (["n"], [])
     assert selected([entry("m", "middle", homes=["north"]), entry("s", "south", homes=["middle"])]) == ([], ["s"])
 
 
-@pytest.mark.parametrize("kw", [dict(leaving=True), dict(state="starting"), dict(state="dark"), dict(kind="accounts"), dict(age=4)])
-def test_a_replica_that_cannot_take_work_is_not_elected(kw):
-    assert selected([entry("m", "middle", **kw), entry("s", "south")]) == ([], ["s"])
-    assert selected([entry("m", "middle"), entry("s", "south")], evac=["middle"]) == ([], ["s"])
+@pytest.mark.parametrize("unusable", [dict(leaving=True), dict(state="starting"), dict(state="dark"), dict(kind="accounts"), dict(age_s=4)])
+def test_an_unusable_replica_is_not_selected(unusable):
+    assert selected([entry("m", "middle", **unusable), entry("s", "south")]) == ([], ["s"])
+    assert selected([entry("m", "middle"), entry("s", "south")], drained_zones=["middle"]) == ([], ["s"])
 
 
-def test_the_prefix_decides_until_its_replica_is_hot():
+def test_prefix_affinity_decides_until_the_preferred_replica_is_hot():
     ids = [f"m{i}" for i in range(4)]
     cold = selected([entry(i, "middle") for i in ids], prefix="rules")[0]
-    assert selected([entry(i, "middle") for i in reversed(ids)], prefix="rules")[0] == cold  # the same everywhere
+    assert selected([entry(i, "middle") for i in reversed(ids)], prefix="rules")[0] == cold  # independent of the order of the replicas
     assert {selected([entry(i, "middle") for i in ids], prefix=f"p{k}")[0][0] for k in range(40)} == set(ids)
     last = cold[-1]
     assert selected([entry(i, "middle", prefixes=["rules"] if i == last else []) for i in ids], prefix="rules")[0][0] == last
@@ -64,16 +64,16 @@
     assert hot[0] == cold[0] and hot[-1] == last
 
 
-def test_without_a_prefix_the_least_burdened_is_taken():
+def test_without_a_prefix_the_least_loaded_replica_is_preferred():
     assert selected([entry("a", "middle", used=3), entry("b", "middle", used=1), entry("c", "middle", used=2)])[0] == ["b", "c", "a"]
 
 
-def test_freed_slots_go_to_the_waiting_tenant_that_holds_least():
+def test_a_freed_slot_is_offered_to_the_waiting_tenant_that_holds_the_fewest():
     holder = MachineComponent(SlotLeases(own_name="h", tuning=TUNING))
     sent = []
 
     def send(seconds, *event):
-        """The kinds of the messages that the lease holder sends."""
+        """Return the kinds of the messages that the lease holder sends for an event."""
         messages = [effect for effect in holder.send((seconds * SEC, event)) if effect[0] == "send"]
         sent.extend(messages)
         return [body[0] for _, _, body in messages]
@@ -83,7 +83,7 @@
     send(0, "replicas", {"m": entry("m", "middle")})
     send(0, "roll", (("o",) + ("",) * 11, ("q",) + ("",) * 11))
     send(1, "probed", "m", 1, (1, "ready", 0.0, 0.0, 0, True))
-    assert send(1, "msg", "o", ("lease", "m", 1, "x", "loud")) == ["unleased"]  # it still listens
+    assert send(1, "msg", "o", ("lease", "m", 1, "x", "loud")) == ["unleased"]  # the lease holder still waits for renewals from owners
     assert [send(2, "msg", "o", ("lease", "m", 1, f"l{i}", "loud"))[0] for i in range(5)] == ["leased"] * 4 + ["unleased"]
     assert send(2, "msg", "q", ("lease", "m", 1, "k0", "quiet")) == ["unleased"]
     sent.clear()
@@ -93,51 +93,61 @@
     assert send(2.2, "msg", "o", ("lease", "m", 2, "z", "loud")) == ["unleased"]  # another epoch
 
 
-def test_a_crowd_at_one_tenant_leaves_another_served():
-    alone, lost = isolation("navrang", 1, False)
-    beside, lost2 = isolation("navrang", 1, True)
-    assert lost == lost2 == 0 and len(alone) == len(beside) == 40
-    assert max(beside) < 2 * max(alone)
+def test_overload_of_one_tenant_does_not_starve_another():
+    alone, lost_alone = isolation("navrang", 1, False)
+    under_load, lost_under_load = isolation("navrang", 1, True)
+    assert lost_alone == lost_under_load == 0 and len(alone) == len(under_load) == 40
+    assert max(under_load) < 2 * max(alone)
 
 
-def test_orders_spill_only_when_the_home_is_short_and_full():
-    def spills(pace):
-        s = Scene(town="hamlet", seed=2)
-        s.settle()
-        for i in range(int(40 * pace)):
-            s.w.after(i * SEC / (4 * pace), lambda: s.order(tenant="pair", cls="chat", at="edge-middle-0", retry=False))
-        s.w.run(12)
-        zones = {s.w.replicas[r].zone for _, r, _ in s.o.runs.values()}
-        assert s.o.faults == [] and len(s.o.runs) > 15
+def test_requests_overflow_only_when_the_home_region_is_short_of_replicas_and_full():
+    def overflows(load):
+        scene = Scene(town="hamlet", seed=2)
+        scene.settle()
+        for i in range(int(40 * load)):
+            scene.w.after(i * SEC / (4 * load), lambda: scene.order(tenant="pair", cls="chat", at="edge-middle-0", retry=False))
+        scene.w.run(12)
+        zones = {scene.w.replicas[replica].zone for _, replica, _ in scene.o.runs.values()}
+        assert scene.o.faults == [] and len(scene.o.runs) > 15
         return zones == {"middle", "south"}
 
-    assert not spills(0.5)
-    assert spills(8)
-
-
-def test_an_owner_in_a_zone_that_is_no_home_any_more_is_not_asked():
-    """Homes moved while the duty was not yet (navrang 2077): the ingress waits until it is."""
-    s = Scene(town="hamlet")
-    s.settle()
-    own = s.w.nodes["edge-middle-0"].store["duty/shard/pair"][1][1]
-    at = next(n for n in ("edge-middle-0", "edge-south-0") if n != own)
-    n, sent = s.w.nodes[at], []
-    ctx = n.tenant_context
-    assert ctx.is_in_home_zone(own, "pair") and not ctx.is_in_home_zone(own, "lone") and not ctx.is_in_home_zone("nobody", "pair")
-    here = s.w.nodes[own].zone
-    book = dict(ctx.store)
-    v, cfg = book["config"]
-    book["config"] = (
-        v,
+    assert not overflows(0.5)
+    assert overflows(8)
+
+
+def test_an_owner_outside_the_home_zones_is_not_queried():
+    """After a tenant's homes change, the shard's owner is reassigned later (simulation navrang, seed 2077).
+
+    Until then the ingress must neither query the old owner nor forward requests to it.
+    """
+    scene = Scene(town="hamlet")
+    scene.settle()
+    owner = scene.w.nodes["edge-middle-0"].store["duty/shard/pair"][1][1]
+    ingress = next(name for name in ("edge-middle-0", "edge-south-0") if name != owner)
+    node, sent = scene.w.nodes[ingress], []
+    context = node.tenant_context
+    assert (
+        context.is_in_home_zone(owner, "pair")
+        and not context.is_in_home_zone(owner, "lone")
+        and not context.is_in_home_zone("nobody", "pair")
+    )
+    owner_zone = scene.w.nodes[owner].zone
+    store = dict(context.store)
+    version, configuration = store["config"]
+    store["config"] = (
+        version,
         dict(
-            cfg,
+            configuration,
             tenants=dict(
-                cfg["tenants"], pair=dict(cfg["tenants"]["pair"], homes=tuple(z for z in ("middle", "south", "north") if z != here))
+                configuration["tenants"],
+                pair=dict(
+                    configuration["tenants"]["pair"], homes=tuple(zone for zone in ("middle", "south", "north") if zone != owner_zone)
+                ),
             ),
         ),
     )
-    ctx.set_store(book)
-    s.w.effect = lambda n, e: sent.append(e) if e[0] == "send" and e[2][0] in ("ask", "hand") else None
-    s.order(tenant="pair", cls="lookup", at=at, retry=False, old=0)
-    s.w.run(0.2)
-    assert [e for e in sent if e[1] == own] == []
+    context.set_store(store)
+    scene.w.effect = lambda node, effect: sent.append(effect) if effect[0] == "send" and effect[2][0] in ("ask", "hand") else None
+    scene.order(tenant="pair", cls="lookup", at=ingress, retry=False, old=0)
+    scene.w.run(0.2)
+    assert [effect for effect in sent if effect[1] == owner] == []
--- a/tests/tenant_requests/test_forwarding.py
+++ b/tests/tenant_requests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests that run at another daemon than the one where they came in (design 6.6)."""
+"""Requests that run at another daemon than the one that received them from the client (design 6.6)."""
 
 from datetime import timedelta
 
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def context():
-    """A daemon that knows one other, "home"."""
+    """The context of a daemon whose only other live member is "home"."""
     known = RequestContext(tuning=TUNING)
     known.set_members((("home", "l", 1, 1, "z", "m", "", "", False, "ready", (), ()),))
     return known
@@ -42,23 +42,23 @@
     return requests
 
 
-def test_results_are_passed_on_in_their_order_until_the_last(forwarded):
+def test_results_are_relayed_in_order_until_the_last(forwarded):
     assert forwarded.on_result("home", ForwardedResult("id", 1, "piece", (1, b"a"))) == ([TenantResult("id", "piece", (1, b"a"))], None)
     assert forwarded.on_result("other", ForwardedResult("id", 2, "done", (1,))) == ([], None)
     assert forwarded.on_result("home", ForwardedResult("id", 2, "done", (1,))) == ([TenantResult("id", "done", (1,))], None)
     assert "id" not in forwarded
 
 
-@pytest.mark.parametrize("pieces,told", [(0, (405, "maybe")), (1, (404, "yes"))])
-def test_a_gap_in_the_results_ends_the_request(forwarded, pieces, told):
+@pytest.mark.parametrize("pieces,reported", [(0, (405, "maybe")), (1, (404, "yes"))])
+def test_a_gap_in_the_results_ends_the_request(forwarded, pieces, reported):
     for number in range(1, pieces + 1):
         forwarded.on_result("home", ForwardedResult("id", number, "piece", (number, b"a")))
     effects, lost = forwarded.on_result("home", ForwardedResult("id", pieces + 2, "piece", (pieces + 2, b"a")))
     assert [effect.body for effect in effects] == [("left", "id")]
-    assert (lost.code, lost.ran) == told and "id" not in forwarded
+    assert (lost.code, lost.ran) == reported and "id" not in forwarded
 
 
-def test_a_request_is_given_up_when_it_is_overdue_or_its_daemon_is_gone(forwarded, context):
+def test_a_request_is_lost_when_it_is_overdue_or_its_daemon_is_not_live(forwarded, context):
     assert forwarded.expire(SECOND) == []
     [(request_id, effects, lost)] = forwarded.expire(SECOND + TUNING["settle"])
     assert (request_id, [effect.body for effect in effects], lost.code, lost.ran) == ("id", [("left", "id")], 403, "maybe")
@@ -68,7 +68,7 @@
     assert (request_id, effects, lost.code, lost.ran) == ("id", [], 405, "maybe")
 
 
-def test_the_replica_is_not_read_on_while_the_client_has_128_pieces_to_take(received):
+def test_reading_from_the_replica_is_paused_while_more_than_128_pieces_are_outstanding(received):
     sent = [effect for number in range(1, 140) for effect in received.send_back(piece_result("id", number, b"a"))]
     assert [(sent.index(effect), effect.read_on) for effect in sent if isinstance(effect, SetBackpressure)] == [(128, False)]
     assert received.on_pieces_consumed("other", PiecesConsumed("id", 139)) == []
@@ -76,7 +76,7 @@
     assert received.on_pieces_consumed("home", PiecesConsumed("id", 75)) == [SetBackpressure("id", True)]
 
 
-def test_a_request_whose_sender_is_gone_is_an_orphan(received, context):
+def test_a_request_whose_sender_is_not_live_is_orphaned(received, context):
     assert received.orphaned(10 * SECOND) == []
     context.set_members(())
     assert received.orphaned(TUNING["gone"]) == [] and received.orphaned(TUNING["gone"] + SECOND) == ["id"]
--- a/tests/tenant_requests/test_messages.py
+++ b/tests/tenant_requests/test_messages.py
@@ -1,4 +1,4 @@
-"""The arrays of an ingress's messages: what it sends passes the check of shapes, and what it receives becomes the right class."""
+"""Wire form of an ingress's messages: sent messages have valid shapes, received ones are decoded to the right class."""
 
 import pytest
 
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("message,body", SENT)
-def test_a_sent_message_travels_as_its_tag_and_its_fields(message, body):
+def test_a_sent_message_is_encoded_as_its_tag_and_its_fields(message, body):
     effect = send("to", message)
     assert (effect.to, effect.body) == ("to", body)
     assert is_valid_message(body) and body[0] == message.TAG
@@ -58,16 +58,16 @@
 @pytest.mark.parametrize(
     "message", [m for m, _ in SENT if isinstance(m, ForwardRequest | ForwardedResult | PiecesConsumed | RequestCancelled)]
 )
-def test_what_one_ingress_sends_another_decodes(message):
+def test_a_message_between_ingresses_is_decoded_to_itself(message):
     assert decode(message.to_body()) == message
 
 
 @pytest.mark.parametrize("body", [("ask", "id", 1, "t", 7, ()), ("fin", "id", 1, "done"), ("quit", "id"), ("alive", 1, 2)])
-def test_a_kind_for_others_is_not_decoded(body):
+def test_a_kind_that_an_ingress_does_not_receive_is_not_decoded(body):
     assert decode(body) is None
 
 
-def test_a_forwarded_head_is_admitted_as_the_client_sent_it():
+def test_a_forwarded_head_equals_the_head_that_the_client_sent():
     message = ForwardRequest("id", "b", "chat", "key", False, 300, "p", 2, b"x")
     assert message.head() == RequestHead("b", "chat", "key", "300", "p", "2")
     message.attempt = 0
--- a/tests/tenant_requests/test_request.py
+++ b/tests/tenant_requests/test_request.py
@@ -1,4 +1,4 @@
-"""One request at a daemon of its homes: attempts, and what its client is promised (design 6.5)."""
+"""A request at a daemon in its home zones: attempts, and the `ran` value reported to the client (design 6.5)."""
 
 from datetime import timedelta
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def context():
-    """A daemon with a recent proof, an owner and one usable replica."""
+    """The context of a daemon with a recent proof, a shard owner and one usable replica."""
     known = RequestContext(tuning=TUNING)
     known.set_store({"config": ((1, 1), {"tenants": {"t": {"homes": ("z",)}}}), "duty/shard/t": ((1, 1), (7, "owner", "f"))})
     known.set_members((MEMBER,))
@@ -38,7 +38,7 @@
 
 
 class Client:
-    """A request that is driven by hand, and what its client got."""
+    """A request driven step by step, with the effects of the last step."""
 
     def __init__(self, context, **changes):
         self.request = TenantRequest(
@@ -67,13 +67,13 @@
         return self
 
 
-def test_an_unclaimed_request_asks_its_owner_and_is_dispatched_once_granted(context):
+def test_a_request_is_dispatched_once_its_owner_grants_it(context):
     client = Client(context)
     assert client.bodies() == ["ask"] and client.of(Send)[0].to == "owner"
     assert [effect.replica for effect in client.after(0.1, "on_owner_message", GRANT).of(Dispatch)] == ["r"]
 
 
-def test_a_stream_is_passed_on_piece_by_piece_and_ends_once(context):
+def test_a_stream_is_relayed_piece_by_piece_and_ends_once(context):
     client = Client(context)
     client.after(0.1, "on_owner_message", GRANT)
     assert client.after(0.2, "on_dispatch_progress", ("piece", 1, b"a")).results() == [("piece", 1, b"a")]
@@ -82,14 +82,14 @@
 
 
 @pytest.mark.parametrize("outcome", [("piece", 2, b"a"), ("done", 0), ("done", 1), ("whole", b"a"), ("fault", "yes")])
-def test_an_answer_out_of_order_or_form_is_a_failure_that_may_have_run(context, outcome):
+def test_an_answer_out_of_order_or_malformed_is_a_failure_that_ran(context, outcome):
     client = Client(context)
     client.after(0.1, "on_owner_message", GRANT)
     assert client.after(0.2, "on_dispatch_progress", outcome).results() == [("fault", 402, "yes", 1000)]
     assert client.of(AbortDispatch) and client.request.is_finished
 
 
-def test_a_request_that_no_replica_ran_is_tried_again(context):
+def test_a_request_that_the_replica_refused_is_attempted_again(context):
     client = Client(context)
     client.after(0.1, "on_owner_message", GRANT)
     assert client.after(0.2, "on_dispatch_progress", ("refused",)).bodies() == ["fin", "ask"]
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("resumable,pieces,again", [(True, 0, True), (True, 1, False), (False, 0, False)])
-def test_a_failed_one_runs_again_only_if_resumable_and_before_its_first_piece(context, resumable, pieces, again):
+def test_a_failed_request_runs_again_only_if_resumable_and_before_its_first_piece(context, resumable, pieces, again):
     client = Client(context, is_resumable=resumable)
     client.after(0.1, "on_owner_message", GRANT)
     for number in range(1, pieces + 1):
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("change", [dict(proved_at=None), dict(replicas={}), dict(drained_zones={"z"})])
-def test_a_granted_request_is_not_sent_if_something_has_come_between(context, change):
+def test_a_granted_request_is_not_sent_if_the_replica_became_unusable(context, change):
     client = Client(context)
     for name, value in change.items():
         setattr(context, name, value)
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("answer", [Denial("id", 1, 304, "?", 500), OwnerMoved("id", 1)])
-def test_an_owner_that_is_none_is_left_alone_for_a_while_and_asked_again(context, answer):
+def test_a_daemon_that_does_not_own_the_shard_is_queried_again_after_a_pause(context, answer):
     client = Client(context)
     assert client.after(0.01, "on_owner_message", answer).effects == []
     assert client.after(0.02, "on_timer").effects == []
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize(
-    "changes,seconds,ran,told",
+    "changes,seconds,ran,reported",
     [
         ({}, 0.1, "?", "maybe"),
         (dict(client_attempt=1), 0.1, "?", "no"),
@@ -135,25 +135,25 @@
         (dict(client_attempt=1), 0.1, "yes", "yes"),
     ],
 )
-def test_not_run_is_promised_only_while_that_is_sure(context, changes, seconds, ran, told):
+def test_not_run_is_reported_only_while_it_is_certain(context, changes, seconds, ran, reported):
     client = Client(context, **changes)
-    assert client.after(seconds, "on_owner_message", Denial("id", 1, 301, ran, 500)).results() == [("fault", 301, told, 500)]
+    assert client.after(seconds, "on_owner_message", Denial("id", 1, 301, ran, 500)).results() == [("fault", 301, reported, 500)]
 
 
-def test_a_key_that_its_owner_knew_is_taken_back_as_an_arrival_once(context):
+def test_an_arrival_is_retracted_once_if_the_owner_reports_a_retry(context):
     client = Client(context)
     known = Grant("id", 1, "r", 1, "a:1", 7, False, True)
     assert len(client.after(0.1, "on_owner_message", known).of(Broadcast)) == 1
 
 
-def test_a_client_that_left_ends_the_run_and_gets_nothing(context):
+def test_a_client_disconnect_aborts_the_dispatch_and_sends_no_result(context):
     client = Client(context)
     client.after(0.1, "on_owner_message", GRANT)
     client.after(0.2, "on_client_disconnected")
     assert client.of(AbortDispatch) and client.results() == [] and client.request.is_finished
 
 
-def test_after_the_deadline_the_request_ends(context):
+def test_a_request_ends_at_its_deadline(context):
     waiting = Client(context)
     assert waiting.after(1, "on_timer").results() == [("fault", 207, "maybe", 1000)] and waiting.bodies()[-1] == "quit"
     running = Client(context)
--- a/tests/tenant_shards/test_claims.py
+++ b/tests/tenant_shards/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims at their follower under fuzz (design 6.3), with a plain model as oracle."""
+"""Randomized test of claims at the follower (design 6.3) against a simple model."""
 
 import random
 
@@ -15,18 +15,18 @@
 
 
 class FollowerOnDisk:
-    """A follower whose writes end up in `disk`, at once; it can start again from there."""
+    """A follower whose writes are applied to `disk` immediately; it can be restarted from there."""
 
     def __init__(self):
         self.disk = {}
-        self.start_again()
+        self.restart()
 
-    def start_again(self):
+    def restart(self):
         saved = {table: dict(rows) for table, rows in self.disk.items()}
         self.component = MachineComponent(ClaimFollower(own_name="f", saved=saved, tuning=TUNING))
 
-    def ask(self, *body):
-        """The bodies of the answers, once the write is synced."""
+    def send(self, *body):
+        """Deliver a message, sync the writes, and return the bodies of the answers."""
         answers = []
         for effect in self.component.send((ZERO, ("msg", OWNER, body))):
             if effect[0] == "disk":
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_a_follower_answers_as_the_model_does_and_comes_back_from_disk_the_same(seed):
+def test_a_follower_agrees_with_the_model_also_after_restarts(seed):
     rng, epoch, held, last_number = random.Random(seed), None, {}, 0
     follower = FollowerOnDisk()
     for step in range(400):
@@ -53,18 +53,18 @@
         key, request = f"k{rng.randrange(40)}", f"g{rng.randrange(60)}"
         asked_epoch = (epoch or 1) + rng.choice([0, 0, 0, 0, 0, 0, -1, 1])
         if chance < 0.02:
-            follower.start_again()  # power
+            follower.restart()  # power loss
         elif chance < 0.06:
-            follower.ask("adopt", SHARD, asked_epoch)
+            follower.send("adopt", SHARD, asked_epoch)
             if epoch is not None and asked_epoch >= epoch:
                 epoch = asked_epoch
         elif chance < 0.08 and (epoch is None or asked_epoch >= epoch):
             epoch = asked_epoch
             rows = tuple((held_key, *claim) for held_key, claim in held.items())
-            assert follower.ask("copy", SHARD, asked_epoch, step, rows) == [("copied", SHARD, asked_epoch, step)]
+            assert follower.send("copy", SHARD, asked_epoch, step, rows) == [("copied", SHARD, asked_epoch, step)]
         elif chance < 0.8:
             number = held[key][2] if key in held else last_number + 1
-            answers = follower.ask("claim", SHARD, asked_epoch, request, key, request, number)
+            answers = follower.send("claim", SHARD, asked_epoch, request, key, request, number)
             if epoch is None or asked_epoch != epoch:
                 assert answers == [("unclaimed", SHARD, asked_epoch, request, "none" if epoch is None else "old")]
             elif key in held and held[key][0] != request:
@@ -77,7 +77,7 @@
                 assert answers == [("claimed", SHARD, asked_epoch, request)]
         else:
             state = rng.choice(["free", "ran", "done"])
-            follower.ask("mark", SHARD, asked_epoch, key, request, state)
+            follower.send("mark", SHARD, asked_epoch, key, request, state)
             if asked_epoch == epoch and key in held and held[key][0] == request:
                 if state == "free":
                     del held[key]
@@ -85,15 +85,15 @@
                     held[key] = (request, state, held[key][2])
     if epoch is not None:
         rows = tuple((key, *claim) for key, claim in sorted(held.items()))
-        assert follower.ask("adopt", SHARD, epoch) == [("adopted", SHARD, epoch, rows)]
+        assert follower.send("adopt", SHARD, epoch) == [("adopted", SHARD, epoch, rows)]
         assert len(held) > 3
 
 
 @pytest.mark.parametrize("tenant", ["plain", "with a space", "a\0b", "\0", "a\0"])
-def test_a_follower_starts_again_whatever_its_tenants_are_called(tenant):
-    """A configuration takes any text for a name; a core that could not read its own claims would never start again."""
+def test_a_follower_restarts_with_any_tenant_name(tenant):
+    """Tenant names are arbitrary text; a core that fails to parse its own claim keys could never restart."""
     follower = FollowerOnDisk()
-    follower.ask("copy", tenant, 1, 1, (("k", "g", "claimed", 1),))
-    follower.ask("claim", tenant, 1, "c", "k2", "g2", 2)
-    follower.start_again()
-    assert follower.ask("claim", tenant, 1, "c", "k", "g3", 3) == [("unclaimed", tenant, 1, "c", "seen")]
+    follower.send("copy", tenant, 1, 1, (("k", "g", "claimed", 1),))
+    follower.send("claim", tenant, 1, "c", "k2", "g2", 2)
+    follower.restart()
+    assert follower.send("claim", tenant, 1, "c", "k", "g3", 3) == [("unclaimed", tenant, 1, "c", "seen")]
--- a/tests/tenant_shards/test_retry_budget.py
+++ b/tests/tenant_shards/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget (design 7.5): one owner's allowance, and that of the fleet."""
+"""The retry budget (design 7.5): allowance of one owner, and of the fleet."""
 
 from datetime import timedelta
 
@@ -22,8 +22,8 @@
         budget.count_first_request(now)
 
 
-def member(name, pace):
-    return MemberRecord(name, "p", 1, 1, "z", "r", "a", "h", False, "ready", (), (("pace", pace),))
+def member(name, counts):
+    return MemberRecord(name, "p", 1, 1, "z", "r", "a", "h", False, "ready", (), (("pace", counts),))
 
 
 def test_retries_are_a_share_of_first_requests(budget):
@@ -32,20 +32,20 @@
     assert budget.counts == (100, 10) and budget.totals == {"fresh": 100, "again": 10, "refused": 1}
 
 
-def test_an_owner_of_half_the_shards_gets_its_part_of_the_fleets_allowance(budget):
+def test_an_owner_of_half_the_shards_gets_its_fraction_of_the_fleet_allowance(budget):
     budget.record_peer_counts((member("other", (100, 0)),), SECOND)
     assert [budget.take_retry(SECOND, 0.1, 0.5) for _ in range(3)] == [True, True, False]  # 0.1 * (0 + 100 * 0.5) / 2
 
 
-def test_what_the_fleet_has_used_bounds_each_owner(budget):
+def test_retries_of_other_owners_use_up_the_fleet_budget(budget):
     count_first_requests(budget, 100)
     budget.record_peer_counts((member("other", (0, 10)),), SECOND)
     assert not budget.take_retry(SECOND, 0.1, 1.0)
 
 
-@pytest.mark.parametrize("pace", [None, (1,), ("1", 2), [1, 2]])
-def test_a_malformed_count_of_another_daemon_is_passed_over(budget, pace):
-    budget.record_peer_counts((member("other", pace),), SECOND)
+@pytest.mark.parametrize("counts", [None, (1,), ("1", 2), [1, 2]])
+def test_malformed_counts_of_another_daemon_are_ignored(budget, counts):
+    budget.record_peer_counts((member("other", counts),), SECOND)
     count_first_requests(budget, 10)
     assert budget.take_retry(SECOND, 0.1, 1.0)
 
--- a/tests/tenant_shards/test_tenant_isolation.py
+++ b/tests/tenant_shards/test_tenant_isolation.py
@@ -1,4 +1,4 @@
-"""Tenants apart (design 7.3): six of sixty fill every slot with long answers; the quiet ones go on."""
+"""Isolation of tenants (design 7.3): 6 of 60 tenants fill every slot with long-running requests; the others are still served."""
 
 from silverglade.runtime.settings import tuning
 from silverglade.testbed.experiments.recovery_figures import SEC, apart
@@ -6,19 +6,19 @@
 from ..support.source_mutation import without
 
 
-def crowd(**kw):
-    return apart(1, 6, slow=20, rate=20.0, secs=10, **kw)
+def overloaded(**options):
+    return apart(1, 6, slow=20, rate=20.0, secs=10, **options)
 
 
-def test_quiet_tenants_are_served_beside_a_crowd_that_fills_every_slot():
+def test_light_tenants_are_served_while_heavy_tenants_fill_every_slot():
     alone, lost, _, _ = apart(1, 0, slow=20, secs=10)
     assert lost == 0
-    ws, lost, _, s = crowd()
-    assert lost == 0 and s.o.faults == []
-    assert ws[int(len(ws) * 0.95)] < 3 * alone[int(len(alone) * 0.95)]
+    waits, lost, _, scene = overloaded()
+    assert lost == 0 and scene.o.faults == []
+    assert waits[int(len(waits) * 0.95)] < 3 * alone[int(len(alone) * 0.95)]
 
 
-def test_without_the_ledgers_fairness_they_are_not(monkeypatch):
+def test_without_fair_slot_leases_light_tenants_lose_requests(monkeypatch):
     without(
         monkeypatch,
         "silverglade.replicas.slot_leases",
@@ -26,15 +26,15 @@
         ("return True", "while False:"),
         "silverglade.runtime.daemon_components.SlotLeases",
     )
-    assert crowd()[1] > 0
+    assert overloaded()[1] > 0
 
 
-def prompt(s):
-    """Of the orders refused, how many were told within a tenth of a second?"""
-    no = [o for o in s.o.orders.values() if o["told"] and o["told"][0] == "fault"]
-    return sum(o["when"] - o["at"] < 0.1 * SEC for o in no) / len(no)
+def share_refused_promptly(scene):
+    """Return the share of refused requests that were answered within 0.1 s."""
+    refused = [order for order in scene.o.orders.values() if order["told"] and order["told"][0] == "fault"]
+    return sum(order["when"] - order["at"] < 0.1 * SEC for order in refused) / len(refused)
 
 
-def test_a_crowd_beyond_its_line_is_answered_at_once_and_without_the_lines_bound_it_waits():
-    assert prompt(crowd()[3]) > 0.4
-    assert prompt(crowd(opt=tuning(queue=100000))[3]) == 0
+def test_requests_beyond_the_queue_limit_are_refused_promptly_and_wait_without_the_limit():
+    assert share_refused_promptly(overloaded()[3]) > 0.4
+    assert share_refused_promptly(overloaded(opt=tuning(queue=100000))[3]) == 0
