--- a/silverglade/replicas/registry.py
+++ b/silverglade/replicas/registry.py
@@ -34,7 +34,7 @@
 from .replica_table import ReplicaTable
 from .status_publisher import StatusPublisher
 
-# positions of fields in the rows of records and statuses
+# positions of fields in the rows of records and statuses, for callers that index the rows directly
 INC, ADDR, ZONE, KIND, HOMES, PREFIXES, SLOTS, LEAVING = 1, 3, 4, 5, 6, 7, 8, 9
 S_STATE, S_USE, S_RUNNING, S_CAP, S_USED = 4, 5, 7, 8, 9
 
@@ -88,7 +88,7 @@
         self.table = ReplicaTable()
         self._is_core = is_core
         self._tuning = tuning
-        self._statuses = StatusPublisher(tuning)
+        self._status_publisher = StatusPublisher(tuning)
         self._effects: list[Effect] = []
         self._replicas_changed = True  # there are changes to broadcast
         self._zones_broadcast: tuple[tuple[str, str], ...] | None = None
@@ -148,7 +148,7 @@
         self._last_check = now
         for name in self.table.not_renewed_for(self._tuning["forget"], now):
             forgotten, status = self.table.forget(name, now)
-            self._statuses.forget(name)
+            self._status_publisher.forget(name)
             if self._is_core:
                 incarnation = forgotten.version[0]
                 self._publish_tombstone(REPLICA_ROWS, name, forgotten.version)
@@ -197,7 +197,7 @@
 
     def _on_status_measured(self, status: ReplicaStatus, now: timedelta) -> None:
         self._replicas_changed |= self.table.put_status(status, now)
-        if self._statuses.is_due(status, live_daemons=len(self._live_daemons), now=now):
+        if self._status_publisher.is_due(status, live_daemons=len(self._live_daemons), now=now):
             self._publish(STATUS_ROWS, status.name, status.rank, tuple(status))
         if status.state == ReplicaState.LEAVING:
             self._replicas_changed |= self._mark_leaving(status.name, status.incarnation, "reported by a health check", now)
@@ -227,7 +227,7 @@
         """Register a replica, or renew its registration."""
         declared, faults = validation.validate(ANNOTATIONS, annotations)
         if faults:
-            detail = "; ".join(f"{path}: {sentence}" for path, sentence in faults)
+            detail = "; ".join(f"{path}: {message}" for path, message in faults)
             self._effects.append(Reply(call_id, result_codes.BAD_ANNOTATION, {"detail": detail}))
             return
         refusal = self._refusal(call_id, name, declared)
--- a/silverglade/tenant_shards/admission.py
+++ b/silverglade/tenant_shards/admission.py
@@ -138,12 +138,12 @@
         )
         if not home and not elsewhere:
             return []
-        if not home or (self._is_home_short(request, configuration) and self._may_overflow(request, now)):
+        if not home or (self._is_home_region_short(request, configuration) and self._may_overflow(request, now)):
             request.is_overflow = bool(elsewhere)
             home = home + elsewhere
         return [name for name in home if name not in request.refused_by]
 
-    def _is_home_short(self, request: QueuedRequest, configuration: Mapping[str, Any]) -> bool:
+    def _is_home_region_short(self, request: QueuedRequest, configuration: Mapping[str, Any]) -> bool:
         """Whether the home region has fewer ready replicas of this kind than the scaler requires."""
         zones = configuration["zones"]
         home_zone = configuration["tenants"][request.tenant]["homes"][0]
--- a/silverglade/tenant_shards/shard.py
+++ b/silverglade/tenant_shards/shard.py
@@ -71,8 +71,8 @@
         "_copy_target",
         "_copy_number",
         "_follower_process",
-        "_attempt",
-        "_attempt_since",
+        "_awaited_step",
+        "_awaited_since",
     )
 
     def __init__(self, *, name: str, epoch: int, follower: str, owner: str, claims: dict[str, Claim] | None, claims_limit: int) -> None:
@@ -92,8 +92,8 @@
         self._copy_target = NO_CORE
         self._copy_number = 0
         self._follower_process: str | None = None  # process id last seen in the membership
-        self._attempt: tuple[ShardStep, str] | None = None  # (step, copy target), to time how long they stay unchanged
-        self._attempt_since = ZERO
+        self._awaited_step: tuple[ShardStep, str] | None = None  # (step, copy target), to time how long they stay unchanged
+        self._awaited_since = ZERO
 
     @property
     def is_open(self) -> bool:
@@ -202,7 +202,7 @@
 
     def advance(self, now: timedelta, cores: FollowerCandidates, tuning: Mapping[str, Any]) -> Send | FollowerAssignment | None:
         """Return what the current step needs now: a message to the follower or copy target, an assignment for control, or None."""
-        self._note_unresponsive(now, tuning)
+        self._record_unresponsive(now, tuning)
         is_live = self.follower in cores.live
         is_unfit = self.follower in self.unresponsive or self.follower in cores.same_zone
         if self.is_open and is_live and not is_unfit:
@@ -221,12 +221,12 @@
             return self._assign(cores.live)
         return None
 
-    def _note_unresponsive(self, now: timedelta, tuning: Mapping[str, Any]) -> None:
+    def _record_unresponsive(self, now: timedelta, tuning: Mapping[str, Any]) -> None:
         """Record the core that has not answered within `claim_wait`, and drop records that have expired."""
-        attempt = (self.step, self._copy_target)
-        if self._attempt != attempt:
-            self._attempt, self._attempt_since = attempt, now
-        if now - self._attempt_since > tuning["claim_wait"]:
+        awaited_step = (self.step, self._copy_target)
+        if self._awaited_step != awaited_step:
+            self._awaited_step, self._awaited_since = awaited_step, now
+        if now - self._awaited_since > tuning["claim_wait"]:
             if self.step is ShardStep.COPY and self._copy_target:
                 self.unresponsive[self._copy_target] = now
             elif self.step is ShardStep.ADOPT and self.claims is not None:
