--- a/silverglade/tenant_requests/messages.py
+++ b/silverglade/tenant_requests/messages.py
@@ -1,7 +1,8 @@
-"""Messages between an ingress and other daemons (design 6.5, 6.6), one class a kind.
+"""Messages between an ingress and other daemons (design 6.5, 6.6), one class per kind.
 
-On the wire each is an array of its `TAG` and its fields in the order given here (transport/message_schemas.py checks the shapes
-before any component sees them). `decode` builds those that an ingress receives; `to_body` gives the array of those that it sends.
+On the wire each message is an array of its `TAG` and its fields in the order given here. The shapes are validated before any
+component receives them (transport/message_schemas.py). `decode` builds the messages that an ingress receives, `to_body` returns the
+array of those that it sends.
 """
 
 from __future__ import annotations
@@ -12,34 +13,34 @@
 from ..runtime.record import Record
 from .admission import RequestHead
 
-DISPATCH_BARRED: Final = "barred"
-DISPATCH_NOT_RUN: Final = "unrun"
-DISPATCH_DONE: Final = "done"
-DISPATCH_RAN: Final = "ran"
+OUTCOME_NOT_SENT: Final = "barred"
+OUTCOME_NOT_RUN: Final = "unrun"
+OUTCOME_DONE: Final = "done"
+OUTCOME_MAY_HAVE_RAN: Final = "ran"
 
 
 # --- to and from the owner of a tenant's shard
 
 
-class AskedFacts(NamedTuple):
-    """What an owner is told of a request.
+class GrantRequestFacts(NamedTuple):
+    """The request data that an owner needs for its decision.
 
-    :ivar left_ms: until the deadline, at least 1.
-    :ivar attempt: by the client's count; 0 where it gave none.
+    :ivar left_ms: time until the deadline, at least 1.
+    :ivar client_attempt: number of the attempt by the client's own count, from 1; 0 if it sent none.
     """
 
     class_name: str
     key: str
     prefix: str
     left_ms: int
-    attempt: int
+    client_attempt: int
 
 
-class Ask(Record):
-    """To the owner: a request wants a replica and, where its class needs one, a claim.
+class GrantRequest(Record):
+    """To the owner: requests a replica and, if the request class needs one, a claim.
 
-    :ivar attempt: number of the dispatch that it is for, from 1.
-    :ivar epoch: of the owner's role.
+    :ivar attempt: number of the dispatch attempt, from 1.
+    :ivar epoch: epoch of the owner's assignment.
     """
 
     TAG: ClassVar[str] = "ask"
@@ -47,20 +48,20 @@
     attempt: int
     tenant: str
     epoch: int
-    facts: AskedFacts
+    facts: GrantRequestFacts
 
     def to_body(self) -> tuple[Any, ...]:
-        """The array that travels."""
+        """Return the message in its wire form."""
         return (self.TAG, self.request_id, self.attempt, self.tenant, self.epoch, tuple(self.facts))
 
 
 class Grant(Record):
     """From the owner: the request may be sent to this replica.
 
-    :ivar incarnation: of the replica.
-    :ivar epoch: of the owner's role.
-    :ivar is_overflow: the replica is outside the tenant's first home.
-    :ivar key_was_known: the owner saw the key before.
+    :ivar incarnation: incarnation of the replica.
+    :ivar epoch: epoch of the owner's assignment.
+    :ivar is_overflow: whether the replica is outside the tenant's first home.
+    :ivar is_retry: whether the owner has seen the key before.
     """
 
     TAG: ClassVar[str] = "grant"
@@ -71,14 +72,14 @@
     address: str
     epoch: int
     is_overflow: bool
-    key_was_known: bool
+    is_retry: bool
 
 
-class Deny(Record):
+class Denial(Record):
     """From the owner: the request is refused.
 
-    :ivar ran: what the owner knows of whether it ran (execution.py).
-    :ivar retry_after_ms: None where another attempt is of no use.
+    :ivar ran: whether the request ran, as far as the owner knows (execution.py).
+    :ivar retry_after_ms: time after which the client may retry; None if a retry is useless.
     """
 
     TAG: ClassVar[str] = "deny"
@@ -89,18 +90,18 @@
     retry_after_ms: Any
 
 
-class Moved(Record):
-    """From a daemon that does not own the shard, or not under this epoch."""
+class OwnerMoved(Record):
+    """From a queried daemon: it does not own the shard, or owns it under another epoch."""
 
     TAG: ClassVar[str] = "moved"
     request_id: str
     attempt: int
 
 
-class DispatchEnded(Record):
-    """To the owner: what became of a granted dispatch.
+class RunEnded(Record):
+    """To the owner: how a granted dispatch ended.
 
-    :ivar outcome: `DISPATCH_BARRED`, `DISPATCH_NOT_RUN`, `DISPATCH_DONE` or `DISPATCH_RAN`.
+    :ivar outcome: `OUTCOME_NOT_SENT`, `OUTCOME_NOT_RUN`, `OUTCOME_DONE` or `OUTCOME_MAY_HAVE_RAN`.
     """
 
     TAG: ClassVar[str] = "fin"
@@ -109,30 +110,30 @@
     outcome: str
 
     def to_body(self) -> tuple[Any, ...]:
-        """The array that travels."""
+        """Return the message in its wire form."""
         return (self.TAG, self.request_id, self.attempt, self.outcome)
 
 
-class Withdraw(Record):
+class RequestAbandoned(Record):
     """To the owner: the request will not be sent to any replica."""
 
     TAG: ClassVar[str] = "quit"
     request_id: str
 
     def to_body(self) -> tuple[Any, ...]:
-        """The array that travels."""
+        """Return the message in its wire form."""
         return (self.TAG, self.request_id)
 
 
-# --- between the daemon where a request came in and one of the tenant's homes
+# --- between the daemon that received a request from its client and one in the tenant's home zones
 
 
-class Forward(Record):
-    """A request on its way to a daemon of its homes.
+class ForwardRequest(Record):
+    """A request forwarded to a daemon in its home zones.
 
-    :ivar bearer_key: the tenant's key, checked again there.
-    :ivar left_ms: until the deadline.
-    :ivar attempt: by the client's count; 0 where it gave none.
+    :ivar bearer_key: the tenant's secret key, validated again by the receiver.
+    :ivar left_ms: time until the deadline.
+    :ivar attempt: number of the attempt by the client's own count, from 1; 0 if it sent none.
     """
 
     TAG: ClassVar[str] = "hand"
@@ -147,7 +148,7 @@
     body: bytes
 
     def to_body(self) -> tuple[Any, ...]:
-        """The array that travels."""
+        """Return the message in its wire form."""
         return (
             self.TAG,
             self.request_id,
@@ -162,15 +163,15 @@
         )
 
     def head(self) -> RequestHead:
-        """The head as a client would have sent it."""
+        """Return the head as the client would have sent it."""
         return RequestHead(self.bearer_key, self.class_name, self.key, str(self.left_ms), self.prefix, str(self.attempt or ""))
 
 
 class ForwardedResult(Record):
-    """Back to where the request came in: a part of the answer.
+    """To the daemon that forwarded the request: a part of the answer.
 
-    :ivar number: of the results of this request, from 1, without gaps.
-    :ivar kind: of results.py; `details` depend on it.
+    :ivar number: sequence number among the results of this request, from 1, without gaps.
+    :ivar kind: kind of the result (results.py); determines the form of `details`.
     """
 
     TAG: ClassVar[str] = "res"
@@ -180,59 +181,59 @@
     details: tuple[Any, ...]
 
     def to_body(self) -> tuple[Any, ...]:
-        """The array that travels."""
+        """Return the message in its wire form."""
         return (self.TAG, self.request_id, self.number, self.kind, *self.details)
 
 
-class PiecesTaken(Record):
-    """To the forwarded request's daemon: its client has taken the pieces up to this number."""
+class PiecesConsumed(Record):
+    """To the daemon that runs a forwarded request: the client has consumed the pieces up to this number (flow control)."""
 
     TAG: ClassVar[str] = "more"
     request_id: str
     pieces: int
 
     def to_body(self) -> tuple[Any, ...]:
-        """The array that travels."""
+        """Return the message in its wire form."""
         return (self.TAG, self.request_id, self.pieces)
 
 
-class ClientLeft(Record):
-    """To the forwarded request's daemon: nobody waits for the answer any more."""
+class RequestCancelled(Record):
+    """To the daemon that runs a forwarded request: the answer is no longer wanted."""
 
     TAG: ClassVar[str] = "left"
     request_id: str
 
     def to_body(self) -> tuple[Any, ...]:
-        """The array that travels."""
+        """Return the message in its wire form."""
         return (self.TAG, self.request_id)
 
 
-OwnerMessage = Grant | Deny | Moved
-SentMessage = Ask | DispatchEnded | Withdraw | Forward | ForwardedResult | PiecesTaken | ClientLeft
-ReceivedMessage = OwnerMessage | Forward | ForwardedResult | PiecesTaken | ClientLeft
+OwnerMessage = Grant | Denial | OwnerMoved
+SentMessage = GrantRequest | RunEnded | RequestAbandoned | ForwardRequest | ForwardedResult | PiecesConsumed | RequestCancelled
+ReceivedMessage = OwnerMessage | ForwardRequest | ForwardedResult | PiecesConsumed | RequestCancelled
 
 
 def send(to: str, message: SentMessage) -> Send:
-    """The effect that sends a message."""
+    """Return the effect that sends a message to a daemon."""
     return Send(to, message.to_body())
 
 
 def decode(body: tuple[Any, ...]) -> ReceivedMessage | None:
-    """The message of a body; None for a kind that an ingress does not receive."""
+    """Return the message in a body; None for a kind that an ingress does not receive."""
     match body:
         case (Grant.TAG, request_id, attempt, replica, incarnation, address, epoch, is_overflow, *rest):
-            key_was_known = bool(rest) and rest[0] is True  # owners of an earlier version don't say
-            return Grant(request_id, attempt, replica, incarnation, address, epoch, is_overflow, key_was_known)
-        case (Deny.TAG, request_id, attempt, code, ran, retry_after_ms):
-            return Deny(request_id, attempt, code, ran, retry_after_ms)
-        case (Moved.TAG, request_id, attempt):
-            return Moved(request_id, attempt)
+            is_retry = bool(rest) and rest[0] is True  # earlier versions omit this field
+            return Grant(request_id, attempt, replica, incarnation, address, epoch, is_overflow, is_retry)
+        case (Denial.TAG, request_id, attempt, code, ran, retry_after_ms):
+            return Denial(request_id, attempt, code, ran, retry_after_ms)
+        case (OwnerMoved.TAG, request_id, attempt):
+            return OwnerMoved(request_id, attempt)
         case (ForwardedResult.TAG, request_id, number, kind, *details):
             return ForwardedResult(request_id, number, kind, tuple(details))
-        case (PiecesTaken.TAG, request_id, pieces):
-            return PiecesTaken(request_id, pieces)
-        case (Forward.TAG, *fields):
-            return Forward(*fields)
-        case (ClientLeft.TAG, request_id):
-            return ClientLeft(request_id)
+        case (PiecesConsumed.TAG, request_id, pieces):
+            return PiecesConsumed(request_id, pieces)
+        case (ForwardRequest.TAG, *fields):
+            return ForwardRequest(*fields)
+        case (RequestCancelled.TAG, request_id):
+            return RequestCancelled(request_id)
     return None
