--- a/silverglade/membership/__init__.py
+++ b/silverglade/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership (design 4): which daemons are live, and the soft state that they publish."""
+"""Membership (design 4): detects which daemons are live, and replicates the soft state that they publish."""
--- a/silverglade/membership/death_detector.py
+++ b/silverglade/membership/death_detector.py
@@ -1,7 +1,10 @@
-"""A core's decision who is dead (design 4.3), worked out from its rows and from whom it hears, and stored nowhere.
+"""A core's decision which daemons are dead (design 4.3), computed from its soft state and from the messages that reach it; not stored.
 
-A daemon is dead when two of its live watchers (or all, if it has fewer) suspect its present incarnation and it does not answer
-this core; when the core that it asks for updates has not been asked for too long; or when that core itself is not heard.
+A daemon is dead in any of these cases:
+
+- two of its live watchers (or all of them, if it has fewer) suspect its current incarnation, and it does not answer this core;
+- the core that it queries for updates has received no request from it for too long;
+- that core itself has not been in contact with this one for too long.
 """
 
 from __future__ import annotations
@@ -21,8 +24,8 @@
     MEMBER_ROW,
     QUERIED_CORE_ROW,
     REPLICA_SUSPICION_ROW,
+    SILENCE_ROW,
     SUSPICION_ROW,
-    UNHEARD_ROW,
     MemberRecord,
     MemberState,
     SoftStateRow,
@@ -30,26 +33,26 @@
 )
 from .watchers import watchers_of
 
-SUSPICIONS_NEEDED = 2
-"""So many watchers that suspect a daemon are enough, if it has so many."""
+SUSPICION_QUORUM = 2
+"""The number of its watchers that must suspect a daemon; a daemon with fewer watchers must be suspected by all of them."""
 
-SETTLED_PART = 3
-"""A suspicion counts once it has stood for this part of the tuning "settle"."""
+SUSPICION_SETTLE_DIVISOR = 3
+"""A suspicion takes effect after the tuning "settle" divided by this number."""
 
 Members = Mapping[str, MemberRecord]
 
 
 class DeathCause(Enum):
-    """Why a daemon is held for dead."""
+    """Why a daemon is considered dead."""
 
-    UNHEARD = "no core hears it"
+    SILENT = "no core hears it"
     SUSPECTED = "its watchers suspect it"
 
 
 class DeathDetector:
-    """Decides who is dead, and leaves tombstones of those that are gone for long.
+    """Decides which daemons are dead, and replaces the rows of daemons that have been gone for long by tombstones.
 
-    :ivar dead: by name, in the order in which they were found.
+    :ivar dead: the dead daemons by name, in the order of detection.
     """
 
     __slots__ = (
@@ -59,8 +62,8 @@
         "_peers",
         "_tuning",
         "_listening_since",
-        "_asked_at",
-        "_answered_at",
+        "_requested_at",
+        "_heartbeat_at",
         "_suspected_since",
         "_gone_since",
     )
@@ -72,50 +75,50 @@
         self._peers = peers
         self._tuning = tuning
         self._listening_since = ZERO
-        self._asked_at: dict[str, timedelta] = {}  # when a daemon last asked this core for updates
-        self._answered_at: dict[str, timedelta] = {}  # when a heartbeat of a daemon last came here
-        self._suspected_since: dict[str, timedelta] = {}  # a suspicion is known, and the daemon has not answered this core since
-        self._gone_since: dict[str, timedelta] = {}  # dead, or left
+        self._requested_at: dict[str, timedelta] = {}  # when each daemon last asked this core for updates
+        self._heartbeat_at: dict[str, timedelta] = {}  # when this core last received a heartbeat of each daemon
+        self._suspected_since: dict[str, timedelta] = {}  # start of the time for which a suspected daemon has not answered this core
+        self._gone_since: dict[str, timedelta] = {}  # when each daemon was found dead or to have left
 
-    # --- what is heard
+    # --- incoming events
 
-    def listen_from(self, now: timedelta) -> None:
-        """Count all silence from now: the process has started, or stood still."""
+    def reset_silence_timers(self, now: timedelta) -> None:
+        """Measure every silence from now on, because the process has just started or was paused."""
         self._listening_since = now
-        for times in (self._asked_at, self._answered_at, self._suspected_since):
+        for times in (self._requested_at, self._heartbeat_at, self._suspected_since):
             times.update(dict.fromkeys(times, now))
 
     def on_heartbeat(self, daemon: str, now: timedelta) -> None:
-        """Note a heartbeat of a daemon."""
-        self._answered_at[daemon] = now
+        """Record a heartbeat of a daemon."""
+        self._heartbeat_at[daemon] = now
 
-    def on_asked(self, daemon: str, now: timedelta) -> None:
-        """Note that a daemon asks this core for updates."""
-        self._asked_at[daemon] = now
-        row = self._rows.table.rows.get((UNHEARD_ROW, daemon))
+    def on_update_request(self, daemon: str, now: timedelta) -> None:
+        """Record that a daemon asked this core for updates, and retract a published silence of the daemon."""
+        self._requested_at[daemon] = now
+        row = self._rows.table.rows.get((SILENCE_ROW, daemon))
         if row is not None and row.value is not None:
-            self._publish_unheard(daemon, None, now)
+            self._publish_silence(daemon, None, now)
 
     def on_suspicion(self, daemon: str, now: timedelta) -> Effect:
-        """Note a suspicion of a daemon, and ask the daemon itself."""
+        """Record that a watcher suspects a daemon, and return the message that asks the daemon for a heartbeat."""
         self._suspected_since.setdefault(daemon, now)
         return Send(daemon, SuspicionCheck().to_array())
 
     @property
     def has_suspicions(self) -> bool:
-        """Whether a suspicion is open."""
+        """Whether any daemon is under suspicion."""
         return bool(self._suspected_since)
 
-    # --- who is dead
+    # --- detection of dead daemons
 
-    def decide(self, members: Members, now: timedelta) -> None:
-        """Work out who is dead.
+    def update_dead(self, members: Members, now: timedelta) -> None:
+        """Compute `dead` anew.
 
-        :param members: all daemons that the table speaks of.
+        :param members: all daemons that have a record in the table.
         """
         present = {name: record for name, record in members.items() if record.state != MemberState.LEFT}
         suspecting = self._suspecting_watchers(present)
-        dead = self._unheard(present, now)
+        dead = self._silent_daemons(present, now)
         up = {name: record for name, record in present.items() if name not in self.dead}
         for daemon, watchers in suspecting.items():
             if daemon != self._name and self._is_confirmed(daemon, watchers, {**up, daemon: present[daemon]}, now):
@@ -125,7 +128,10 @@
         self.dead = dead
 
     def _suspecting_watchers(self, present: Members) -> dict[str, set[str]]:
-        """Return who suspects the present incarnation of each daemon, by suspicions of the watchers' own present incarnations."""
+        """Return, by daemon, the watchers that suspect its current incarnation.
+
+        Suspicions that an earlier incarnation of the watcher published do not count.
+        """
         suspecting: dict[str, set[str]] = {}
         for (kind, key), row in self._rows.table.rows.items():
             if kind != SUSPICION_ROW or row.value is None:
@@ -139,78 +145,81 @@
         return suspecting
 
     def _is_confirmed(self, daemon: str, suspecting: set[str], up: Members, now: timedelta) -> bool:
-        """Whether enough watchers suspect a daemon for long enough, and it does not answer this core."""
+        """Whether enough watchers have suspected a daemon for long enough, without a heartbeat to this core since."""
         watchers = watchers_of(daemon, up, self._tuning["watch"])
         agreeing = suspecting.intersection(watchers)
-        if not agreeing or len(agreeing) < min(SUSPICIONS_NEEDED, len(watchers)):
+        if not agreeing or len(agreeing) < min(SUSPICION_QUORUM, len(watchers)):
             return False
         since = self._suspected_since.get(daemon, now)
-        if now - since <= self._tuning["settle"] / SETTLED_PART:
+        if now - since <= self._tuning["settle"] / SUSPICION_SETTLE_DIVISOR:
             return False
-        return self._answered_at.get(daemon, self._listening_since) < since
+        return self._heartbeat_at.get(daemon, self._listening_since) < since
 
-    def _unheard(self, present: Members, now: timedelta) -> dict[str, DeathCause]:
-        """Return the daemons that the core which they ask has not heard for too long."""
+    def _silent_daemons(self, present: Members, now: timedelta) -> dict[str, DeathCause]:
+        """Return the daemons from which the core that they query has received nothing for too long; publish those that query this core."""
         queried_core_rows = self._rows.table.rows_of_kind(QUERIED_CORE_ROW)
-        unheard_rows = self._rows.table.rows_of_kind(UNHEARD_ROW)
+        silence_rows = self._rows.table.rows_of_kind(SILENCE_ROW)
         dead = {}
         for daemon, record in present.items():
             if daemon == self._name:
                 continue
             core = queried_core_rows[daemon].value if daemon in queried_core_rows else None
-            noted = unheard_rows[daemon].value if daemon in unheard_rows else None
-            if now - self._last_heard(daemon, core, present, now) > self._tuning["gone"]:
-                dead[daemon] = DeathCause.UNHEARD
-                own_note = (record.incarnation, self._name)
-                if core == self._name and noted != own_note:
-                    self._publish_unheard(daemon, own_note, now)
-            elif core != self._name and noted is not None and noted == (record.incarnation, core):
-                dead[daemon] = DeathCause.UNHEARD  # says the core that it asked
+            reported = silence_rows[daemon].value if daemon in silence_rows else None
+            if now - self._last_contact(daemon, core, present, now) > self._tuning["gone"]:
+                dead[daemon] = DeathCause.SILENT
+                own_value = (record.incarnation, self._name)
+                if core == self._name and reported != own_value:
+                    self._publish_silence(daemon, own_value, now)
+            elif core != self._name and reported is not None and reported == (record.incarnation, core):
+                dead[daemon] = DeathCause.SILENT  # reported by the core that the daemon queries
         return dead
 
-    def _last_heard(self, daemon: str, core: str | None, present: Members, now: timedelta) -> timedelta:
-        """Return when a daemon was last heard here, or may have been heard by whom it asks.
+    def _last_contact(self, daemon: str, core: str | None, present: Members, now: timedelta) -> timedelta:
+        """Return the latest time at which this core, or the core that the daemon queries, may have received a message from the daemon.
 
-        :param core: that it asks; for a zone relay, that lives as long as it was not found dead.
+        :param core: the core or zone relay that the daemon queries; a zone relay counts as alive until it is found dead.
         """
         start = self._listening_since
-        heard = max(self._asked_at.get(daemon, start), self._answered_at.get(daemon, start))
+        last_contact = max(self._requested_at.get(daemon, start), self._heartbeat_at.get(daemon, start))
         if core is None or core == self._name or core not in present:
-            return heard
+            return last_contact
         if present[core].is_core:
-            return max(heard, self._peers.heard_at(core, start))
-        return max(heard, self._gone_since.get(core, now))
+            return max(last_contact, self._peers.last_sync_at(core, start))
+        return max(last_contact, self._gone_since.get(core, now))
 
-    def _publish_unheard(self, daemon: str, value: tuple[int, str] | None, now: timedelta) -> None:
-        """Publish that no daemon of this incarnation has asked this core for long; None takes it back."""
-        row = self._rows.table.rows.get((UNHEARD_ROW, daemon))
+    def _publish_silence(self, daemon: str, value: tuple[int, str] | None, now: timedelta) -> None:
+        """Publish that a daemon has not asked this core for updates for too long.
+
+        :param value: the daemon's incarnation and this core's name, or None to retract the statement.
+        """
+        row = self._rows.table.rows.get((SILENCE_ROW, daemon))
         rank = ((row.rank[0] if row is not None else 0) + 1,)
-        self._rows.publish(SoftStateRow(UNHEARD_ROW, daemon, rank, value, ALL_CORES), now)
+        self._rows.publish(SoftStateRow(SILENCE_ROW, daemon, rank, value, ALL_CORES), now)
 
-    # --- once in a while
+    # --- periodic maintenance
 
     def maintain(self, members: Members, now: timedelta) -> list[Effect]:
-        """Ask the suspected daemons themselves, and leave tombstones of those that are gone for long.
+        """Ask suspected daemons for heartbeats, and replace the rows of daemons that have been gone for long by tombstones.
 
-        :param members: all daemons that the table speaks of.
+        :param members: all daemons that have a record in the table.
         """
         checks: list[Effect] = [Send(daemon, SuspicionCheck().to_array()) for daemon in self._suspected_since]
-        self._restart_suspicions_of_answering(now)
-        self._note_gone(members, now)
+        self._restart_answered_suspicions(now)
+        self._record_gone(members, now)
         for daemon in [daemon for daemon, since in self._gone_since.items() if now - since > self._tuning["forget"]]:
-            self._bury(daemon, now)
+            self._publish_tombstones(daemon, now)
         self._forget_unknown(members)
-        self._take_back_suspicions(members, now)
+        self._retract_orphaned_suspicions(members, now)
         return checks
 
-    def _restart_suspicions_of_answering(self, now: timedelta) -> None:
-        """A suspected daemon that answers here lives: only a connection of its watchers is down."""
-        for daemon, answered_at in self._answered_at.items():
-            if daemon in self._suspected_since and now - answered_at < self._tuning["doubt"]:
+    def _restart_answered_suspicions(self, now: timedelta) -> None:
+        """Restart the suspicion timers of daemons that answer this core: they live, and only their watchers have lost connection."""
+        for daemon, heartbeat_at in self._heartbeat_at.items():
+            if daemon in self._suspected_since and now - heartbeat_at < self._tuning["doubt"]:
                 self._suspected_since[daemon] = now
 
-    def _note_gone(self, members: Members, now: timedelta) -> None:
-        """Note since when daemons are dead, or have left."""
+    def _record_gone(self, members: Members, now: timedelta) -> None:
+        """Record since when each daemon has been dead or has left, and drop the times of daemons that are back."""
         for daemon in self.dead:
             self._gone_since.setdefault(daemon, now)
         for daemon in [daemon for daemon in self._gone_since if daemon not in self.dead and not _has_left(members.get(daemon))]:
@@ -219,20 +228,20 @@
             if _has_left(record):
                 self._gone_since.setdefault(daemon, now)
 
-    def _bury(self, daemon: str, now: timedelta) -> None:
-        """Leave tombstones of one that is gone for long."""
+    def _publish_tombstones(self, daemon: str, now: timedelta) -> None:
+        """Replace the rows of a daemon that has been gone for long by tombstones."""
         del self._gone_since[daemon]
         for row in list(self._rows.table.rows.values()):
-            if row.value is not None and _speaks_of(row, daemon):
+            if row.value is not None and _refers_to(row, daemon):
                 self._rows.publish_tombstone(row, now)
 
     def _forget_unknown(self, members: Container[str]) -> None:
-        for daemon in [daemon for daemon in (*self._asked_at, *self._answered_at) if daemon not in members]:
-            self._asked_at.pop(daemon, None)
-            self._answered_at.pop(daemon, None)
+        for daemon in [daemon for daemon in (*self._requested_at, *self._heartbeat_at) if daemon not in members]:
+            self._requested_at.pop(daemon, None)
+            self._heartbeat_at.pop(daemon, None)
 
-    def _take_back_suspicions(self, members: Container[str], now: timedelta) -> None:
-        """Leave tombstones of suspicions whose daemon or watcher is gone: nobody else takes them back."""
+    def _retract_orphaned_suspicions(self, members: Container[str], now: timedelta) -> None:
+        """Replace suspicions whose daemon or watcher is gone by tombstones: no other daemon would retract them."""
         for row in [row for row in self._rows.table.rows.values() if row.kind == SUSPICION_ROW and row.value is not None]:
             daemon, watcher = split_key(row.key)
             if daemon not in members or watcher not in members:
@@ -243,9 +252,9 @@
     return record is not None and record.state == MemberState.LEFT
 
 
-def _speaks_of(row: SoftStateRow, daemon: str) -> bool:
-    """Whether a row goes when the daemon is forgotten."""
-    if row.kind in (MEMBER_ROW, QUERIED_CORE_ROW, UNHEARD_ROW):
+def _refers_to(row: SoftStateRow, daemon: str) -> bool:
+    """Whether a row is to be removed together with the records of this daemon."""
+    if row.kind in (MEMBER_ROW, QUERIED_CORE_ROW, SILENCE_ROW):
         return row.key == daemon
     if row.kind == ATTRIBUTE_ROW:
         return row.key.split(" ")[0] == daemon
--- a/silverglade/membership/failure_detector.py
+++ b/silverglade/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""The watcher's side of failure detection (design 4.2, 4.3): whose heartbeats are heard, and who is suspected."""
+"""Failure detection in a watcher (design 4.2, 4.3): it receives heartbeats and suspects daemons whose heartbeats cease."""
 
 from __future__ import annotations
 
@@ -13,37 +13,37 @@
 
 
 class FailureDetector:
-    """Suspects the daemons whose heartbeats cease, and publishes its suspicions for the cores.
+    """Suspects the daemons whose heartbeats cease, and publishes its suspicions to the cores.
 
-    :ivar last_heard: daemons that send heartbeats here, and when the last one came.
+    :ivar last_heartbeat: the daemons that send heartbeats to this one, each with the time of its last heartbeat.
     """
 
-    __slots__ = ("last_heard", "_name", "_published", "_suspected", "_suspicion_count", "_tuning")
+    __slots__ = ("last_heartbeat", "_name", "_published", "_suspected", "_suspicion_count", "_tuning")
 
     def __init__(self, *, name: str, published: PublishedRows, tuning: Mapping[str, Any]) -> None:
-        self.last_heard: dict[str, timedelta] = {}
+        self.last_heartbeat: dict[str, timedelta] = {}
         self._name = name
         self._published = published
-        self._suspected: dict[str, int] = {}  # daemon -> the incarnation that is suspected
+        self._suspected: dict[str, int] = {}  # daemon -> its suspected incarnation
         self._suspicion_count = 0
         self._tuning = tuning
 
     def on_heartbeat(self, sender: str, kind: int, *, own_incarnation: int, now: timedelta) -> None:
-        """Note a heartbeat; a suspicion of its sender is taken back."""
+        """Record a heartbeat, and retract a suspicion of its sender."""
         if kind == HeartbeatKind.LAST:
-            self.last_heard.pop(sender, None)
-        elif kind == HeartbeatKind.REGULAR or sender in self.last_heard:
-            self.last_heard[sender] = now
+            self.last_heartbeat.pop(sender, None)
+        elif kind == HeartbeatKind.REGULAR or sender in self.last_heartbeat:
+            self.last_heartbeat[sender] = now
         if sender in self._suspected:
             self._publish(sender, None, own_incarnation)
 
     def on_pause(self, now: timedelta) -> None:
-        """Count all silence from now: the process stood still, and heard nobody meanwhile."""
-        self.last_heard.update(dict.fromkeys(self.last_heard, now))
+        """Measure every silence from now on: a paused process received no heartbeats."""
+        self.last_heartbeat.update(dict.fromkeys(self.last_heartbeat, now))
 
     def suspect_silent_members(self, table: ReplicatedTable, *, own_incarnation: int, now: timedelta) -> None:
-        """Suspect those of whom no heartbeat came for too long."""
-        silent = [daemon for daemon, heard_at in self.last_heard.items() if now - heard_at > self._tuning["doubt"]]
+        """Publish a suspicion of each member whose last heartbeat is older than the tuning "doubt"."""
+        silent = [daemon for daemon, heard_at in self.last_heartbeat.items() if now - heard_at > self._tuning["doubt"]]
         for daemon in silent:
             record = table.member(daemon)
             if record is None or record.state == MemberState.LEFT:
@@ -51,22 +51,22 @@
             if self._suspected.get(daemon) != record.incarnation:
                 self._publish(daemon, record.incarnation, own_incarnation)
 
-    def forget_gone(self, live: Container[str], table: ReplicatedTable, now: timedelta) -> None:
-        """Forget daemons that are neither live nor heard; and suspicions of those that the cores have forgotten."""
+    def forget_removed(self, live: Container[str], table: ReplicatedTable, now: timedelta) -> None:
+        """Drop daemons that are not live and have long sent no heartbeat, and suspicions of daemons without a record in the table."""
         forget_after = self._tuning["gone"] * 2
-        for daemon in [daemon for daemon, at in self.last_heard.items() if daemon not in live and now - at > forget_after]:
-            del self.last_heard[daemon]
+        for daemon in [daemon for daemon, at in self.last_heartbeat.items() if daemon not in live and now - at > forget_after]:
+            del self.last_heartbeat[daemon]
         for daemon in [daemon for daemon in self._suspected if table.member(daemon) is None]:
             del self._suspected[daemon]
             self._published.discard(SUSPICION_ROW, joined_key(daemon, self._name))
 
     def suspicion_times(self) -> Iterator[timedelta]:
-        """Return when each of those not suspected will be, unless a heartbeat comes."""
+        """Return the times at which the daemons not yet suspected will be, unless they send a heartbeat before."""
         doubt = self._tuning["doubt"]
-        return (heard_at + doubt for daemon, heard_at in self.last_heard.items() if daemon not in self._suspected)
+        return (heard_at + doubt for daemon, heard_at in self.last_heartbeat.items() if daemon not in self._suspected)
 
     def _publish(self, daemon: str, suspected_incarnation: int | None, own_incarnation: int) -> None:
-        """Publish a suspicion, or take it back."""
+        """Publish a suspicion of an incarnation, or retract the suspicion of a daemon if the incarnation is None."""
         self._suspicion_count += 1
         key = joined_key(daemon, self._name)
         self._published.publish(SUSPICION_ROW, key, (own_incarnation, self._suspicion_count), suspected_incarnation, ALL_CORES)
--- a/silverglade/membership/live_members.py
+++ b/silverglade/membership/live_members.py
@@ -1,4 +1,7 @@
-"""The list of live members as a daemon sees it (design 4.3): what the cores hold for live; without them, whom it hears itself."""
+"""A daemon's list of live members (design 4.3).
+
+It follows the cores' view; while no core answers, it holds the members that send heartbeats to this daemon.
+"""
 
 from __future__ import annotations
 
@@ -14,8 +17,8 @@
 _ATTRIBUTE_NAME = itemgetter(0)
 
 
-class MadeMember(NamedTuple):
-    """A member as it was listed last, and what it was made of."""
+class CachedMember(NamedTuple):
+    """A member of the last computed list, with the record and attributes from which it was built."""
 
     record: MemberRecord
     attributes: Attributes
@@ -25,20 +28,20 @@
 class LiveMembers:
     """The list of live members.
 
-    :ivar members: in the order of their names, each with its attributes.
-    :ivar dead: the daemons that the cores hold for dead.
-    :ivar is_outdated: whether the table or the dead have changed since the list was worked out.
-    :ivar is_frozen: whether the list stays as it is, since the table is being read anew.
+    :ivar members: sorted by name, each with its attributes.
+    :ivar dead: the daemons that the cores consider dead.
+    :ivar is_outdated: whether the table or `dead` has changed since the list was last computed.
+    :ivar is_frozen: whether the list must not change, because the table is being fetched again from a core.
     """
 
-    __slots__ = ("members", "dead", "is_outdated", "is_frozen", "_made", "_own_name", "_was_isolated")
+    __slots__ = ("members", "dead", "is_outdated", "is_frozen", "_cache", "_own_name", "_was_isolated")
 
     def __init__(self, *, own_name: str) -> None:
         self.members: tuple[MemberRecord, ...] = ()
         self.dead: frozenset[str] = frozenset()
         self.is_outdated = True
         self.is_frozen = False
-        self._made: dict[str, MadeMember] = {}  # by name, as it was listed last
+        self._cache: dict[str, CachedMember] = {}  # name -> member of the last computed list
         self._own_name = own_name
         self._was_isolated: bool | None = None
 
@@ -47,7 +50,7 @@
         return {member.name: member for member in self.members}
 
     def set_dead(self, dead: frozenset[str]) -> None:
-        """Note whom the cores hold for dead."""
+        """Set the daemons that the cores consider dead."""
         self.is_outdated = self.is_outdated or dead != self.dead
         self.dead = dead
 
@@ -58,12 +61,13 @@
         own_record: MemberRecord,
         own_attributes: Mapping[str, Any],
         is_isolated: bool,
-        is_heard: Callable[[str], bool],
+        has_recent_heartbeat: Callable[[str], bool],
     ) -> list[Effect]:
-        """Work the list out again where it may have changed.
+        """Compute the list again if it may have changed.
 
-        :param is_isolated: no core has answered for long, so only daemons for which `is_heard` is true count.
-        :returns: log records and the event that tells the components, where the list has changed.
+        :param is_isolated: whether no core has answered for long; then only daemons with a recent heartbeat are listed.
+        :param has_recent_heartbeat: whether a daemon, given by name, has recently sent a heartbeat to this one.
+        :returns: log records and a `MembershipChanged` event for the components; empty if the list has not changed.
         """
         if not self.is_outdated and self._was_isolated == is_isolated and not is_isolated:
             return []
@@ -71,12 +75,12 @@
         records = {
             name: record
             for name, record in table.members().items()
-            if name not in self.dead and record.state != MemberState.LEFT and (not is_isolated or is_heard(name))
+            if name not in self.dead and record.state != MemberState.LEFT and (not is_isolated or has_recent_heartbeat(name))
         }
         if own_record.state != MemberState.LEFT:
             records[self._own_name] = own_record
-        for name in self._made.keys() - records.keys():
-            del self._made[name]
+        for name in self._cache.keys() - records.keys():
+            del self._cache[name]
         attributes = {name: table.attributes_of(name) for name in records}
         if self._own_name in records:
             attributes[self._own_name] = self._own_attributes(attributes[self._own_name], own_attributes)
@@ -88,16 +92,16 @@
         return effects
 
     def _member(self, name: str, record: MemberRecord, attributes: Attributes) -> MemberRecord:
-        """Return a record with its attributes: the one that was made before, where neither has changed."""
-        made = self._made.get(name)
-        if made is None or made.record is not record or made.attributes is not attributes:
-            made = self._made[name] = MadeMember(record, attributes, record.with_attributes(attributes))
-        return made.member
+        """Return a record with its attributes; the same object as before if neither has changed."""
+        cached = self._cache.get(name)
+        if cached is None or cached.record is not record or cached.attributes is not attributes:
+            cached = self._cache[name] = CachedMember(record, attributes, record.with_attributes(attributes))
+        return cached.member
 
     @staticmethod
-    def _own_attributes(table_attributes: Attributes, set_here: Mapping[str, Any]) -> Attributes:
-        """Return this daemon's own attributes, as its components last set them."""
-        return tuple(sorted({**dict(table_attributes), **set_here}.items(), key=_ATTRIBUTE_NAME))
+    def _own_attributes(table_attributes: Attributes, local_values: Mapping[str, Any]) -> Attributes:
+        """Return this daemon's attributes: those in the table, overridden by the values that its components last set."""
+        return tuple(sorted({**dict(table_attributes), **local_values}.items(), key=_ATTRIBUTE_NAME))
 
     def _log_changes(self, members: tuple[MemberRecord, ...]) -> list[Effect]:
         before = {member.name for member in self.members}
--- a/silverglade/membership/member.py
+++ b/silverglade/membership/member.py
@@ -1,8 +1,8 @@
 """The membership component of a daemon (design 4).
 
-It keeps the daemon's member record and its copy of the soft state, sends heartbeats to its watchers and watches others, and
-tells the other components who is live. This module dispatches; the parts stand beside it: `published_rows.py`,
-`own_attributes.py`, `failure_detector.py`, `live_members.py`.
+It maintains the daemon's member record and its copy of the soft state, sends heartbeats to its watchers, watches other daemons, and
+notifies the other components which daemons are live. This module dispatches events to the parts in `published_rows.py`,
+`own_attributes.py`, `failure_detector.py` and `live_members.py`.
 """
 
 from __future__ import annotations
@@ -45,11 +45,11 @@
     Rank,
     SoftStateRow,
 )
-from .replicated_table import DeltaServer, Position, ReplicatedTable, covers, pairs
+from .replicated_table import DeltaServer, Position, ReplicatedTable, covers, to_pairs
 from .watchers import watchers_of
 
 SEED_PREFIX = "@"
-"""Begins the name of a core that is known by its address only."""
+"""Prefix of the name of a core of which only the address is known."""
 
 
 class Membership:
@@ -57,8 +57,8 @@
 
     :ivar table: this daemon's copy of the soft state.
     :ivar published: the rows that this daemon publishes.
-    :ivar queried_core: whom this daemon asks for updates: a core, a zone relay, a seed ("@address"), or "" before the first.
-    :ivar has_joined: whether the cores know this process of the daemon.
+    :ivar queried_core: the daemon that this one queries for updates: a core, a zone relay, a seed ("@address"), or "" before the first.
+    :ivar has_joined: whether the cores hold a record of this process of the daemon.
     """
 
     handled_events: ClassVar[tuple[type[Event], ...]] = (
@@ -90,22 +90,22 @@
         self.has_joined = False
         self._name = name
         self._tuning = tuning
-        # what this daemon says of itself, and the state that it is to have once it has joined
+        # this daemon's member record, and the state that it takes once it has joined
         self._record = MemberRecord(name, process_id, 1, 0, zone, region, peer_address, http_address, is_core, MemberState.JOINING.value)
-        self._wanted_state = MemberState.READY.value
+        self._target_state = MemberState.READY.value
         self._queried_core_changes = 0
         self._attributes = OwnAttributes(name=name)
-        # who else is live
+        # liveness of the other daemons
         self._failure_detector = FailureDetector(name=name, published=self.published, tuning=tuning)
         self._live = LiveMembers(own_name=name)
         self._watchers: tuple[str, ...] = ()
-        # for this daemon's zone, should it be the one that asks the cores for all (5.7)
+        # answers the daemons of the zone if this daemon is its zone relay (5.7)
         self._delta_server = DeltaServer(self.table)
-        # when a core last answered; since when the cores' table stands behind this one; whether all rows were sent again for that
-        self._answered_at: timedelta | None = None
+        # when a core last answered; since when the cores' table has lacked rows of this one; whether all rows were resent for that reason
+        self._last_answer_at: timedelta | None = None
         self._ahead_since: timedelta | None = None
         self._sent_all_rows = False
-        # times: of the last timer event, of the next heartbeats (None before the first event), of the wake-up asked for
+        # times: of the last timer event, of the next heartbeats (None before the first event), of the requested wake-up
         self._last_timer = ZERO
         self._next_heartbeats: timedelta | None = None
         self._wake_at = ZERO
@@ -159,13 +159,13 @@
         self._effects.append(WakeAt(self._wake_at))
 
     def _on_pause(self, now: timedelta) -> None:
-        """The process stood still: what was held before is not to be relied on (4.4)."""
+        """Handle a pause of the process: state from before the pause is not reliable (4.4)."""
         paused_for = now - self._last_timer
         self._effects.append(log_record("process-paused", late_ms=to_milliseconds(paused_for)))
         self._effects.append(Broadcast(ProcessPaused()))
         self._failure_detector.on_pause(now)
-        if paused_for <= self._tuning["forget"] and self._answered_at is not None:
-            self._answered_at = now
+        if paused_for <= self._tuning["forget"] and self._last_answer_at is not None:
+            self._last_answer_at = now
 
     def _on_message(self, event: MessageReceived, now: timedelta) -> None:
         match decode(event.body):
@@ -176,7 +176,7 @@
                 self._send_heartbeat(event.sender, HeartbeatKind.ANSWER)
 
     def _on_queried_core(self, core: str) -> None:
-        """Another core is asked from here on: it is told where this daemon is before it is asked."""
+        """Switch to another core; it receives this daemon's record, and with it the address, before the first request."""
         if core == self.queried_core:
             return
         self.queried_core = core
@@ -185,19 +185,19 @@
         self._publish_queried_core()
 
     def _on_delta(self, event: DeltaReceived, now: timedelta) -> None:
-        position = self._take_answer(event.sender, event.delta, now)
+        position = self._apply_answer(event.sender, event.delta, now)
         self._effects.append(Post(Component.UPDATER, PositionReported(position)))
         self._update_members(now)
         self._send_unsent_rows(now)
 
     def _on_published(self, event: SoftStatePublished) -> None:
-        """A component publishes a row; a daemon without a disk takes back only what it published."""
+        """Publish a row for a component; a daemon without a disk publishes tombstones only for rows that it published itself."""
         if event.value is not None or self._record.is_core or (event.kind, event.key) in self.published.rows:
             self.published.publish(event.kind, event.key, event.rank, event.value, event.scope)
 
     def _on_daemon_state(self, state: str, now: timedelta) -> None:
-        """Take on another state; the daemon is ready no sooner than it has joined."""
-        self._wanted_state = state
+        """Change this daemon's state; until it has joined, a state other than leaving or left is only remembered."""
+        self._target_state = state
         if self.has_joined or state in (MemberState.LEAVING, MemberState.LEFT):
             self._record = self._record._replace(state=state)
             self._publish_record()
@@ -205,45 +205,48 @@
             self._live.is_outdated = True
             self._update_members(now)
 
-    # --- what this daemon says
+    # --- rows and heartbeats of this daemon
 
     def _publish_record(self) -> None:
-        """Publish this daemon's record under the next number."""
+        """Publish this daemon's record with the next sequence number."""
         self._record = self._record._replace(sequence=self._record.sequence + 1)
         rank = (self._record.incarnation, self._record.sequence)
         self.published.publish(MEMBER_ROW, self._name, rank, tuple(self._record))
 
     def _publish_queried_core(self) -> None:
-        """Publish whom the cores are to ask about this daemon (4.3)."""
+        """Publish which core receives this daemon's update requests and so can judge its liveness (4.3)."""
         if self.queried_core and not self.queried_core.startswith(SEED_PREFIX):
             self._queried_core_changes += 1
             rank = (self._record.incarnation, self._queried_core_changes)
             self.published.publish(QUERIED_CORE_ROW, self._name, rank, self.queried_core, ALL_CORES)
 
-    def _take_higher_incarnation(self, rank: Rank) -> None:
-        """Overrule a row of this daemon, of this incarnation or a later one, that is not what it says now."""
+    def _raise_incarnation(self, rank: Rank) -> None:
+        """Raise the incarnation above that of an outdated row of this daemon, unless it is higher already.
+
+        :param rank: of the outdated row.
+        """
         seen_incarnation = rank[0]
         if seen_incarnation < self._record.incarnation:
             return
         self._record = self._record._replace(incarnation=seen_incarnation + 1)
-        self._attributes.forget_times()
+        self._attributes.reset_intervals()
         self.published.discard_kinds(ATTRIBUTE_ROW, SUSPICION_ROW)
         self._publish_record()
         self._publish_queried_core()
 
     def _send_rows(self, now: timedelta, *, all_rows: bool = False) -> None:
-        """Send the queried core the rows that are due."""
+        """Send the due rows, or all rows, to the queried core."""
         rows = self.published.take_due(now, self.table, all_rows=all_rows)
         if rows and self.queried_core:
             self._send(self.queried_core, PublishRows(rows))
 
     def _send_unsent_rows(self, now: timedelta) -> None:
-        """Send the rows that are due where one of them was never sent."""
+        """Send the due rows if there is a row that was never sent."""
         if self.published.has_unsent():
             self._send_rows(now)
 
     def _send_heartbeats(self, now: timedelta) -> None:
-        """Send heartbeats to this daemon's watchers (4.2), and a last one to those that are none any more."""
+        """Send heartbeats to this daemon's watchers (4.2), and a last one to each former watcher."""
         live = self._live.by_name()
         watchers = watchers_of(self._name, live, self._tuning["watch"]) if self._name in live else ()
         for daemon in self._watchers:
@@ -252,7 +255,7 @@
         self._watchers = watchers
         for daemon in watchers:
             self._send_heartbeat(daemon, HeartbeatKind.REGULAR)
-        self._failure_detector.forget_gone(live, self.table, now)
+        self._failure_detector.forget_removed(live, self.table, now)
 
     def _send_heartbeat(self, daemon: str, kind: HeartbeatKind) -> None:
         self._send(daemon, Heartbeat(self._record.incarnation, kind))
@@ -260,40 +263,41 @@
     def _send(self, daemon: str, message: Heartbeat | PublishRows) -> None:
         self._effects.append(Send(daemon, message.to_array()))
 
-    # --- what the cores answer
+    # --- answers of the cores
 
-    def _take_answer(self, core: str, delta_array: tuple[Any, ...], now: timedelta) -> Position | None:
-        """Take the soft state of a core's answer (4.3).
+    def _apply_answer(self, core: str, delta_array: tuple[Any, ...], now: timedelta) -> Position | None:
+        """Apply the soft state of a core's answer (4.3).
 
-        :returns: where the table stands now, or None where it did not move.
+        :returns: the position of the table, or None if it has not changed.
         """
-        last_answer, self._answered_at = self._answered_at, now
+        last_answer, self._last_answer_at = self._last_answer_at, now
         if last_answer is not None and now - last_answer > self._tuning["forget"]:
-            # tombstones of that time are gone, so no delta brings them; and some may still hold one of this daemon
-            self._read_table_anew(core)
-            self._take_higher_incarnation((self._record.incarnation,))
-            return pairs(self.table.vector)
+            # tombstones published in the meantime have expired, so no delta contains them, and some daemons may still hold a tombstone
+            # of this daemon
+            self._reset_table(core)
+            self._raise_incarnation((self._record.incarnation,))
+            return to_pairs(self.table.vector)
         if not delta_array:
             return None
         delta = decode_delta(delta_array)
         if delta is None:
-            return pairs(self.table.vector)
+            return to_pairs(self.table.vector)
         self._merge(delta.readable(), now)
         own_row = self.table.rows.get((MEMBER_ROW, self._name))
-        self._overrule_other_process(own_row)
+        self._override_stale_record(own_row)
         if self._name in delta.dead:
-            self._publish_queried_core()  # perhaps the cores ask the wrong one about this daemon
+            self._publish_queried_core()  # the cores may have an outdated row of which core this daemon queries
         self._live.set_dead(frozenset(delta.dead))
         vector = dict(delta.vector)
         if covers(vector, self.table.vector_with_rows()):
-            self._stand_at(vector, delta.dead)
-            self._join_if_known(own_row)
+            self._set_position(vector, delta.dead)
+            self._join_if_acknowledged(own_row)
             return delta.token
         self._on_core_behind(core, now)
-        return pairs(self.table.vector)
+        return to_pairs(self.table.vector)
 
     def _merge(self, rows: list[SoftStateRow], now: timedelta) -> None:
-        """Hold the rows that are new, and tell the components of them."""
+        """Merge rows into the table, and notify the components of the new ones."""
         changed: dict[str, dict[str, tuple[Rank, Any]]] = {}
         for row in self.table.merge(rows, now):
             if row.kind not in (MEMBER_ROW, ATTRIBUTE_ROW):
@@ -305,63 +309,67 @@
         for kind, rows_of_kind in changed.items():
             self._effects.append(Broadcast(SoftStateChanged(kind, rows_of_kind)))
 
-    def _overrule_other_process(self, own_row: SoftStateRow | None) -> None:
-        """The cores hold this daemon for gone, or hold a record of an earlier process of it."""
+    def _override_stale_record(self, own_row: SoftStateRow | None) -> None:
+        """Raise the incarnation if the cores hold a tombstone of this daemon, or a record of an earlier process of it."""
         if own_row is not None and not self._is_of_this_process(own_row):
-            self._take_higher_incarnation(own_row.rank)
+            self._raise_incarnation(own_row.rank)
 
     def _is_of_this_process(self, own_row: SoftStateRow) -> bool:
         return own_row.value is not None and MemberRecord.of(own_row.value).process_id == self._record.process_id
 
-    def _stand_at(self, vector: dict[str, int], dead: tuple[str, ...]) -> None:
-        """The table stands where the core's does."""
+    def _set_position(self, vector: dict[str, int], dead: tuple[str, ...]) -> None:
+        """Set the table's version vector to the core's, all of whose rows the table holds."""
         self.table.vector = vector
         self._ahead_since = None
         self._live.is_frozen = False
         self._sent_all_rows = False
         if not self._record.is_core:
-            self._effects.append(Post(Component.ZONE_RELAY, TablePositionMoved(self._delta_server.move(dead))))
+            self._effects.append(Post(Component.ZONE_RELAY, TablePositionMoved(self._delta_server.update_position(dead))))
 
-    def _join_if_known(self, own_row: SoftStateRow | None) -> None:
-        """The cores know this process of the daemon: it may be ready."""
+    def _join_if_acknowledged(self, own_row: SoftStateRow | None) -> None:
+        """Join, and take the target state, once the cores hold the record of this process."""
         if not self.has_joined and own_row is not None and self._is_of_this_process(own_row):
             self.has_joined = True
-            self._record = self._record._replace(state=self._wanted_state)
+            self._record = self._record._replace(state=self._target_state)
             self._publish_record()
 
     def _on_core_behind(self, core: str, now: timedelta) -> None:
-        """The core's table lacks what this one holds: it is sent this daemon's rows again. If it goes on, the core began anew."""
+        """Handle an answer of a core whose table lacks rows that this one holds.
+
+        This daemon's rows are sent to the core again. If the table still lacks rows afterwards, the core has restarted with an
+        empty table, and this table is fetched again.
+        """
         if self._ahead_since is None:
             self._ahead_since = now
         elif not self._sent_all_rows and now - self._ahead_since >= self._tuning["beat"] / 2:
             self.queried_core, self._sent_all_rows = core, True
             self._send_rows(now, all_rows=True)
         elif now - self._ahead_since > self._tuning["takeover"]:
-            self._read_table_anew(core)
+            self._reset_table(core)
 
-    def _read_table_anew(self, core: str) -> None:
-        """Drop the table, so that a core sends it whole; until then the list of live members stays as it is."""
+    def _reset_table(self, core: str) -> None:
+        """Drop the table, so that a core sends it in full; the list of live members does not change until then."""
         self.table = ReplicatedTable()
         self._delta_server = DeltaServer(self.table)
         self._ahead_since = None
         self._live.is_frozen = self._live.is_outdated = True
         self._effects.append(log_record("soft-state-reset", core=core))
 
-    # --- who is live
+    # --- live members
 
     def _update_members(self, now: timedelta) -> None:
-        """Work out the list of live members again, where it may have changed."""
+        """Compute the list of live members again if it may have changed."""
         gone_after = self._tuning["gone"]
-        last_heard = self._failure_detector.last_heard
+        last_heartbeat = self._failure_detector.last_heartbeat
 
-        def is_heard(daemon: str) -> bool:
-            return daemon in last_heard and now - last_heard[daemon] < gone_after
+        def has_recent_heartbeat(daemon: str) -> bool:
+            return daemon in last_heartbeat and now - last_heartbeat[daemon] < gone_after
 
-        is_isolated = self._answered_at is None or now - self._answered_at > gone_after
+        is_isolated = self._last_answer_at is None or now - self._last_answer_at > gone_after
         self._effects += self._live.update(
             self.table,
             own_record=self._record,
             own_attributes=self._attributes.values,
             is_isolated=is_isolated,
-            is_heard=is_heard,
+            has_recent_heartbeat=has_recent_heartbeat,
         )
--- a/silverglade/membership/messages.py
+++ b/silverglade/membership/messages.py
@@ -1,7 +1,7 @@
-"""The messages of membership, one class a kind (design 4).
+"""The messages of membership, one class for each kind (design 4).
 
-On the wire each is an array of its kind, `TAG`, and its fields in the order given here; transport/message_schemas.py has checked
-the shape before a component sees it. `decode` turns such an array into its class at the door of a component.
+On the wire each message is an array: its kind, `TAG`, then its fields in the order given here. transport/message_schemas.py checks
+the form before a component receives the array, and `decode` turns it into an instance of the class.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 from .replicated_table import Position, VectorPairs
 
 PUBLISHED_FIELDS = 5
-"""Fields of a row as its publisher sends it, without the stamp of a core."""
+"""Number of fields of a row in the form that its publisher sends, without the stamp of a core."""
 
 RowArray = tuple[Any, ...]
-"""A row as it travels."""
+"""A row on the wire."""
 
 Version = tuple[int, int]
 
 
 class HeartbeatKind(IntEnum):
-    """Why a heartbeat was sent."""
+    """The reason for a heartbeat."""
 
     REGULAR = 0
-    LAST = 1  # the receiver is no watcher of the sender any more
-    ANSWER = 2  # to `SuspicionCheck`
+    LAST = 1  # the receiver no longer watches the sender
+    ANSWER = 2  # reply to a `SuspicionCheck`
 
 
 class Heartbeat(Record):
-    """A daemon's sign of life.
+    """A heartbeat of a daemon.
 
-    :ivar kind: a `HeartbeatKind`, or a number of a later program.
+    :ivar kind: a `HeartbeatKind`, or a number that a later version of the software defines.
     """
 
     TAG: ClassVar[str] = "alive"
@@ -42,22 +42,22 @@
     kind: int
 
     def to_array(self) -> tuple[Any, ...]:
-        """Return the message as it travels."""
+        """Return the array for the wire."""
         return (self.TAG, self.incarnation, int(self.kind))
 
 
 class SuspicionCheck(Record):
-    """A core asks a daemon that its watchers suspect for a sign of life."""
+    """A core's request for a heartbeat from a daemon that its watchers suspect."""
 
     TAG: ClassVar[str] = "doubted"
 
     def to_array(self) -> tuple[Any, ...]:
-        """Return the message as it travels."""
+        """Return the array for the wire."""
         return (self.TAG,)
 
 
 class PublishRows(Record):
-    """A daemon's own rows, for a core to take, or for a zone relay to pass on.
+    """The rows that a daemon publishes, sent to a core, or to a zone relay that forwards them.
 
     :ivar rows: arrays of the first five fields of a `SoftStateRow`.
     """
@@ -66,23 +66,23 @@
     rows: tuple[RowArray, ...]
 
     def to_array(self) -> tuple[Any, ...]:
-        """Return the message as it travels."""
+        """Return the array for the wire."""
         return (self.TAG, self.rows)
 
     def readable(self) -> list[SoftStateRow]:
-        """Return the rows that can be read, still without a stamp."""
+        """Return the well-formed rows, without a stamp."""
         return readable_rows([row[:PUBLISHED_FIELDS] for row in self.rows])
 
     def readable_of_kind(self, kind: str) -> list[SoftStateRow]:
-        """Return the rows of one kind that can be read."""
+        """Return the well-formed rows of one kind, without a stamp."""
         return readable_rows([row[:PUBLISHED_FIELDS] for row in self.rows if row[0] == kind])
 
 
 class SyncTables(Record):
-    """Between cores: where the sender's table stands, with rows that the receiver lacks.
+    """Between cores: the version vector of the sender's table, with rows that the receiver lacks.
 
-    :ivar is_complete: 1 where `vector` is the sender's whole version vector, else 0.
-    :ivar base: the vector on which the rows build, as far as it differs from `vector`.
+    :ivar is_complete: 1 if `vector` is the sender's full version vector, else 0.
+    :ivar base: the vector on which the rows build, limited to the entries that differ from `vector`.
     :ivar rows: arrays of `SoftStateRow`.
     """
 
@@ -93,19 +93,19 @@
     rows: tuple[RowArray, ...]
 
     def to_array(self) -> tuple[Any, ...]:
-        """Return the message as it travels."""
+        """Return the array for the wire."""
         return (self.TAG, self.is_complete, self.vector, self.base, self.rows)
 
     def readable(self) -> list[SoftStateRow]:
-        """Return the rows that can be read."""
+        """Return the well-formed rows."""
         return readable_rows(self.rows)
 
 
 class UpdateRequest(Record):
-    """A daemon asks a core, or its zone's relay, for updates after a version.
+    """A daemon's request to a core, or to its zone's relay, for updates after a version.
 
-    :ivar number: of the request, repeated in its answer.
-    :ivar position: where the daemon's table of soft state stands.
+    :ivar number: the request's number, repeated in the answer.
+    :ivar position: the position of the daemon's table of soft state.
     """
 
     TAG: ClassVar[str] = "get"
@@ -115,9 +115,9 @@
 
 
 class Update(Record):
-    """The answer to an `UpdateRequest`; whoever sends it appends a delta of soft state.
+    """The answer to an `UpdateRequest`; the sender appends a delta of soft state.
 
-    :ivar items: (key, version, value) of what the asker lacks.
+    :ivar items: the items that the asker lacks: (key, version, value) each.
     :ivar proof_age_ms: how long ago `version` was proved to be the newest; -1 without a proof.
     :ivar waited_ms: how long the request waited for its answer.
     """
@@ -130,17 +130,17 @@
     waited_ms: int
 
     def to_array(self) -> tuple[Any, ...]:
-        """Return the message as it travels, but for the delta."""
+        """Return the array for the wire, without the delta."""
         return (self.TAG, self.number, self.version, self.items, self.proof_age_ms, self.waited_ms)
 
 
 class Delta(Record):
-    """What an `Update` brings of soft state to a daemon whose table stands elsewhere.
+    """The soft state in an `Update` for a daemon whose table is at another position.
 
-    :ivar token: names `vector` in the daemon's next request.
-    :ivar vector: where the daemon's table stands with the rows, if it holds what they build on.
+    :ivar token: identifies `vector` in the daemon's next request.
+    :ivar vector: the version vector of the daemon's table with these rows, if it holds the rows on which they build.
     :ivar rows: arrays of `SoftStateRow`.
-    :ivar dead: daemons that the core holds for dead.
+    :ivar dead: the daemons that the core considers dead.
     """
 
     token: int
@@ -149,7 +149,7 @@
     dead: tuple[str, ...]
 
     def readable(self) -> list[SoftStateRow]:
-        """Return the rows that can be read."""
+        """Return the well-formed rows."""
         return readable_rows(self.rows)
 
 
@@ -157,7 +157,7 @@
 
 
 def decode_delta(array: tuple[Any, ...]) -> Delta | None:
-    """Return a delta, or None for one that only asks for the whole version vector; an empty array must not come here."""
+    """Return a delta, or None if the array only asks for the full version vector; the array must not be empty."""
     if len(array) < DELTA_FIELDS:
         return None
     return Delta(*array[:DELTA_FIELDS])
@@ -176,7 +176,7 @@
 
 
 def decode(body: tuple[Any, ...]) -> Message | None:
-    """Return the message of an array, or None for one of another kind or an earlier program."""
+    """Return the message of an array, or None if its kind is unknown or its number of fields differs, as in earlier versions."""
     tag, *fields = body
     if len(fields) != _FIELD_COUNTS.get(tag):
         return None
--- a/silverglade/membership/published_rows.py
+++ b/silverglade/membership/published_rows.py
@@ -1,4 +1,4 @@
-"""The rows of soft state that a daemon itself publishes, and when each is sent again (design 4.1)."""
+"""The rows of soft state that a daemon publishes itself, and the times at which they are resent (design 4.1)."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class PublishedRows:
-    """The rows that this daemon publishes, until its table shows that the cores hold them.
+    """The rows that this daemon publishes; a row is resent until the daemon's table shows that the cores hold it.
 
     :ivar rows: by kind and key.
     """
@@ -38,16 +38,16 @@
         return self.rows[self._own_record]
 
     def publish(self, kind: str, key: str, rank: Rank, value: Any, scope: str = "") -> None:
-        """Publish a row; it is due to be sent at once."""
+        """Add or replace a row; it is due at once."""
         self.rows[kind, key] = PublishedRow(rank, value, scope)
         self._sent_at.pop((kind, key), None)
 
     def discard(self, kind: str, key: str) -> None:
-        """Publish a row no longer, without a tombstone."""
+        """Stop publishing a row, without a tombstone."""
         self.rows.pop((kind, key), None)
 
     def discard_kinds(self, *kinds: str) -> None:
-        """Publish no row of these kinds any longer, without tombstones."""
+        """Stop publishing all rows of these kinds, without tombstones."""
         for row_key in [row_key for row_key in self.rows if row_key[0] in kinds]:
             del self.rows[row_key]
 
@@ -56,40 +56,44 @@
         return any(row_key not in self._sent_at for row_key in self.rows)
 
     def take_due(self, now: timedelta, table: ReplicatedTable, *, all_rows: bool = False) -> tuple[tuple[Any, ...], ...]:
-        """Return the rows to be sent now, as arrays, and note that they were sent.
+        """Return the rows that are due, as arrays, and record that they were sent at `now`.
 
         :param table: this daemon's table; a row that it holds has reached the cores.
-        :param all_rows: send all, also those that were sent a moment ago or are held by the cores.
+        :param all_rows: return all rows, including those that were sent recently or are held by the cores.
         """
         due = []
         for row_key, row in list(self.rows.items()):
-            if not all_rows and (self._is_settled(row_key, row, table, now) or self._was_sent_lately(row_key, now)):
+            if not all_rows and (self._is_acknowledged(row_key, row, table, now) or self._was_sent_recently(row_key, now)):
                 continue
             self._sent_at[row_key] = now
             due.append((*row_key, *row))
         return tuple(due)
 
-    def _is_settled(self, row_key: RowKey, row: PublishedRow, table: ReplicatedTable, now: timedelta) -> bool:
-        """Whether a row need not be sent again; one that is outranked, or gone for good, is published no longer."""
+    def _is_acknowledged(self, row_key: RowKey, row: PublishedRow, table: ReplicatedTable, now: timedelta) -> bool:
+        """Whether a row need not be resent now; removes a row that a higher rank supersedes, and a tombstone that the cores hold."""
         held = table.rows.get(row_key)
         if row_key == self._own_record:
             return held is not None and held.rank == row.rank and held.value == row.value
         if held is None:
-            return row.scope == ALL_CORES and row_key in self._sent_at and self._is_sent_to_cores(row_key, row, now)
+            return row.scope == ALL_CORES and row_key in self._sent_at and self._was_sent_to_cores(row_key, row, now)
         if held.rank < row.rank:
             return False
         if held.rank > row.rank or row.value is None:
             del self.rows[row_key]
         return True
 
-    def _is_sent_to_cores(self, row_key: RowKey, row: PublishedRow, now: timedelta) -> bool:
-        """The same for a row for cores alone, of which they send nothing back: it is sent from time to time, a tombstone a few times."""
+    def _was_sent_to_cores(self, row_key: RowKey, row: PublishedRow, now: timedelta) -> bool:
+        """Whether a row scoped to cores need not be resent now.
+
+        Cores do not return such rows, so nothing shows that they hold them. The row with the queried core is not resent; others are
+        resent whenever the tuning "gone" has passed, and a tombstone is then dropped.
+        """
         since_sent = now - self._sent_at[row_key]
         if row.value is None and since_sent > self._tuning["gone"]:
             del self.rows[row_key]
         kind, _ = row_key
         return since_sent < self._tuning["gone"] or kind == QUERIED_CORE_ROW
 
-    def _was_sent_lately(self, row_key: RowKey, now: timedelta) -> bool:
+    def _was_sent_recently(self, row_key: RowKey, now: timedelta) -> bool:
         sent_at = self._sent_at.get(row_key)
         return sent_at is not None and now - sent_at < self._tuning["settle"]
--- a/silverglade/membership/records.py
+++ b/silverglade/membership/records.py
@@ -1,7 +1,7 @@
-"""Records of membership (design 4.1): what a daemon says of itself, and a row of the soft state that carries it.
+"""Records of membership (design 4.1): the member record that a daemon publishes, and the row of soft state that contains it.
 
-Both travel as arrays of their fields in the order given here. A later program may append fields: they are kept where a row is
-passed on, and dropped where it is read.
+On the wire both are arrays of their fields in the order given here. A later version of the software may append fields: they are
+kept when a row is forwarded, and dropped when it is read.
 """
 
 from __future__ import annotations
@@ -13,30 +13,30 @@
 from .attribute_checks import is_valid_attribute
 
 ALL_CORES: Final = "*cores"
-"""Scope of a row that is passed to cores alone."""
+"""Scope of a row that is sent only to cores."""
 
-# kinds of rows that membership itself reads, with the form of their keys and values
+# kinds of rows that membership itself reads, with the format of their keys and values
 
 MEMBER_ROW: Final = "daemon"
 """Key: a daemon; value: the array of its `MemberRecord`."""
 
 ATTRIBUTE_ROW: Final = "extra"
-"""Key: a daemon and the attribute's name (`joined_key`); value: of the attribute."""
+"""Key: a daemon and the attribute's name (`joined_key`); value: the attribute's value."""
 
 SUSPICION_ROW: Final = "doubt"
-"""Key: a daemon and the watcher that suspects it (`joined_key`); value: the incarnation suspected."""
+"""Key: a daemon and the watcher that suspects it (`joined_key`); value: the suspected incarnation."""
 
 QUERIED_CORE_ROW: Final = "via"
-"""Key: a daemon; value: the core (or zone relay) that it asks for updates."""
+"""Key: a daemon; value: the core (or zone relay) that it queries for updates."""
 
-UNHEARD_ROW: Final = "silent"
-"""Key: a daemon; value: its incarnation, and the core that it asked and that has not been asked for long."""
+SILENCE_ROW: Final = "silent"
+"""Key: a daemon; value: its incarnation, and the core that it queries and that has received no request from it for too long."""
 
-# kinds of rows of other components that membership treats in a way of their own
+# kinds of rows of other components that membership treats specially
 
 REPLICA_STATUS_ROW: Final = "status"
 REPLICA_SUSPICION_ROW: Final = "suspect"
-"""Key: a replica and the daemon that suspects it, its last word."""
+"""Key: a replica and, as the last word, the daemon that suspects it."""
 
 REQUIREMENT_ROW: Final = "required"
 """Key: a service and a region (`autoscaling.requirement_rows`); value: how many replicas the region requires."""
@@ -45,11 +45,11 @@
 """Kind and key of a row of soft state."""
 
 Rank = tuple[int, ...]
-"""Of two rows with one key that with the higher rank wins."""
+"""Of two rows with the same key the one with the higher rank wins."""
 
 
 class MemberState(StrEnum):
-    """Where a daemon is in its life. Records hold the plain value."""
+    """A daemon's state in its lifecycle. Records hold the plain value."""
 
     JOINING = "joining"
     READY = "ready"
@@ -58,22 +58,22 @@
 
 
 Attributes = tuple[tuple[str, Any], ...]
-"""Attributes of a member: (name, value) pairs in the order of their names."""
+"""Attributes of a member: (name, value) pairs sorted by name."""
 
 
 class MemberRecord(NamedTuple):
-    """What a daemon says of itself.
+    """The member record that a daemon publishes about itself.
 
     :ivar name: the daemon's name, unique in the fleet.
-    :ivar process_id: a random id of this process of the daemon; another one after each start.
-    :ivar incarnation: raised by the daemon to overrule what others say of it.
-    :ivar sequence: of the record within the incarnation.
-    :ivar peer_address: where it listens for other daemons, HOST:PORT.
-    :ivar http_address: where it serves HTTP, HOST:PORT.
+    :ivar process_id: a random id of the daemon's process; it differs after each start.
+    :ivar incarnation: raised by the daemon to override what others publish about it.
+    :ivar sequence: the number of the record within the incarnation.
+    :ivar peer_address: the address at which it listens for other daemons, HOST:PORT.
+    :ivar http_address: the address at which it serves HTTP, HOST:PORT.
     :ivar is_core: whether it has a disk and takes part in control.
     :ivar state: a `MemberState` value.
-    :ivar suspicions: always empty; an earlier version's field.
-    :ivar attributes: (name, value) pairs in the order of their names; only in the list of live members.
+    :ivar suspicions: always empty; a field of an earlier version of the software.
+    :ivar attributes: (name, value) pairs sorted by name; set only in the list of live members.
     """
 
     name: str
@@ -91,13 +91,13 @@
 
     @classmethod
     def of(cls, row: tuple[Any, ...]) -> MemberRecord:
-        """A record from its array; fields of a later program are dropped."""
+        """Return a record from its array; fields appended by a later version of the software are dropped."""
         if isinstance(row, cls):
             return row
         return cls(*row[:MEMBER_FIELDS])
 
     def attribute(self, name: str, default: Any = None) -> Any:
-        """The value of an attribute, or `default`."""
+        """Return the value of an attribute, or `default` if the member does not have it."""
         return next((value for key, value in self.attributes if key == name), default)
 
     def with_attributes(self, attributes: Attributes) -> MemberRecord:
@@ -106,7 +106,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the daemon takes work."""
+        """Whether the daemon accepts work."""
         return self.state == MemberState.READY
 
 
@@ -114,20 +114,20 @@
 
 
 def members_of(rows: tuple[tuple[Any, ...], ...]) -> tuple[MemberRecord, ...]:
-    """Records from the arrays of a list of members."""
+    """Return the records of a list of members given as arrays."""
     return tuple([MemberRecord.of(row) for row in rows])
 
 
 class SoftStateRow(NamedTuple):
     """A row of soft state.
 
-    :ivar kind: as "daemon", "extra", "replica".
-    :ivar key: within the kind.
-    :ivar rank: the row with the higher rank wins.
+    :ivar kind: for example "daemon", "extra", "replica".
+    :ivar key: unique within the kind.
+    :ivar rank: of two rows with the same kind and key the one with the higher rank wins.
     :ivar value: None for a tombstone.
-    :ivar scope: who is told of it: "" everybody, `ALL_CORES` cores, else the daemons of the region of this name.
-    :ivar origin: process id of the core that took the row first.
-    :ivar number: of the row among those that the origin took.
+    :ivar scope: the receivers: "" all daemons, `ALL_CORES` only cores, otherwise the name of a region: its daemons and the cores.
+    :ivar origin: process id of the core that accepted the row first.
+    :ivar number: the sequence number that the origin gave the row.
     """
 
     kind: str
@@ -140,7 +140,7 @@
 
     @property
     def row_key(self) -> RowKey:
-        """Under which a table holds the row."""
+        """Kind and key, under which a table holds the row."""
         return (self.kind, self.key)
 
 
@@ -151,7 +151,7 @@
 
 
 def is_member_record(value: Any) -> bool:
-    """Whether a value from another daemon is the array of a member record, perhaps with fields of a later program behind it."""
+    """Whether a value from another daemon is the array of a member record; a later version may have appended fields."""
     if not isinstance(value, tuple) or len(value) < len(FIELD_TYPES):
         return False
     if not all(type(field) is field_type for field, field_type in zip(value, FIELD_TYPES)):
@@ -160,8 +160,8 @@
     return record.state in STATES and record.incarnation > 0 and record.sequence >= 0
 
 
-def is_unheard_value(value: Any) -> bool:
-    """Whether a value is (incarnation, core), as `UNHEARD_ROW` holds it."""
+def is_silence_value(value: Any) -> bool:
+    """Whether a value is a pair (incarnation, core), as in a `SILENCE_ROW`."""
     if type(value) is not tuple or len(value) != 2:
         return False
     incarnation, core = value
@@ -169,33 +169,33 @@
 
 
 def is_readable(row: SoftStateRow) -> bool:
-    """Whether a row of a kind that membership itself reads has the form of that kind; rows of other kinds always have."""
-    check = READABLE.get(row.kind)
+    """Whether a row of a kind that membership itself reads is well-formed; rows of other kinds always are."""
+    check = ROW_CHECKS.get(row.kind)
     return check is None or check(row)
 
 
-READABLE: dict[str, Callable[[SoftStateRow], bool]] = {
+ROW_CHECKS: dict[str, Callable[[SoftStateRow], bool]] = {
     MEMBER_ROW: lambda row: row.value is None or is_member_record(row.value) and MemberRecord.of(row.value).name == row.key,
     ATTRIBUTE_ROW: lambda row: " " in row.key and (row.value is None or is_valid_attribute(split_key(row.key)[1], row.value)),
     SUSPICION_ROW: lambda row: " " in row.key and (row.value is None or type(row.value) is int),
     QUERIED_CORE_ROW: lambda row: row.value is None or type(row.value) is str,
-    UNHEARD_ROW: lambda row: row.value is None or is_unheard_value(row.value),
+    SILENCE_ROW: lambda row: row.value is None or is_silence_value(row.value),
 }
-"""For each kind that membership reads, whether a row has its form; a tombstone has."""
+"""For each kind that membership reads, the check that a row is well-formed; a tombstone needs only a well-formed key."""
 
 
 def readable_rows(arrays: Iterable[tuple[Any, ...]]) -> list[SoftStateRow]:
-    """Return the rows of these arrays that can be read; fields of a later program are dropped."""
+    """Return the well-formed rows among these arrays; fields appended by a later version of the software are dropped."""
     rows = [SoftStateRow(*array[: len(SoftStateRow._fields)]) for array in arrays]
     return [row for row in rows if is_readable(row)]
 
 
 def joined_key(first: str, second: str) -> str:
-    """Return the key of a row that speaks of a daemon and something else."""
+    """Return the key of a row that refers to a daemon and to a second name."""
     return f"{first} {second}"
 
 
 def split_key(key: str) -> tuple[str, str]:
-    """Return both parts of a key made by `joined_key`; names of daemons hold no blank."""
+    """Return both parts of a key built by `joined_key`; names of daemons contain no space."""
     first, second = key.split(" ", 1)
     return first, second
--- a/silverglade/membership/rendezvous.py
+++ b/silverglade/membership/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing (design 4.2): every daemon ranks the same nodes alike."""
+"""Rendezvous hashing (design 4.2): every daemon ranks the same nodes in the same order."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def rank_nodes(key: str, nodes: Iterable[str]) -> tuple[str, ...]:
-    """Return the nodes by their scores for a key, the highest first."""
+    """Return the nodes sorted by their scores for a key, the highest first."""
     return tuple(sorted(nodes, key=lambda node: (hash_score(key, node), node), reverse=True))
 
 
 def highest_ranked(key: str, nodes: Iterable[str]) -> str | None:
-    """Return the node with the highest score for a key, or None where there are no nodes."""
+    """Return the node with the highest score for a key, or None if there are no nodes."""
     return max(nodes, key=lambda node: (hash_score(key, node), node), default=None)
--- a/silverglade/membership/replicated_table.py
+++ b/silverglade/membership/replicated_table.py
@@ -1,8 +1,8 @@
-"""The table of soft state (design 4.1): rows that daemons publish, kept by the cores in memory and passed on as deltas.
+"""The table of soft state (design 4.1): rows that daemons publish, held in memory by the cores and replicated as deltas.
 
-The row with the higher rank wins; one without a value is a tombstone. Each row carries a stamp of the core that took it first:
-the core's process id as `origin`, and a `number` that the core raises by one with each row. A version vector, origin to number,
-says which rows a table holds, or newer ones in their place.
+Of two rows with one key the row with the higher rank wins; a row without a value is a tombstone. Each row carries a stamp of the
+core that accepted it first: the core's process id as `origin`, and a `number` that the core raises by one with each row. A table
+with a given version vector (origin to number) holds all rows up to these numbers, or newer rows in their place.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 _ATTRIBUTE_NAME = itemgetter(0)
 
 MAX_KNOWN_POSITIONS = 64
-"""How many version vectors a delta server remembers by their tokens."""
+"""The number of version vectors that a delta server can look up by token; older ones are dropped."""
 
 MAX_RANK_LENGTH = 4
 
 ASK_WITH_VECTOR = -1
-"""The only field of a delta that says: the token is not known here, ask again with the whole version vector."""
+"""The single field of a delta that rejects an unknown token; the asker must repeat its request with the full version vector."""
 
 VersionVector = dict[str, int]
-"""Origin to the highest number that is held of its rows."""
+"""Origin to the highest number of its rows that a table holds."""
 
 VectorPairs = tuple[tuple[str, int], ...]
-"""A version vector as it travels: sorted (origin, number) pairs."""
+"""A version vector on the wire: sorted (origin, number) pairs."""
 
 Position = int | VectorPairs
-"""Where an asker's table stands: the token of a vector, or the vector itself."""
+"""The position of an asker's table: the token of its version vector, or the vector itself."""
 
 
-# --- what other daemons send, checked by transport/message_schemas.py
+# --- checks of values from other daemons, called by transport/message_schemas.py
 
 
 def is_rank(value: Any) -> bool:
@@ -60,7 +60,7 @@
 
 
 def is_published_rows(rows: Any) -> bool:
-    """Whether these are rows as their publisher sends them, without the stamp of a core."""
+    """Whether all these values are rows in the form that publishers send, without the stamp of a core."""
     return all(_is_published_row(row) for row in rows)
 
 
@@ -72,7 +72,7 @@
 
 
 def is_stamped_rows(rows: Any) -> bool:
-    """Whether these are rows as cores pass them on, with the stamp of a core."""
+    """Whether all these values are rows in the form that cores send, with the stamp of a core."""
     return is_published_rows(rows) and all(_has_stamp(row) for row in rows)
 
 
@@ -103,23 +103,26 @@
 # --- version vectors
 
 
-def pairs(vector: Mapping[str, int]) -> VectorPairs:
-    """Return a version vector as it travels."""
+def to_pairs(vector: Mapping[str, int]) -> VectorPairs:
+    """Return a version vector in its form on the wire."""
     return tuple(sorted(vector.items()))
 
 
 def covers(vector: Mapping[str, int], other: Mapping[str, int]) -> bool:
-    """Whether a table that stands at `vector` holds all that one at `other` holds. Numbers begin at 1."""
+    """Whether a table with `vector` holds all rows of a table with `other`. Numbers start at 1."""
     return all(vector.get(origin, 0) >= number for origin, number in other.items())
 
 
 def difference(base: Mapping[str, int], vector: Mapping[str, int]) -> VersionVector:
-    """Return, of the vector on which a delta up to `vector` builds, what is not the same in `vector` itself."""
+    """Return the entries of `base` (0 if missing) for those origins of `vector` at which the two differ.
+
+    They accompany a delta that leads from `base` to `vector`.
+    """
     return {origin: base.get(origin, 0) for origin, number in vector.items() if base.get(origin, 0) != number}
 
 
 def supersedes(row: SoftStateRow, held: SoftStateRow | None) -> bool:
-    """Whether a row is to be held rather than another; of one rank, whichever all daemons choose alike."""
+    """Whether a row replaces the held one. Rows of equal rank are ordered by the text of their values, so that all daemons agree."""
     if held is None or row.rank > held.rank:
         return True
     return row.rank == held.rank and repr(row.value) > repr(held.value)
@@ -130,33 +133,33 @@
 
 
 class ReplicatedTable:
-    """Rows of soft state and the version vector of what is held.
+    """Rows of soft state and their version vector.
 
-    :ivar process_id: of the core that stamps rows here; empty in a daemon that only receives them.
+    :ivar process_id: the process id with which a core stamps rows; empty in a daemon that only receives them.
     :ivar rows: by kind and key.
-    :ivar vector: where the table stands.
-    :ivar tombstones: rows without a value, and since when they are held.
+    :ivar vector: the version vector.
+    :ivar tombstones: the keys of rows without a value, and since when the table has held them.
     """
 
-    __slots__ = ("process_id", "rows", "vector", "tombstones", "_attribute_values", "_attributes", "_keys", "_members")
+    __slots__ = ("process_id", "rows", "vector", "tombstones", "_attribute_values", "_attributes", "_keys_by_stamp", "_members")
 
     def __init__(self, *, process_id: str = "") -> None:
         self.process_id = process_id
         self.rows: dict[RowKey, SoftStateRow] = {}
         self.vector: VersionVector = {}
         self.tombstones: dict[RowKey, timedelta] = {}
-        self._keys: dict[str, dict[int, RowKey]] = {}  # origin -> number -> which row has this stamp
+        self._keys_by_stamp: dict[str, dict[int, RowKey]] = {}  # origin -> number -> key of the row with this stamp
         self._members: dict[str, MemberRecord | None] = {}  # the member rows, decoded; None for a tombstone
-        self._attribute_values: dict[str, dict[str, Any]] = {}  # the attribute rows that have a value: daemon -> name -> value
-        self._attributes: dict[str, Attributes] = {}  # the same as they are asked for; a daemon is missing until then
+        self._attribute_values: dict[str, dict[str, Any]] = {}  # attribute rows with a value: daemon -> name -> value
+        self._attributes: dict[str, Attributes] = {}  # cache of `attributes_of`, filled on demand
 
     def _set(self, row: SoftStateRow, now: timedelta) -> None:
         key = row.row_key
         old = self.rows.get(key)
         if old is not None:
-            self._keys[old.origin].pop(old.number, None)
+            self._keys_by_stamp[old.origin].pop(old.number, None)
         self.rows[key] = row
-        self._keys.setdefault(row.origin, {})[row.number] = key
+        self._keys_by_stamp.setdefault(row.origin, {})[row.number] = key
         if row.kind == MEMBER_ROW:
             self._members[row.key] = MemberRecord.of(row.value) if row.value is not None else None
         elif row.kind == ATTRIBUTE_ROW:
@@ -167,7 +170,7 @@
             self.tombstones.pop(key, None)
 
     def _set_attribute(self, row: SoftStateRow) -> None:
-        """Note an attribute of a daemon, or that it has none of this name any more."""
+        """Set an attribute of a daemon, or remove it if the row is a tombstone."""
         daemon, name = split_key(row.key)
         values = self._attribute_values.setdefault(daemon, {})
         if row.value is not None:
@@ -178,10 +181,10 @@
         if not values:
             del self._attribute_values[daemon]
 
-    def take(self, row: SoftStateRow, now: timedelta) -> bool:
-        """Hold a publisher's row with a stamp of this core.
+    def insert(self, row: SoftStateRow, now: timedelta) -> bool:
+        """Insert a publisher's row with a stamp of this core.
 
-        :returns: False when the row does not supersede what is held.
+        :returns: False if the row does not supersede the held one.
         """
         if not supersedes(row, self.rows.get(row.row_key)):
             return False
@@ -191,9 +194,9 @@
         return True
 
     def merge(self, rows: Iterable[SoftStateRow], now: timedelta) -> list[SoftStateRow]:
-        """Hold rows with their stamps, as another core passed them on.
+        """Insert rows that another core sent, with their stamps.
 
-        :returns: those that superseded what was held.
+        :returns: the rows that superseded the held ones.
         """
         new = []
         for row in rows:
@@ -202,20 +205,20 @@
                 new.append(row)
         return new
 
-    def adopt(self, vector: Mapping[str, int]) -> None:
-        """Stand at least at `vector`, all of whose rows are held."""
+    def advance_to(self, vector: Mapping[str, int]) -> None:
+        """Raise the version vector to at least `vector`; the table must hold all rows that `vector` covers."""
         for origin, number in vector.items():
             if number > self.vector.get(origin, -1):
                 self.vector[origin] = number
 
     def rows_since(self, vector: Mapping[str, int], is_wanted: Callable[[SoftStateRow], bool] = _any_row) -> tuple[tuple[Any, ...], ...]:
-        """Return the rows that a table at `vector` lacks, as arrays ready to be sent."""
+        """Return the rows that a table with this version vector lacks, as arrays for the wire."""
         lacking = []
-        for origin, keys in self._keys.items():
+        for origin, keys in self._keys_by_stamp.items():
             known = vector.get(origin, -1)
             if self.vector.get(origin, 0) <= known or not keys:
                 continue
-            for number in reversed(keys):  # mostly in order; merges may come out of it
+            for number in reversed(keys):  # merged rows may be out of order; rows stamped here never are
                 if number > known:
                     row = self.rows[keys[number]]
                     if is_wanted(row):
@@ -225,52 +228,54 @@
         return tuple(lacking)
 
     def drop_tombstones(self, now: timedelta, keep: timedelta) -> None:
-        """Forget the tombstones that were held for longer than `keep`."""
+        """Drop the tombstones that have been held for longer than `keep`."""
         for key in [key for key, since in self.tombstones.items() if now - since > keep]:
             row = self.rows.pop(key)
-            self._keys[row.origin].pop(row.number, None)
+            self._keys_by_stamp[row.origin].pop(row.number, None)
             del self.tombstones[key]
             if row.kind == MEMBER_ROW:
                 del self._members[row.key]
 
     def drop_origins(self, live: Collection[str]) -> None:
-        """Forget the origins that no row speaks of any more, but this core's own and those of `live` processes."""
-        unused = [origin for origin in self.vector if origin not in live and origin != self.process_id and not self._keys.get(origin)]
+        """Remove from the vector the origins without rows, except this core's own and those of `live` processes."""
+        unused = [
+            origin for origin in self.vector if origin not in live and origin != self.process_id and not self._keys_by_stamp.get(origin)
+        ]
         for origin in unused:
             del self.vector[origin]
-            self._keys.pop(origin, None)
+            self._keys_by_stamp.pop(origin, None)
 
     def vector_with_rows(self) -> VersionVector:
-        """Return the part of the vector that rows still held carry."""
-        return {origin: number for origin, number in self.vector.items() if self._keys.get(origin)}
+        """Return the part of the vector whose origins have rows in the table."""
+        return {origin: number for origin, number in self.vector.items() if self._keys_by_stamp.get(origin)}
 
     def token(self, *more: Any) -> int:
-        """Return a short name of where the table stands, and of `more`."""
-        return crc32(repr((pairs(self.vector), more)).encode())
+        """Return a checksum that identifies the version vector together with `more`."""
+        return crc32(repr((to_pairs(self.vector), more)).encode())
 
     def rows_of_kind(self, kind: str) -> dict[str, SoftStateRow]:
         """Return the rows of one kind by their keys."""
         return {key: row for (row_kind, key), row in self.rows.items() if row_kind == kind}
 
     def members(self) -> dict[str, MemberRecord]:
-        """Return the records of all daemons that the table speaks of, by name."""
+        """Return the records of all daemons in the table, by name."""
         return {name: record for name, record in self._members.items() if record is not None}
 
     def attributes_of(self, daemon: str) -> Attributes:
-        """Return the attributes of a daemon in the order of their names; the same object until one of them changes."""
+        """Return the attributes of a daemon sorted by name; the same object until one of them changes."""
         if daemon not in self._attributes and daemon in self._attribute_values:
             self._attributes[daemon] = tuple(sorted(self._attribute_values[daemon].items(), key=_ATTRIBUTE_NAME))
         return self._attributes.get(daemon, ())
 
     def member(self, name: str) -> MemberRecord | None:
-        """Return the record of a daemon, or None."""
+        """Return the record of a daemon, or None if the table has none."""
         return self._members.get(name)
 
 
 class DeltaServer:
-    """Answers askers from a table, each by a delta from where its own table stands.
+    """Answers update requests with deltas from the asker's position to that of a table.
 
-    :ivar position: token of where answers bring an asker; None before `move` was called.
+    :ivar position: token of the position to which deltas lead; None before the first call of `update_position`.
     """
 
     __slots__ = ("position", "_table", "_dead", "_vectors", "_cache")
@@ -282,8 +287,8 @@
         self._vectors: dict[int, VersionVector] = {}  # token -> vector
         self._cache: dict[tuple[Position, str | None], tuple[tuple[Any, ...], ...]] = {}  # (position, region) -> rows
 
-    def move(self, dead: tuple[str, ...]) -> int:
-        """Note that the table has changed, or that others are dead.
+    def update_position(self, dead: tuple[str, ...]) -> int:
+        """Make the current state of the table, with these dead daemons, the position to which deltas lead.
 
         :returns: the token of the new position.
         """
@@ -298,7 +303,8 @@
     def answer(self, daemon: str, position: Position) -> tuple[Any, ...]:
         """Return the delta for a daemon, as an array.
 
-        :param position: where the daemon's table stands; for one with a token that is not known here the delta asks for its vector.
+        :param position: of the daemon's table; if it is an unknown token, the delta asks for the version vector.
+        :returns: an empty array if the daemon's table is at the current position.
         """
         if self.position is None or position == self.position:
             return ()
@@ -306,13 +312,13 @@
             return (ASK_WITH_VECTOR,)
         asker = self._table.member(daemon)
         region = asker.region if asker is not None else None
-        cached = (position, region)
-        if cached not in self._cache:
-            self._cache[cached] = self._rows_for(region, position)
-        return (self.position, pairs(self._vectors[self.position]), self._cache[cached], self._dead)
+        cache_key = (position, region)
+        if cache_key not in self._cache:
+            self._cache[cache_key] = self._rows_for(region, position)
+        return (self.position, to_pairs(self._vectors[self.position]), self._cache[cache_key], self._dead)
 
     def _rows_for(self, region: str | None, position: Position) -> tuple[tuple[Any, ...], ...]:
-        """Return the rows that a daemon of this region lacks at this position; one whose region is not known is sent those of all."""
+        """Return the rows that a daemon of this region lacks at this position; without a known region it gets the rows of all regions."""
 
         def is_wanted(row: SoftStateRow) -> bool:
             return row.scope in ("", region) or region is None and row.scope != ALL_CORES
--- a/silverglade/membership/zone_relay.py
+++ b/silverglade/membership/zone_relay.py
@@ -1,6 +1,6 @@
 """The zone relay component (design 5.7).
 
-In a zone without a core one daemon asks a core for all others, so that each change comes into the zone once.
+In a zone without a core one daemon queries a core on behalf of the others, so that each change is sent to the zone only once.
 """
 
 from __future__ import annotations
@@ -31,17 +31,17 @@
 from .rendezvous import highest_ranked
 
 MAX_PENDING_MESSAGES = 1024
-"""Messages with rows that wait for a core to be asked again; beyond it the oldest are dropped."""
+"""Maximum number of messages with rows that wait until a core is queried again; beyond it the oldest are dropped."""
 
 MAX_DAEMONS_WITHOUT_RELAY = 6
-"""In a zone of so many daemons each asks a core itself."""
+"""In a zone of at most so many daemons each queries a core itself."""
 
 NO_PROOF = -1
-"""`Update.proof_age_ms` where no proof is held."""
+"""Value of `Update.proof_age_ms` without a proof."""
 
 
 def relay_of_zone(zone: str, members: Iterable[MemberRecord]) -> str | None:
-    """Return the daemon that asks the cores for all of a zone, or None where each asks itself."""
+    """Return the daemon that queries the cores on behalf of a zone, or None if each of its daemons queries them itself."""
     in_zone = [member for member in members if member.zone == zone]
     if len(in_zone) <= MAX_DAEMONS_WITHOUT_RELAY or any(member.is_core for member in in_zone):
         return None
@@ -49,7 +49,7 @@
 
 
 class PendingRequest(Record):
-    """A request for updates that is held until there are some."""
+    """A request for updates that is held until there are updates."""
 
     received_at: timedelta
     daemon: str
@@ -57,7 +57,7 @@
 
 
 class PendingRows(Record):
-    """Rows that a daemon of the zone published while no core was asked."""
+    """Rows that a daemon of the zone published while this daemon queried no core."""
 
     received_at: timedelta
     message: PublishRows
@@ -66,9 +66,9 @@
 class ZoneRelay:
     """The zone relay component as a state machine.
 
-    It answers with what the updater has received, as a core would, and passes rows that daemons publish to the core that is
-    asked. Pending requests are answered when the proof of the store is renewed, which happens about once in the tuning
-    "ask_wait": so an answer never adds the relay's own wait to the age of that proof.
+    It answers requests as a core would, from the items that this daemon's updater has received, and forwards the rows that daemons
+    publish to the queried core. Pending requests are answered when the proof of the store is renewed, about once per tuning
+    "ask_wait", so that the wait of a request at the relay does not add to the age of the proof.
     """
 
     handled_events: ClassVar[tuple[type[Event], ...]] = (
@@ -84,19 +84,19 @@
 
     def __init__(self, *, zone: str, tuning: Mapping[str, Any]) -> None:
         self._zone = zone
-        # whom it answers: other regions are sent other rows
+        # only daemons of the zone are answered, because the rows sent depend on the region
         self._daemons_in_zone: set[str] = set()
-        # the core that this daemon asks; "" while it asks none, but another relay
+        # the core that this daemon queries; "" while it queries another relay instead
         self._core = ""
-        # what control has acknowledged, as far as received, and when that was last proved to be the newest
+        # the acknowledged items received from control, their version, and when that was last proved to be the newest
         self._store: dict[str, tuple[Version, Any]] = {}
         self._version: Version = replicated_state.INITIAL_VERSION
         self._proved_at: timedelta | None = None
-        # where this daemon's table of soft state stands
+        # the position of this daemon's table of soft state
         self._position: int | None = None
         self._requests: list[PendingRequest] = []
         self._pending_rows: deque[PendingRows] = deque(maxlen=MAX_PENDING_MESSAGES)
-        # a request is answered after, and was given up by its sender after
+        # the time after which a request is answered in any case, and the time after which its sender has given it up
         self._answer_after: timedelta = tuning["ask_wait"] + tuning["beat"]
         self._drop_after: timedelta = tuning["ask_wait"] + 2 * tuning["beat"]
         self._effects: list[Effect] = []
@@ -137,12 +137,12 @@
                 self._requests.append(PendingRequest(now, event.sender, request))
                 self._answer(now)
             case PublishRows() as message if self._core:
-                self._pass_on(message)
+                self._forward_rows(message)
             case PublishRows() as message:
                 self._pending_rows.append(PendingRows(now, message))
 
     def _on_items(self, event: ItemsReceived, now: timedelta) -> None:
-        """An answer of a core brought newer items."""
+        """Store newer items from a core's answer."""
         for key, version, value in event.items:
             held_version, _ = self._store.get(key, (replicated_state.INITIAL_VERSION, None))
             if version > held_version:
@@ -158,15 +158,15 @@
             self._answer(now, proof_is_new=True)
 
     def _on_core(self, event: RelayedCoreChanged, now: timedelta) -> None:
-        """Another daemon is asked from here on; while it is another relay, requests and rows wait."""
+        """Switch to another daemon: forward pending rows if it is a core; requests and rows wait while it is another relay."""
         self._core = event.daemon if event.is_core else ""
         while self._core and self._pending_rows:
             pending = self._pending_rows.popleft()
             if now - pending.received_at < self._drop_after:
-                self._pass_on(pending.message)
+                self._forward_rows(pending.message)
 
     def _answer(self, now: timedelta, *, proof_is_new: bool = False) -> None:
-        """Answer the requests for which there are updates, or that have waited long enough; none while no core is asked."""
+        """Answer the requests for which there are updates or whose wait is over, unless no core is queried."""
         self._requests = [pending for pending in self._requests if now - pending.received_at < self._drop_after]
         if not self._core or not self._requests:
             return
@@ -186,7 +186,7 @@
         return self._position is not None and self._position != request.position
 
     def _answer_to(self, pending: PendingRequest, age_ms: int, now: timedelta) -> Effect:
-        """Return the answer, to which membership appends the soft state that the daemon lacks."""
+        """Return the effect that answers a request; membership appends the soft state that the daemon lacks."""
         request = pending.request
         items = replicated_state.items_since(self._store, request.version)
         waited_ms = to_milliseconds(now - pending.received_at)
@@ -194,13 +194,13 @@
         return Post(Component.MEMBERSHIP, AnswerRequested(pending.daemon, update.to_array(), request.position))
 
     def _proof_age_ms(self, now: timedelta) -> int:
-        """Return the age of the proof, rounded up: it is said to be no younger than it is."""
+        """Return the age of the proof in milliseconds, rounded up so that the proof never appears newer than it is."""
         if self._proved_at is None:
             return NO_PROOF
         return -((self._proved_at - now) // milliseconds(1))
 
-    def _pass_on(self, message: PublishRows) -> None:
-        """Send the core rows of a daemon of the zone, and note the addresses among them."""
+    def _forward_rows(self, message: PublishRows) -> None:
+        """Forward rows of a daemon of the zone to the core, and set the peer addresses that they contain."""
         for row in message.readable_of_kind(MEMBER_ROW):
             if row.value is not None:
                 self._effects.append(SetPeerAddress(row.key, MemberRecord.of(row.value).peer_address))
--- a/tests/autoscaling/test_requirement_rows.py
+++ b/tests/autoscaling/test_requirement_rows.py
@@ -91,9 +91,9 @@
 
 def test_a_core_collects_these_rows_before_it_answers_the_fleet():
     rows = CoreRows(process_id="p")
-    rows.take([SoftStateRow(REQUIREMENT_ROW, "s/m", (1,), (1, 1, False, "a"), "")], 0 * SECOND)
+    rows.insert([SoftStateRow(REQUIREMENT_ROW, "s/m", (1,), (1, 1, False, "a"), "")], 0 * SECOND)
     assert rows.has_changed and not rows.has_urgent_change
-    rows.take([SoftStateRow("listed", "r", (0, 1), None, "")], 0 * SECOND)
+    rows.insert([SoftStateRow("listed", "r", (0, 1), None, "")], 0 * SECOND)
     assert rows.has_urgent_change
 
 
--- a/tests/membership/test_live_members.py
+++ b/tests/membership/test_live_members.py
@@ -39,12 +39,12 @@
         else:
             value = rng.choice((None, step, "x"))
             row = SoftStateRow(ATTRIBUTE_ROW, joined_key(name, rng.choice(("news", "front", "pace"))), (step,), value, "", "", 0)
-        table.take(row, now)
+        table.insert(row, now)
         if rng.random() < 0.2:
             table.drop_tombstones(now, timedelta(seconds=rng.choice((0, 3))))
         live.is_outdated = True
         own = {"news": step}
-        live.update(table, own_record=record("d1", 0), own_attributes=own, is_isolated=False, is_heard=lambda name: True)
+        live.update(table, own_record=record("d1", 0), own_attributes=own, is_isolated=False, has_recent_heartbeat=lambda name: True)
         listed = {member.name: member.attributes for member in live.members}
         held = {name: member for name, member in table.members().items() if member.state != "left"}
         assert set(listed) == set(held) | {"d1"}
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -5,7 +5,7 @@
 import pytest
 
 from silverglade.membership import core_table
-from silverglade.membership.own_attributes import is_notable_change
+from silverglade.membership.own_attributes import is_significant_change
 from silverglade.membership.records import ALL_CORES, SoftStateRow, readable_rows
 from silverglade.membership.replicated_table import ReplicatedTable, covers, supersedes
 from silverglade.membership.zone_relay import ZoneRelay, relay_of_zone
@@ -52,7 +52,7 @@
 
 
 def test_with_records_told_at_each_beat_the_cost_grows(monkeypatch):
-    guard = "if row is not None and not is_notable_change(attribute, row.value, value):"
+    guard = "if row is not None and not is_significant_change(attribute, row.value, value):"
     without(monkeypatch, "silverglade.membership.own_attributes", guard, "if False:", "silverglade.membership.member.OwnAttributes")
     a, b = (measure(daemons=n, secs=5)["mean"] for n in (12, 60))
     assert b > 2 * a
@@ -287,7 +287,7 @@
             n += 1
             key = f"k{rng.randrange(12)}"
             row = SoftStateRow("thing", key, (rng.randrange(30), n % 3), rng.choice((None, n, "x")), "")
-            c.t.take(row, ZERO)
+            c.t.insert(row, ZERO)
             if supersedes(row, truth.get(key)):
                 truth[key] = row
         elif k < 0.8:  # a delta leaves, and may arrive late, twice or never
@@ -298,15 +298,15 @@
             d, lacks, vec, rows = rng.choice(ways)
             d.t.merge(rows, ZERO)
             if covers(d.t.vector, lacks):
-                d.t.adopt(vec)
+                d.t.advance_to(vec)
         if rng.random() < 0.1:
             asker.merge(rows_since(c.t, asker.vector), ZERO)
-            asker.adopt(c.t.vector)
+            asker.advance_to(c.t.vector)
     for _ in range(2):
         for c in cores:
             for d in cores:
                 d.t.merge(rows_since(c.t, d.t.vector), ZERO)
-                d.t.adopt(c.t.vector)
+                d.t.advance_to(c.t.vector)
     snap = ReplicatedTable()
     snap.merge(rows_since(cores[0].t, {}), ZERO)
     asker.merge(rows_since(cores[0].t, asker.vector), ZERO)
@@ -316,8 +316,8 @@
 
 def test_a_vector_adopted_without_its_rows_loses_some():
     a, b = ReplicatedTable(process_id="a"), ReplicatedTable(process_id="b")
-    a.take(SoftStateRow("thing", "k", (1,), 1, ""), ZERO)
-    b.adopt(a.vector)  # the breach: what covers() guards against
+    a.insert(SoftStateRow("thing", "k", (1,), 1, ""), ZERO)
+    b.advance_to(a.vector)  # the breach: what covers() guards against
     b.merge(rows_since(a, b.vector), ZERO)
     assert b.rows != a.rows
 
@@ -325,10 +325,10 @@
 def test_tombstones_go_after_a_while_and_with_them_origins_that_nobody_speaks_of():
     t = ReplicatedTable(process_id="a")
     t.merge((SoftStateRow("thing", "k", (1,), 1, "", "old", 4),), ZERO)
-    t.adopt({"old": 4})
+    t.advance_to({"old": 4})
     t.drop_origins({"a"})
     assert t.vector == {"old": 4}
-    t.take(SoftStateRow("thing", "k", (2,), None, ""), ZERO)
+    t.insert(SoftStateRow("thing", "k", (2,), None, ""), ZERO)
     t.drop_tombstones(9 * SEC, 10 * SEC)
     assert len(t.rows) == 1
     t.drop_tombstones(11 * SEC, 10 * SEC)
@@ -365,11 +365,11 @@
 
 
 def test_a_changed_count_is_told_when_it_is_a_fifth_off():
-    assert not is_notable_change("pace", (100, 10), (110, 11)) and is_notable_change("pace", (100, 10), (130, 10))
-    assert is_notable_change("pace", (0, 0), (1, 0)) and is_notable_change("view", (1, "a", "b"), (2, "a", "b"))
+    assert not is_significant_change("pace", (100, 10), (110, 11)) and is_significant_change("pace", (100, 10), (130, 10))
+    assert is_significant_change("pace", (0, 0), (1, 0)) and is_significant_change("view", (1, "a", "b"), (2, "a", "b"))
     a = (("model", 3, 1.0, 4.0, 0.1, True),)
-    assert not is_notable_change("parts", a, (("model", 3, 1.0, 4.4, 0.1, True),))
-    assert is_notable_change("parts", a, (("model", 4, 1.3, 4.0, 0.1, True),)) and milliseconds(1) > ZERO
+    assert not is_significant_change("parts", a, (("model", 3, 1.0, 4.4, 0.1, True),))
+    assert is_significant_change("parts", a, (("model", 4, 1.3, 4.0, 0.1, True),)) and milliseconds(1) > ZERO
 
 
 def test_an_idle_daemon_is_woken_for_what_is_due_alone(monkeypatch):
