--- a/tests/configuration/test_reload.py
+++ b/tests/configuration/test_reload.py
@@ -9,7 +9,7 @@
 from silverglade.testbed.simulator.scenario import Scene
 from silverglade.testbed.sites import TOWNS
 
-from ..membership.test_membership import rolls, until
+from ..membership.test_membership import member_counts, until
 
 BASE = dict(name="e", zone="z", region="r", listen="127.0.0.1:1", http="127.0.0.1:2", seeds=["127.0.0.1:3"], cores=["a", "b", "c"])
 NEW = dict(seeds=["127.0.0.1:4", "127.0.0.1:5"], cores=["a", "d", "f"], first=False)
@@ -100,7 +100,7 @@
     s.w.run(8)
     assert len(n.members) == 1  # nobody that it knows to ask is there
     n.feed(("seeds", tuple(s.w.nodes[c].addr for c in ("core-south", "core-second"))))
-    assert until(s, lambda: rolls(s) == {6}) < 6
+    assert until(s, lambda: member_counts(s) == {6}) < 6
     s.put(at=name)
     s.w.run(3)
     assert s.o.acked[-1][-1] == n.store["config"][0] and s.o.faults == []
--- a/tests/membership/test_directory.py
+++ b/tests/membership/test_directory.py
@@ -1,4 +1,4 @@
-"""Whom the directory names (design 15.7)."""
+"""The daemons that the directory returns to clients (design 15.7)."""
 
 import pytest
 
@@ -10,46 +10,56 @@
 
 
 def record(name, zone, state="ready", serves=True):
-    """A daemon as the roll has it."""
-    extras = (("front", f"{name}:80"), ("serves", serves))
-    return MemberRecord(name, "life", 1, 1, zone, ZONES[zone]["region"], "", "", False, state, (), extras)
+    """Return the record of a daemon in the list of live members."""
+    attributes = (("front", f"{name}:80"), ("serves", serves))
+    return MemberRecord(name, "life", 1, 1, zone, ZONES[zone]["region"], "", "", False, state, (), attributes)
 
 
-def configured(*homes):
-    rows = [route(f"r{i}", prefix=f"/r{i}/", homes=list(h)) for i, h in enumerate(homes)]
-    got, bad = config.parse_configuration(dict(number=1, zones=ZONES, tenants={}, routes=rows, services={"s": dict(conns=9, slots=8)}))
-    assert not bad, bad
-    return got
+def configuration_with_homes(*homes):
+    """Return a configuration with one route for each list of home regions."""
+    routes = [route(f"r{i}", prefix=f"/r{i}/", homes=list(regions)) for i, regions in enumerate(homes)]
+    parsed, faults = config.parse_configuration(
+        dict(number=1, zones=ZONES, tenants={}, routes=routes, services={"s": dict(conns=9, slots=8)})
+    )
+    assert not faults, faults
+    return parsed
 
 
-ROLL = [record("a", "a1"), record("aa", "a1"), record("b", "b1"), record("c", "c1")]
+MEMBERS = [record("a", "a1"), record("aa", "a1"), record("b", "b1"), record("c", "c1")]
 
 
-def ask(roll, configuration, zone="a1", host="h"):
+def listed_for(members, configuration, zone="a1", host="h"):
+    """Return the names of the daemons that the directory returns to a client, sorted."""
     return sorted(
-        x.removesuffix(":80") for x in addresses_for_client(roll, configuration, host=host, region=ZONES[zone]["region"], zone=zone)
+        address.removesuffix(":80")
+        for address in addresses_for_client(members, configuration, host=host, region=ZONES[zone]["region"], zone=zone)
     )
 
 
-def test_the_zone_goes_first_then_the_region():
-    assert ask(ROLL, configured(())) == ["a", "aa"]
-    assert ask(ROLL, configured(()), zone="b1") == ["b"]
+def test_daemons_of_the_zone_come_before_those_of_the_region():
+    assert listed_for(MEMBERS, configuration_with_homes(())) == ["a", "aa"]
+    assert listed_for(MEMBERS, configuration_with_homes(()), zone="b1") == ["b"]
 
 
 @pytest.mark.parametrize("state", ["joining", "leaving", "left"])
-def test_who_is_not_ready_is_not_named(state):
-    assert ask([record("a", "a1", state), *ROLL[1:]], configured(())) == ["aa"]
-
-
-def test_where_nobody_is_near_the_homes_of_the_host_go_before_all_others():
-    away = [record("a", "a1", "leaving"), record("aa", "a1", serves=False), *ROLL[2:]]
-    assert ask(away, configured(("c",))) == ["c"]
-    assert ask(away, configured(("b", "c"), ("c",))) == ["c"]  # what all have in common
-    assert ask(away, configured(("b",), ("c",))) == ["b", "c"]
-    assert ask(away, configured(())) == ask(away, None) == ask(away, configured(("a",))) == ["b", "c"]
-    assert ask(away, configured(("c",)), host="other") == ["b", "c"]
+def test_a_daemon_that_is_not_ready_is_not_listed(state):
+    assert listed_for([record("a", "a1", state), *MEMBERS[1:]], configuration_with_homes(())) == ["aa"]
+
+
+def test_without_daemons_in_the_region_those_of_the_home_regions_are_listed():
+    unavailable = [record("a", "a1", "leaving"), record("aa", "a1", serves=False), *MEMBERS[2:]]
+    assert listed_for(unavailable, configuration_with_homes(("c",))) == ["c"]
+    assert listed_for(unavailable, configuration_with_homes(("b", "c"), ("c",))) == ["c"]  # the home region common to all routes
+    assert listed_for(unavailable, configuration_with_homes(("b",), ("c",))) == ["b", "c"]
+    assert (
+        listed_for(unavailable, configuration_with_homes(()))
+        == listed_for(unavailable, None)
+        == listed_for(unavailable, configuration_with_homes(("a",)))
+        == ["b", "c"]
+    )
+    assert listed_for(unavailable, configuration_with_homes(("c",)), host="other") == ["b", "c"]
 
 
-def test_the_homes_of_a_host():
-    assert home_regions(configured(("a", "b"), ("b", "c"), ()), "H") == {"b"}
-    assert not home_regions(None, "h") and not home_regions(configured(("a",)), "x")
+def test_home_regions_of_a_host():
+    assert home_regions(configuration_with_homes(("a", "b"), ("b", "c"), ()), "H") == {"b"}
+    assert not home_regions(None, "h") and not home_regions(configuration_with_homes(("a",)), "x")
--- a/tests/membership/test_live_members.py
+++ b/tests/membership/test_live_members.py
@@ -1,4 +1,4 @@
-"""The list of live members is worked out from what changed, and is the same as from the whole table (design 4.3)."""
+"""The list of live members, computed incrementally, equals the list computed from the whole table (design 4.3)."""
 
 import random
 from datetime import timedelta
@@ -19,7 +19,7 @@
 
 
 def scanned(table, name):
-    """The attributes of a daemon, read from all rows."""
+    """Return the attributes of a daemon, read from all rows of the table."""
     found = {
         key.split(" ", 1)[1]: row.value
         for (kind, key), row in table.rows.items()
@@ -29,7 +29,7 @@
 
 
 def play(seed, table_class=ReplicatedTable):
-    """Rows come, change and go; after each the list is compared with the whole table."""
+    """Insert, change and remove random rows, and compare the list with the whole table after each."""
     rng, table, live = random.Random(seed), table_class(process_id="p"), LiveMembers(own_name="d1")
     for step in range(1, 120):
         now = timedelta(seconds=step)
@@ -53,13 +53,13 @@
             assert listed[name] == expected
 
 
-# A list that is made from what changed may miss a change: a daemon would be taken for what it was.
+# An incremental computation that misses a change would list a daemon with outdated attributes.
 @pytest.mark.parametrize("seed", range(20))
-def test_the_list_is_what_the_whole_table_says(seed):
+def test_the_incremental_list_equals_one_computed_from_the_whole_table(seed):
     play(seed)
 
 
-def test_an_attribute_that_is_not_made_anew_is_noticed(monkeypatch):
+def test_a_stale_attribute_cache_fails_the_comparison(monkeypatch):
     module = "silverglade.membership.replicated_table"
     without(monkeypatch, module, "        self._attributes.pop(daemon, None)\n", "", f"{module}.ReplicatedTable")
     with pytest.raises(AssertionError):
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -1,4 +1,4 @@
-"""Who lives and what is told of them (design 4): its steady cost, its bounds, and deltas against an oracle."""
+"""Membership and soft state (design 4): traffic of an idle fleet, detection times, and deltas compared with an oracle."""
 
 import random
 
@@ -22,307 +22,318 @@
 from ..transport.test_framing import some
 
 
-def rolls(s):
-    return {len(n.members) for n in s.w.nodes.values() if n.hub}
+def member_counts(scene):
+    """Return the set of lengths of the running daemons' member lists; one element if they agree."""
+    return {len(node.members) for node in scene.w.nodes.values() if node.hub}
 
 
-def until(s, ok, most=10):
-    """-> seconds of simulated time until it is so."""
-    t = s.w.now
-    while not ok() and (s.w.now - t) < most * SEC:
-        s.w.run(0.05)
-    return (s.w.now - t) / SEC
+def until(scene, condition, limit_s=10):
+    """Run the simulation until a condition holds or the limit has passed, and return the simulated seconds."""
+    started_at = scene.w.now
+    while not condition() and (scene.w.now - started_at) < limit_s * SEC:
+        scene.w.run(0.05)
+    return (scene.w.now - started_at) / SEC
 
 
-@pytest.mark.parametrize("n,secs", [(12, 10), (60, 10), (120, 5)])
-def test_a_quiet_daemon_sends_as_little_in_a_large_fleet_as_in_a_small_one(n, secs):
-    f = measure(daemons=n, secs=secs)
-    assert f["rolls"] == [n]
-    assert small(f, 9 if n > 60 else 0) and f["mean"] < 800
+@pytest.mark.parametrize("daemons,secs", [(12, 10), (60, 10), (120, 5)])
+def test_idle_traffic_of_a_daemon_does_not_grow_with_the_fleet(daemons, secs):
+    figures = measure(daemons=daemons, secs=secs)
+    assert figures["rolls"] == [daemons]
+    assert is_idle_traffic_small(figures, 9 if daemons > 60 else 0) and figures["mean"] < 800
 
 
-def small(f, proxies):
-    """Every daemon but those that ask for a zone without a core sends little; those at most 5 KB/s."""
-    return f["edges"][-1 - proxies] < 400 and f["most_edge"] < 5000
+def is_idle_traffic_small(figures, relays):
+    """Whether every edge daemon except the zone relays sends less than 400 B/s, and each relay less than 5 KB/s."""
+    return figures["edges"][-1 - relays] < 400 and figures["most_edge"] < 5000
 
 
-def test_a_fleet_of_420_comes_together_and_its_quiet_cost_is_that_of_twelve():
-    f = measure(daemons=420, secs=3, warm=9.0)
-    assert f["rolls"] == [420] and small(f, 9) and f["most"] < 25000
+def test_a_fleet_of_420_converges_and_its_idle_traffic_is_that_of_twelve():
+    figures = measure(daemons=420, secs=3, warm=9.0)
+    assert figures["rolls"] == [420] and is_idle_traffic_small(figures, 9) and figures["most"] < 25000
 
 
-def test_with_records_told_at_each_beat_the_cost_grows(monkeypatch):
+def test_publishing_every_attribute_change_makes_the_traffic_grow_with_the_fleet(monkeypatch):
     guard = "if row is not None and not is_significant_change(attribute, row.value, value):"
     without(monkeypatch, "silverglade.membership.own_attributes", guard, "if False:", "silverglade.membership.member.OwnAttributes")
-    a, b = (measure(daemons=n, secs=5)["mean"] for n in (12, 60))
-    assert b > 2 * a
+    small_fleet, large_fleet = (measure(daemons=daemons, secs=5)["mean"] for daemons in (12, 60))
+    assert large_fleet > 2 * small_fleet
 
 
-def bury(town, name, seed=1):
-    s = Scene(town=town, seed=seed)
-    s.settle(5)
-    s.w.nodes[name].kill()
-    return s, until(s, lambda: all(name not in {r[0] for r in n.members} for n in s.w.nodes.values() if n.hub))
+def kill_and_time_detection(town, name, seed=1):
+    """Kill a daemon, and return the scene and the seconds until no running daemon lists it."""
+    scene = Scene(town=town, seed=seed)
+    scene.settle(5)
+    scene.w.nodes[name].kill()
+    return scene, until(scene, lambda: all(name not in {r[0] for r in node.members} for node in scene.w.nodes.values() if node.hub))
 
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("name", ["edge-upper-0", "core-inner"])
-def test_a_dead_daemon_is_known_to_all_thirty_within_two_seconds(name, seed):
-    assert bury("borough", name, seed)[1] < (2 if name.startswith("edge") else 3.5)
+def test_all_thirty_daemons_detect_a_death_in_time(name, seed):
+    assert kill_and_time_detection("borough", name, seed)[1] < (2 if name.startswith("edge") else 3.5)
 
 
-def test_without_its_watchers_a_death_is_known_only_by_silence(monkeypatch):
+def test_without_suspicions_a_death_is_detected_only_by_silence(monkeypatch):
     guard = "self._publish(daemon, record.incarnation, own_incarnation)"
     without(monkeypatch, "silverglade.membership.failure_detector", guard, "pass", "silverglade.membership.member.FailureDetector")
-    assert 3 < bury("borough", "edge-upper-0")[1] < 7
-
-
-def test_a_region_that_is_lost_is_known_within_a_few_seconds_and_nobody_else_is_taken_for_dead():
-    s = Scene(town="navrang")
-    s.settle(5)
-    for n in list(s.w.nodes.values()):
-        if n.zone == "surat":
-            n.kill()
-    assert until(s, lambda: rolls(s) == {8}) < 5
-    s.w.run(3)
-    assert rolls(s) == {8} and s.o.events["daemon-dead"] == 8 * 4
-
-
-def test_a_link_that_is_down_between_two_daemons_or_regions_kills_nobody():
-    s = Scene(town="navrang")
-    s.settle(5)
-    s.w.cut(
-        [n.name for n in s.w.nodes.values() if n.zone == "surat" and not n.core],
-        [n.name for n in s.w.nodes.values() if n.zone == "vadodara" and not n.core],
+    assert 3 < kill_and_time_detection("borough", "edge-upper-0")[1] < 7
+
+
+def test_the_loss_of_a_region_is_detected_and_no_other_daemon_is_declared_dead():
+    scene = Scene(town="navrang")
+    scene.settle(5)
+    for node in list(scene.w.nodes.values()):
+        if node.zone == "surat":
+            node.kill()
+    assert until(scene, lambda: member_counts(scene) == {8}) < 5
+    scene.w.run(3)
+    assert member_counts(scene) == {8} and scene.o.events["daemon-dead"] == 8 * 4
+
+
+def test_a_broken_link_between_edges_of_two_zones_declares_nobody_dead():
+    scene = Scene(town="navrang")
+    scene.settle(5)
+    scene.w.cut(
+        [node.name for node in scene.w.nodes.values() if node.zone == "surat" and not node.core],
+        [node.name for node in scene.w.nodes.values() if node.zone == "vadodara" and not node.core],
     )
-    s.w.run(8)
-    assert s.o.events["daemon-dead"] == 0 and rolls(s) == {12}
-
-
-def test_each_side_of_a_cut_has_its_roll_and_both_agree_again_after_it():
-    s = Scene(town="navrang")
-    s.settle(5)
-    mine = [n.name for n in s.w.nodes.values() if n.zone == "surat"]
-    s.w.cut(mine, [n for n in s.w.nodes if n not in mine])
-    s.w.run(8)
-    assert {len(s.w.nodes[n].members) for n in mine} == {4}
-    assert {len(n.members) for n in s.w.nodes.values() if n.name not in mine} == {8}
-    s.w.nodes["edge-ahmedabad-0"].kill()
-    s.w.nodes["edge-surat-0"].kill()
-    s.w.run(3)
-    s.w.nodes["edge-surat-0"].boot()
-    s.w.run(3)
-    s.w.heal()
-    assert until(s, lambda: rolls(s) == {11}) < 4
-    s.w.run(2)
-    assert rolls(s) == {11} and len({n.members for n in s.w.nodes.values() if n.hub}) == 1
-
-
-def test_a_daemon_alone_knows_only_itself_and_finds_all_again():
-    s = hamlet()
-    s.w.cut(["edge-north-0"], [n for n in s.w.nodes if n != "edge-north-0"])
-    s.w.run(6)
-    assert len(s.w.nodes["edge-north-0"].members) == 1
-    s.w.heal()
-    assert until(s, lambda: rolls(s) == {6}) < 3
-
-
-def test_a_restarted_daemon_finds_the_fleet_by_the_one_seed_that_lives():
-    s = hamlet()
-    n = s.w.nodes["edge-south-0"]
-    n.kill()
-    s.w.run(3)
-    s.w.seeds = ("10.9.9.1:1", "10.9.9.2:1", s.w.nodes["core-middle"].addr, "10.9.9.3:1")
-    n.boot()
-    assert until(s, lambda: n.has_joined and rolls(s) == {6}, 12) < 7
-    inc = {r[0]: r[2] for r in s.w.nodes["core-north"].members}
-    assert inc["edge-south-0"] == 2
-
-
-def test_two_watchers_or_the_silence_of_all_make_a_daemon_dead_not_one():
-    s = hamlet()
-    t = s.w.nodes["core-north"].hub.components["core_table"]
-    t.send((s.w.now, ("msg", "edge-south-0", ("told", (("doubt", "edge-north-0 edge-south-0", (1, 1), 1, ALL_CORES),)))))
-    s.w.run(2)
-    assert rolls(s) == {6}
-
-
-def test_names_that_come_and_go_leave_no_rows():
-    s = Scene(town="hamlet", opt=tuning(forget=5))
-    s.settle(5)
-    n, base = s.w.nodes["edge-south-0"], None
+    scene.w.run(8)
+    assert scene.o.events["daemon-dead"] == 0 and member_counts(scene) == {12}
+
+
+def test_each_side_of_a_partition_lists_its_own_members_and_both_converge_afterwards():
+    scene = Scene(town="navrang")
+    scene.settle(5)
+    surat = [node.name for node in scene.w.nodes.values() if node.zone == "surat"]
+    scene.w.cut(surat, [node for node in scene.w.nodes if node not in surat])
+    scene.w.run(8)
+    assert {len(scene.w.nodes[node].members) for node in surat} == {4}
+    assert {len(node.members) for node in scene.w.nodes.values() if node.name not in surat} == {8}
+    scene.w.nodes["edge-ahmedabad-0"].kill()
+    scene.w.nodes["edge-surat-0"].kill()
+    scene.w.run(3)
+    scene.w.nodes["edge-surat-0"].boot()
+    scene.w.run(3)
+    scene.w.heal()
+    assert until(scene, lambda: member_counts(scene) == {11}) < 4
+    scene.w.run(2)
+    assert member_counts(scene) == {11} and len({node.members for node in scene.w.nodes.values() if node.hub}) == 1
+
+
+def test_an_isolated_daemon_lists_only_itself_and_rejoins():
+    scene = hamlet()
+    scene.w.cut(["edge-north-0"], [node for node in scene.w.nodes if node != "edge-north-0"])
+    scene.w.run(6)
+    assert len(scene.w.nodes["edge-north-0"].members) == 1
+    scene.w.heal()
+    assert until(scene, lambda: member_counts(scene) == {6}) < 3
+
+
+def test_a_restarted_daemon_rejoins_through_the_only_live_seed():
+    scene = hamlet()
+    node = scene.w.nodes["edge-south-0"]
+    node.kill()
+    scene.w.run(3)
+    scene.w.seeds = ("10.9.9.1:1", "10.9.9.2:1", scene.w.nodes["core-middle"].addr, "10.9.9.3:1")
+    node.boot()
+    assert until(scene, lambda: node.has_joined and member_counts(scene) == {6}, 12) < 7
+    incarnations = {record[0]: record[2] for record in scene.w.nodes["core-north"].members}
+    assert incarnations["edge-south-0"] == 2
+
+
+def test_the_suspicion_of_a_single_watcher_declares_nobody_dead():
+    scene = hamlet()
+    core_table_component = scene.w.nodes["core-north"].hub.components["core_table"]
+    core_table_component.send(
+        (scene.w.now, ("msg", "edge-south-0", ("told", (("doubt", "edge-north-0 edge-south-0", (1, 1), 1, ALL_CORES),))))
+    )
+    scene.w.run(2)
+    assert member_counts(scene) == {6}
+
+
+def test_removed_daemons_and_rows_leave_no_rows_or_tombstones():
+    scene = Scene(town="hamlet", opt=tuning(forget=5))
+    scene.settle(5)
+    node, row_count = scene.w.nodes["edge-south-0"], None
     for k in range(5):
-        n.kill()
-        s.w.run(3)
-        n.boot()
-        s.w.run(3)
+        node.kill()
+        scene.w.run(3)
+        node.boot()
+        scene.w.run(3)
     for i in range(20):
-        s.w.nodes["edge-north-0"].hub.queue.append(("membership", ("publish", "thing", f"k{i}", (1, 1), i)))
-    s.w.run(2)
-    base = len(s.w.nodes["core-north"].core_soft_state.rows)
+        scene.w.nodes["edge-north-0"].hub.queue.append(("membership", ("publish", "thing", f"k{i}", (1, 1), i)))
+    scene.w.run(2)
+    row_count = len(scene.w.nodes["core-north"].core_soft_state.rows)
     for i in range(20):
-        s.w.nodes["edge-north-0"].hub.queue.append(("membership", ("publish", "thing", f"k{i}", (1, 2), None)))
-    s.w.nodes["edge-middle-0"].kill()
-    s.w.run(20)
-    t = s.w.nodes["core-north"].core_soft_state
-    assert len(t.rows) < base - 20 and not t.rows_of_kind("thing") and not t.tombstones
-    assert "edge-middle-0" not in t.rows_of_kind("daemon") and len(t.vector) <= 6
-    assert not any(k[0] == "thing" for k in s.w.nodes["edge-south-0"].published_rows)
-
-
-def test_what_one_daemon_publishes_all_or_all_of_its_region_are_told():
-    s = hamlet()
-    got = {}
-    q = s.w.nodes["edge-north-0"].hub.queue
-    q.append(("membership", ("publish", "thing", "everywhere", (1,), 7)))
-    q.append(("membership", ("publish", "thing", "here", (1,), 8, "n")))
-    s.w.run(1.5)
-    for n in s.w.nodes.values():
-        got[n.name] = {k: r.value for k, r in n.soft_state.rows_of_kind("thing").items()}
-    for n in s.w.nodes.values():
-        assert got[n.name] == ({"everywhere": 7, "here": 8} if n.region == "n" else {"everywhere": 7}), n.name
-    assert all("here" in n.core_soft_state.rows_of_kind("thing") for n in s.w.nodes.values() if n.core)
-
-
-def many(n=100):
+        scene.w.nodes["edge-north-0"].hub.queue.append(("membership", ("publish", "thing", f"k{i}", (1, 2), None)))
+    scene.w.nodes["edge-middle-0"].kill()
+    scene.w.run(20)
+    table = scene.w.nodes["core-north"].core_soft_state
+    assert len(table.rows) < row_count - 20 and not table.rows_of_kind("thing") and not table.tombstones
+    assert "edge-middle-0" not in table.rows_of_kind("daemon") and len(table.vector) <= 6
+    assert not any(k[0] == "thing" for k in scene.w.nodes["edge-south-0"].published_rows)
+
+
+def test_a_row_reaches_all_daemons_or_those_of_the_region_in_its_scope():
+    scene = hamlet()
+    held = {}
+    queue = scene.w.nodes["edge-north-0"].hub.queue
+    queue.append(("membership", ("publish", "thing", "everywhere", (1,), 7)))
+    queue.append(("membership", ("publish", "thing", "here", (1,), 8, "n")))
+    scene.w.run(1.5)
+    for node in scene.w.nodes.values():
+        held[node.name] = {key: row.value for key, row in node.soft_state.rows_of_kind("thing").items()}
+    for node in scene.w.nodes.values():
+        assert held[node.name] == ({"everywhere": 7, "here": 8} if node.region == "n" else {"everywhere": 7}), node.name
+    assert all("here" in node.core_soft_state.rows_of_kind("thing") for node in scene.w.nodes.values() if node.core)
+
+
+def large_idle_fleet(daemons=100):
+    """Return a settled scene without load, of so many daemons in three regions."""
     try:
-        TOWNS["plain"] = lambda: plain(n)
-        s = Scene(town="plain")
+        TOWNS["plain"] = lambda: plain(daemons)
+        scene = Scene(town="plain")
     finally:
         del TOWNS["plain"]
-    s.settle(8)
-    return s
+    scene.settle(8)
+    return scene
 
 
-def test_a_zone_without_a_core_asks_through_one_daemon_and_goes_on_without_it():
-    s = many()
+def test_a_zone_without_a_core_queries_through_its_relay_and_survives_its_loss():
+    scene = large_idle_fleet()
     zone = "z03"
-    mates = [n.name for n in s.w.nodes.values() if n.zone == zone]
-    who = relay_of_zone(zone, s.w.nodes[mates[0]].members)
-    assert who in mates and rolls(s) == {100}
-    assert {s.w.nodes[i].queried_core for i in mates if i != who} == {who}
-    assert s.w.nodes[who].queried_core in s.w.cores
-    t = s.w.now
-    s.w.nodes[who].kill()
-    s.put(at=mates[0] if mates[0] != who else mates[1])
-    s.w.run(3)
-    assert [c for *_, c, _ in s.o.acked] == [100, 100]
-    assert {n.store["config"][0] for n in s.w.nodes.values() if n.hub} == {s.o.acked[-1][-1]}
-    s.w.run(6)
-    assert rolls(s) == {99} and s.w.now > t
-    assert s.o.events["daemon-dead"] == 99  # the proxy alone, told by each
-    fresh = [s.w.now - n.store_proved_at for n in s.w.nodes.values() if n.hub]
-    assert max(fresh) < 3 * SEC
-    two = relay_of_zone(zone, s.w.nodes[mates[0] if mates[0] != who else mates[1]].members)
-    s.w.cut([two], [n for n in s.w.nodes if n != two])
-    s.w.run(8)
-    assert {len(n.members) for n in s.w.nodes.values() if n.hub and n.name != two} == {98}
-    s.w.heal()
-    s.w.nodes[who].boot()
-    s.w.run(6)
-    assert rolls(s) == {100} and s.o.faults == []
-
-
-def test_daemons_that_take_each_other_for_the_proxy_do_not_pass_rows_round():
-    p = MachineComponent(ZoneRelay(zone="z", tuning=tuning()))
+    zone_members = [node.name for node in scene.w.nodes.values() if node.zone == zone]
+    relay = relay_of_zone(zone, scene.w.nodes[zone_members[0]].members)
+    assert relay in zone_members and member_counts(scene) == {100}
+    assert {scene.w.nodes[i].queried_core for i in zone_members if i != relay} == {relay}
+    assert scene.w.nodes[relay].queried_core in scene.w.cores
+    killed_at = scene.w.now
+    scene.w.nodes[relay].kill()
+    scene.put(at=zone_members[0] if zone_members[0] != relay else zone_members[1])
+    scene.w.run(3)
+    assert [c for *_, c, _ in scene.o.acked] == [100, 100]
+    assert {node.store["config"][0] for node in scene.w.nodes.values() if node.hub} == {scene.o.acked[-1][-1]}
+    scene.w.run(6)
+    assert member_counts(scene) == {99} and scene.w.now > killed_at
+    assert scene.o.events["daemon-dead"] == 99  # only the relay, reported by each of the others
+    proof_ages = [scene.w.now - node.store_proved_at for node in scene.w.nodes.values() if node.hub]
+    assert max(proof_ages) < 3 * SEC
+    second_relay = relay_of_zone(zone, scene.w.nodes[zone_members[0] if zone_members[0] != relay else zone_members[1]].members)
+    scene.w.cut([second_relay], [node for node in scene.w.nodes if node != second_relay])
+    scene.w.run(8)
+    assert {len(node.members) for node in scene.w.nodes.values() if node.hub and node.name != second_relay} == {98}
+    scene.w.heal()
+    scene.w.nodes[relay].boot()
+    scene.w.run(6)
+    assert member_counts(scene) == {100} and scene.o.faults == []
+
+
+def test_daemons_that_consider_each_other_the_relay_do_not_forward_rows_in_a_loop():
+    relay = MachineComponent(ZoneRelay(zone="z", tuning=tuning()))
     row = ("thing", "k", (1,), 1, "")
-    assert p.send((ZERO, ("msg", "x", ("told", (row,))))) == ()
-    p.send((ZERO, ("core", "y", False)))
-    assert p.send((ZERO, ("msg", "x", ("told", (row,))))) == ()
-    p.send((ZERO, ("core", "c", True)))
-    assert p.send((ZERO, ("msg", "x", ("told", (row,))))) == (("send", "c", ("told", (row,))),)
-
-
-def test_a_seed_that_is_no_core_answers_no_stranger_and_is_passed_over():
-    s = hamlet()
-    n, edge = s.w.nodes["edge-south-0"], s.w.nodes["edge-north-0"]
-    n.kill()
-    s.w.run(3)
-    s.w.seeds = (edge.addr, s.w.nodes["core-middle"].addr)
-    n.boot()
-    assert until(s, lambda: n.has_joined and rolls(s) == {6}, 12) < 7
-    assert s.o.events["message-refused"] == 0
-
-
-def test_a_core_that_begins_anew_agrees_with_the_others_while_rows_change_all_the_time():
-    s = Scene(town="navrang")
-    s.settle(5)
+    assert relay.send((ZERO, ("msg", "x", ("told", (row,))))) == ()
+    relay.send((ZERO, ("core", "y", False)))
+    assert relay.send((ZERO, ("msg", "x", ("told", (row,))))) == ()
+    relay.send((ZERO, ("core", "c", True)))
+    assert relay.send((ZERO, ("msg", "x", ("told", (row,))))) == (("send", "c", ("told", (row,))),)
+
+
+def test_a_seed_that_is_not_a_core_is_skipped():
+    scene = hamlet()
+    node, edge = scene.w.nodes["edge-south-0"], scene.w.nodes["edge-north-0"]
+    node.kill()
+    scene.w.run(3)
+    scene.w.seeds = (edge.addr, scene.w.nodes["core-middle"].addr)
+    node.boot()
+    assert until(scene, lambda: node.has_joined and member_counts(scene) == {6}, 12) < 7
+    assert scene.o.events["message-refused"] == 0
+
+
+def test_a_core_restarted_with_an_empty_disk_converges_while_rows_change():
+    scene = Scene(town="navrang")
+    scene.settle(5)
     for k in range(160):
-        s.w.after(milliseconds(50 * k), s.w.nodes["edge-surat-0"].hub.queue.append, ("membership", ("publish", "thing", "k", (k + 1,), k)))
-        s.w.after(milliseconds(50 * k), s.w.nodes["core-surat"].hub.queue.append, ("membership", ("publish", "thing", "c", (k + 1,), k)))
-    s.w.run(1)
-    s.w.empty_disk("core-ahmedabad")
-    s.w.run(0.3)
-    n = s.w.nodes["core-ahmedabad"]
-    n.boot()
-    s.w.run(2.5)
-    t, other = n.core_soft_state, s.w.nodes["core-vadodara"].core_soft_state
-    assert len(t.vector) == len(other.vector) > 3
-    s.w.run(6)
-    assert rolls(s) == {12} and n.core_soft_state.rows_of_kind("thing")["k"].value == 159
-    assert s.o.events["soft-state-reset"] == 0
-
-
-# deltas against an oracle
+        scene.w.after(
+            milliseconds(50 * k), scene.w.nodes["edge-surat-0"].hub.queue.append, ("membership", ("publish", "thing", "k", (k + 1,), k))
+        )
+        scene.w.after(
+            milliseconds(50 * k), scene.w.nodes["core-surat"].hub.queue.append, ("membership", ("publish", "thing", "c", (k + 1,), k))
+        )
+    scene.w.run(1)
+    scene.w.empty_disk("core-ahmedabad")
+    scene.w.run(0.3)
+    node = scene.w.nodes["core-ahmedabad"]
+    node.boot()
+    scene.w.run(2.5)
+    table, other = node.core_soft_state, scene.w.nodes["core-vadodara"].core_soft_state
+    assert len(table.vector) == len(other.vector) > 3
+    scene.w.run(6)
+    assert member_counts(scene) == {12} and node.core_soft_state.rows_of_kind("thing")["k"].value == 159
+    assert scene.o.events["soft-state-reset"] == 0
+
+
+# deltas compared with an oracle
 def rows_since(table, vector):
-    """What a table sends to one that stands at this vector, as that one reads it."""
+    """Return the rows that a table sends to one with this version vector, as the receiver reads them."""
     return readable_rows(table.rows_since(vector))
 
 
 class Core:
-    def __init__(self, i):
-        self.t = ReplicatedTable(process_id=f"c{i}")
+    """A core with its table."""
+
+    def __init__(self, index):
+        self.table = ReplicatedTable(process_id=f"c{index}")
 
 
 @pytest.mark.parametrize("seed", range(30))
 def test_tables_that_exchange_deltas_in_any_order_hold_the_highest_rank_of_every_key(seed):
     rng = random.Random(seed)
     cores = [Core(i) for i in range(rng.randrange(2, 6))]
-    asker, truth, n = ReplicatedTable(), {}, 0
-    ways = []
+    asker, expected, counter = ReplicatedTable(), {}, 0
+    deltas = []
     for _ in range(400):
-        k = rng.random()
-        c = rng.choice(cores)
-        if k < 0.4:
-            n += 1
+        choice = rng.random()
+        core = rng.choice(cores)
+        if choice < 0.4:
+            counter += 1
             key = f"k{rng.randrange(12)}"
-            row = SoftStateRow("thing", key, (rng.randrange(30), n % 3), rng.choice((None, n, "x")), "")
-            c.t.insert(row, ZERO)
-            if supersedes(row, truth.get(key)):
-                truth[key] = row
-        elif k < 0.8:  # a delta leaves, and may arrive late, twice or never
-            d = rng.choice(cores)
-            told = dict(d.t.vector)
-            ways.append((d, told, dict(c.t.vector), rows_since(c.t, told)))
-        elif ways:
-            d, lacks, vec, rows = rng.choice(ways)
-            d.t.merge(rows, ZERO)
-            if covers(d.t.vector, lacks):
-                d.t.advance_to(vec)
+            row = SoftStateRow("thing", key, (rng.randrange(30), counter % 3), rng.choice((None, counter, "x")), "")
+            core.table.insert(row, ZERO)
+            if supersedes(row, expected.get(key)):
+                expected[key] = row
+        elif choice < 0.8:  # a delta is sent, and may arrive late, twice or never
+            receiver = rng.choice(cores)
+            base = dict(receiver.table.vector)
+            deltas.append((receiver, base, dict(core.table.vector), rows_since(core.table, base)))
+        elif deltas:
+            receiver, base, vector, rows = rng.choice(deltas)
+            receiver.table.merge(rows, ZERO)
+            if covers(receiver.table.vector, base):
+                receiver.table.advance_to(vector)
         if rng.random() < 0.1:
-            asker.merge(rows_since(c.t, asker.vector), ZERO)
-            asker.advance_to(c.t.vector)
+            asker.merge(rows_since(core.table, asker.vector), ZERO)
+            asker.advance_to(core.table.vector)
     for _ in range(2):
-        for c in cores:
-            for d in cores:
-                d.t.merge(rows_since(c.t, d.t.vector), ZERO)
-                d.t.advance_to(c.t.vector)
-    snap = ReplicatedTable()
-    snap.merge(rows_since(cores[0].t, {}), ZERO)
-    asker.merge(rows_since(cores[0].t, asker.vector), ZERO)
-    for t in [c.t for c in cores] + [snap, asker]:
-        assert {k[1]: r[:5] for k, r in t.rows.items()} == {key: row[:5] for key, row in truth.items()}
-
-
-def test_a_vector_adopted_without_its_rows_loses_some():
+        for core in cores:
+            for receiver in cores:
+                receiver.table.merge(rows_since(core.table, receiver.table.vector), ZERO)
+                receiver.table.advance_to(core.table.vector)
+    snapshot = ReplicatedTable()
+    snapshot.merge(rows_since(cores[0].table, {}), ZERO)
+    asker.merge(rows_since(cores[0].table, asker.vector), ZERO)
+    for table in [core.table for core in cores] + [snapshot, asker]:
+        assert {row_key[1]: row[:5] for row_key, row in table.rows.items()} == {key: row[:5] for key, row in expected.items()}
+
+
+def test_advancing_the_vector_without_its_rows_loses_rows():
     a, b = ReplicatedTable(process_id="a"), ReplicatedTable(process_id="b")
     a.insert(SoftStateRow("thing", "k", (1,), 1, ""), ZERO)
-    b.advance_to(a.vector)  # the breach: what covers() guards against
+    b.advance_to(a.vector)  # the error that the check with covers() prevents
     b.merge(rows_since(a, b.vector), ZERO)
     assert b.rows != a.rows
 
 
-def test_tombstones_go_after_a_while_and_with_them_origins_that_nobody_speaks_of():
+def test_expired_tombstones_and_origins_without_rows_are_dropped():
     t = ReplicatedTable(process_id="a")
     t.merge((SoftStateRow("thing", "k", (1,), 1, "", "old", 4),), ZERO)
     t.advance_to({"old": 4})
@@ -337,34 +348,41 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_whatever_a_message_of_membership_holds_it_is_refused_or_fells_nobody(seed):
+def test_malformed_membership_messages_are_refused_or_harmless(seed):
     rng = random.Random(seed)
-    s = hamlet()
-    n = s.w.nodes["core-north"]
+    scene = hamlet()
+    node = scene.w.nodes["core-north"]
     row = ("daemon", "x", (1, 1), ("x", "l", 1, 1, "z", "r", "a", "h", True, "ready", (), ()), "", "o", 1)
     for _ in range(1500):
         kind = rng.choice(("alive", "doubted", "told", "sync", "get", "news"))
-        r = list(row)
+        fields = list(row)
         for _ in range(rng.randrange(3)):
-            r[rng.randrange(len(r))] = some(rng)
-        pend = n.pending_update_request
+            fields[rng.randrange(len(fields))] = some(rng)
+        pending = node.pending_update_request
         body = dict(
             alive=(some(rng), some(rng)),
             doubted=(),
-            told=((tuple(r[:5]), some(rng))[: rng.randrange(1, 3)],),
-            sync=(1, (("o", 1),), some(rng, 1) if rng.random() < 0.3 else (), (tuple(r),)),
+            told=((tuple(fields[:5]), some(rng))[: rng.randrange(1, 3)],),
+            sync=(1, (("o", 1),), some(rng, 1) if rng.random() < 0.3 else (), (tuple(fields),)),
             get=(1, (0, 0), some(rng)),
-            news=(pend[0] if pend else 1, (0, 0), (), 5, 0, (7, (("o", 1),), (tuple(r),), ("edge-south-0",))[: rng.randrange(5)]),
+            news=(
+                pending[0] if pending else 1,
+                (0, 0),
+                (),
+                5,
+                0,
+                (7, (("o", 1),), (tuple(fields),), ("edge-south-0",))[: rng.randrange(5)],
+            ),
         )[kind]
-        n.feed(("msg", rng.choice(("edge-south-0", "core-south", "x")), (kind, *body)))
+        node.feed(("msg", rng.choice(("edge-south-0", "core-south", "x")), (kind, *body)))
         if rng.random() < 0.05:
-            s.w.run(0.1)
-    s.w.run(8)
+            scene.w.run(0.1)
+    scene.w.run(8)
     assert messages.is_valid_message(("told", (row[:5],))) and not messages.is_valid_message(("told", (row[:4],)))
-    assert n.hub is not None and n.feed(("pulse",)) is None
+    assert node.hub is not None and node.feed(("pulse",)) is None
 
 
-def test_a_changed_count_is_told_when_it_is_a_fifth_off():
+def test_a_changed_count_is_published_if_it_differs_by_more_than_a_fifth():
     assert not is_significant_change("pace", (100, 10), (110, 11)) and is_significant_change("pace", (100, 10), (130, 10))
     assert is_significant_change("pace", (0, 0), (1, 0)) and is_significant_change("view", (1, "a", "b"), (2, "a", "b"))
     a = (("model", 3, 1.0, 4.0, 0.1, True),)
@@ -372,7 +390,7 @@
     assert is_significant_change("parts", a, (("model", 4, 1.3, 4.0, 0.1, True),)) and milliseconds(1) > ZERO
 
 
-def test_an_idle_daemon_is_woken_for_what_is_due_alone(monkeypatch):
+def test_an_idle_daemon_is_woken_only_for_due_work(monkeypatch):
     assert measure(daemons=12, secs=5)["woken_edge"] < 18
     without(
         monkeypatch,
@@ -384,23 +402,23 @@
     assert measure(daemons=12, secs=5)["woken_edge"] > 25
 
 
-def stood(n):
-    """How often a core of so many daemons stands elsewhere in 2 s, while a count is told at each pulse."""
+def count_position_changes(daemons):
+    """Return how often the table position of a core moves in 2 s, in a fleet of so many daemons, if a count changes every 50 ms."""
     table = core_table.CoreTable(name="c", process_id="c.1", peer_address="a", seeds=("a",), tuning=tuning(takeover=0.01))
-    t = MachineComponent(table)
-    rec = ("x", "l", 1, 1, "z", "r", "a", "h", False, "ready", (), ())
-    t.send((ZERO, ("pulse",)))
-    t.send((ZERO, ("msg", "x", ("told", tuple(("daemon", f"d{i}", (1, 1), (f"d{i}", *rec[1:]), "") for i in range(n))))))
-    got = 0
+    component = MachineComponent(table)
+    record = ("x", "l", 1, 1, "z", "r", "a", "h", False, "ready", (), ())
+    component.send((ZERO, ("pulse",)))
+    component.send((ZERO, ("msg", "x", ("told", tuple(("daemon", f"d{i}", (1, 1), (f"d{i}", *record[1:]), "") for i in range(daemons))))))
+    moves = 0
     for k in range(40):
         now = milliseconds(50 * (k + 1))
-        t.send((now, ("msg", "d1", ("told", (("extra", "d1 pace", (1, k + 1), (k, 0), ""),)))))
-        got += sum(e[:1] == ("cast",) for e in t.send((now, ("pulse",))))
-    return got
+        component.send((now, ("msg", "d1", ("told", (("extra", "d1 pace", (1, k + 1), (k, 0), ""),)))))
+        moves += sum(effect[:1] == ("cast",) for effect in component.send((now, ("pulse",))))
+    return moves
 
 
-def test_counts_of_a_large_fleet_come_together_and_news_of_who_lives_at_once(monkeypatch):
-    assert stood(6) == 40 and stood(400) <= 4
+def test_count_changes_are_batched_in_a_large_fleet(monkeypatch):
+    assert count_position_changes(6) == 40 and count_position_changes(400) <= 4
     guard = "if _is_urgent(row):"
     without(monkeypatch, "silverglade.membership.core_rows", guard, "if True:", "silverglade.membership.core_table.CoreRows")
-    assert stood(400) == 40
+    assert count_position_changes(400) == 40
--- a/tests/membership/test_messages.py
+++ b/tests/membership/test_messages.py
@@ -1,4 +1,4 @@
-"""The messages of membership as they travel (design 4)."""
+"""The messages of membership on the wire (design 4)."""
 
 import pytest
 
@@ -27,19 +27,19 @@
 
 
 @pytest.mark.parametrize(("message", "array"), MESSAGES, ids=lambda value: type(value).__name__)
-def test_a_message_travels_as_its_kind_and_its_fields(message, array):
+def test_a_message_is_encoded_as_its_kind_and_fields(message, array):
     frame = encode_frame(sender="a", process_id="process", body=message.to_array())
     sent = decode_frame(frame[4:])[2]
     assert sent == array and is_valid_message(sent) and decode(sent) == message
 
 
-def test_fields_of_a_later_program_are_passed_over():
+def test_fields_of_a_later_version_are_ignored():
     assert decode(known_fields(("alive", 3, 0, "later"))) == Heartbeat(3, HeartbeatKind.REGULAR)
     assert PublishRows(((*ROW[:5], "later", "later", "later"),)).readable() == [SoftStateRow(*ROW[:5])]
     assert SyncTables(1, (), (), ((*ROW, "later"),)).readable() == [SoftStateRow(*ROW)]
 
 
-def test_a_message_of_another_kind_or_an_earlier_program_is_none_of_membership():
+def test_unknown_kinds_and_messages_of_earlier_versions_decode_to_none():
     assert decode(("news", 1, (0, 0), (), 0, 0)) is None
     assert decode(("get", 1, (0, 0))) is None
     assert decode(("get", 1, (0, 0), 7)) == UpdateRequest(1, (0, 0), 7)
@@ -59,11 +59,11 @@
     ],
     ids=lambda row: f"{row[0]}-{row[3]!r:.30}",
 )
-def test_a_row_that_has_not_the_form_of_its_kind_is_passed_over(row):
+def test_a_malformed_row_is_ignored(row):
     good = ROW[:5]
     assert PublishRows((row, good)).readable() == [SoftStateRow(*good)]
 
 
-def test_a_delta_brings_rows_or_asks_for_the_whole_vector():
+def test_a_delta_contains_rows_or_asks_for_the_full_vector():
     assert decode_delta((-1,)) is None
     assert decode_delta((7, (("process", 3),), (ROW,), ("x",), "later")) == Delta(7, (("process", 3),), (ROW,), ("x",))
--- a/tests/membership/test_watchers.py
+++ b/tests/membership/test_watchers.py
@@ -1,4 +1,4 @@
-"""Who hears a daemon's heartbeats (design 4.2)."""
+"""Selection of the watchers that receive a daemon's heartbeats (design 4.2)."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 def members(**zones):
-    """Records of daemons by the zones that they are in."""
+    """Return the records of daemons by name, given the names (separated by spaces) in each zone."""
     return {
         name: MemberRecord(name, "process", 1, 1, zone, "region", "", "", False, "ready")
         for zone, names in zones.items()
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("name", FLEET)
-def test_half_of_the_watchers_are_of_the_own_zone_and_the_others_of_two_more(name):
+def test_half_of_the_watchers_are_in_the_daemons_zone_and_the_others_in_two_more_zones(name):
     zones = [FLEET[watcher].zone for watcher in watchers_of(name, FLEET, 4)]
     own = FLEET[name].zone
     near = min(2, sum(record.zone == own for record in FLEET.values()) - 1)
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("name", FLEET)
-def test_nobody_watches_itself_and_watchers_differ(name):
+def test_a_daemon_is_not_its_own_watcher_and_watchers_are_distinct(name):
     watchers = watchers_of(name, FLEET, 4)
     assert name not in watchers and len(set(watchers)) == len(watchers)
 
@@ -43,7 +43,7 @@
     assert len(watchers_of("a1", members(a="a1 a2 a3 a4 a5 a6"), 4)) == 4
 
 
-def test_all_daemons_stand_on_the_ring_in_the_same_order():
+def test_the_ring_has_the_same_order_for_all_daemons():
     names = sorted(FLEET)
     ring = ["a1", *ring_order("a1", names)]
     for index, name in enumerate(ring):
--- a/tests/membership/test_zone_relay_partitions.py
+++ b/tests/membership/test_zone_relay_partitions.py
@@ -1,4 +1,4 @@
-"""A zone whose proxy, or the core that it asks, is cut off or frozen (design 5.7): its daemons learn what is acknowledged all the same."""
+"""The zone relay, or the core that it queries, is cut off or paused (design 5.7): the zone's daemons still receive acknowledged changes."""
 
 import pytest
 
@@ -8,10 +8,10 @@
 from silverglade.testbed.sites import TOWNS
 
 from ..support.source_mutation import without
-from .test_membership import rolls, until
+from .test_membership import member_counts, until
 
 ZONE = "far"
-APPLIED = 5  # seconds in which a daemon in touch holds what was acknowledged
+APPLY_TIME_S = 5  # a daemon that reaches a core holds an acknowledged change within this time
 
 
 def version(node):
@@ -19,61 +19,64 @@
 
 
 @pytest.fixture
-def s(monkeypatch):
-    """A hamlet with a zone more, of eight daemons and no core."""
-    town = TOWNS["hamlet"]()
-    town["config"]["zones"][ZONE] = dict(town["config"]["zones"]["south"])
-    town["daemons"] += [(f"edge-{ZONE}-{i}", ZONE, "s", False) for i in range(8)]
-    monkeypatch.setitem(TOWNS, "hamlet", lambda: town)
+def scene(monkeypatch):
+    """The site "hamlet" with an additional zone of eight daemons and no core."""
+    site = TOWNS["hamlet"]()
+    site["config"]["zones"][ZONE] = dict(site["config"]["zones"]["south"])
+    site["daemons"] += [(f"edge-{ZONE}-{i}", ZONE, "s", False) for i in range(8)]
+    monkeypatch.setitem(TOWNS, "hamlet", lambda: site)
     scene = Scene(town="hamlet")
     scene.settle(9)
-    assert rolls(scene) == {14}
+    assert member_counts(scene) == {14}
     return scene
 
 
-def zone_of(s):
-    """-> the daemons of the zone, its proxy, the core that this asks."""
-    mates = [n for n in s.w.nodes.values() if n.zone == ZONE]
-    proxy = relay_of_zone(ZONE, mates[0].members)
-    return mates, s.w.nodes[proxy], s.w.nodes[proxy].queried_core
+def zone_with_relay(scene):
+    """Return the daemons of the zone, its relay, and the name of the core that the relay queries."""
+    zone_members = [node for node in scene.w.nodes.values() if node.zone == ZONE]
+    relay = relay_of_zone(ZONE, zone_members[0].members)
+    return zone_members, scene.w.nodes[relay], scene.w.nodes[relay].queried_core
 
 
-def changed(s, at):
-    """Put a configuration there -> its version, once acknowledged."""
-    count = len(s.o.acked)
-    s.put(at=at)
-    assert until(s, lambda: len(s.o.acked) > count) < 4
-    return s.o.acked[-1][-1]
+def change_configuration(scene, at):
+    """Put a configuration at a daemon, and return its version once it is acknowledged."""
+    count = len(scene.o.acked)
+    scene.put(at=at)
+    assert until(scene, lambda: len(scene.o.acked) > count) < 4
+    return scene.o.acked[-1][-1]
 
 
-def witness(s):
-    """A core that is neither primary nor backup."""
-    view = next(s.w.nodes[c].control.view for c in s.w.cores)
-    return next(c for c in s.w.cores if c != view.primary and c not in view.backups)
+def core_outside_the_view(scene):
+    """Return the name of a core that is neither primary nor backup."""
+    view = next(scene.w.nodes[core_name].control.view for core_name in scene.w.cores)
+    return next(core_name for core_name in scene.w.cores if core_name != view.primary and core_name not in view.backups)
 
 
-def beside_a_cut_off_core(s, both):
-    """The zone's proxy asks a core that is cut off from the other cores for 20 s -> what is acknowledged, held by its daemons, in turn."""
-    mates, proxy, _ = zone_of(s)
-    lone = witness(s)
-    others = [c for c in s.w.cores if c != lone]
-    s.w.cut([proxy.name], others)  # so that it asks the core that will be cut off
-    s.w.run(6)
-    assert proxy.queried_core == lone
-    s.w.heal()
-    s.w.cut(others, [lone], both=both)
-    s.w.run(3)
+def versions_beside_an_isolated_core(scene, both):
+    """Cut the core that the zone's relay queries off from the other cores, and change the configuration four times.
+
+    Yields for each change the acknowledged version, and the versions that the zone's daemons then hold.
+    """
+    zone_members, relay, _ = zone_with_relay(scene)
+    isolated = core_outside_the_view(scene)
+    others = [core_name for core_name in scene.w.cores if core_name != isolated]
+    scene.w.cut([relay.name], others)  # so that it queries the core that will be cut off
+    scene.w.run(6)
+    assert relay.queried_core == isolated
+    scene.w.heal()
+    scene.w.cut(others, [isolated], both=both)
+    scene.w.run(3)
     for _ in range(4):
-        new = changed(s, others[0])
-        s.w.run(APPLIED)
-        yield new, {version(n) for n in mates}
-    s.w.heal()
-    s.w.run(3)
+        new = change_configuration(scene, others[0])
+        scene.w.run(APPLY_TIME_S)
+        yield new, {version(node) for node in zone_members}
+    scene.w.heal()
+    scene.w.run(3)
 
 
 @pytest.mark.parametrize("both", [True, False])
-def test_a_proxy_whose_core_is_cut_off_from_the_other_cores_leaves_it_and_its_zone_learns_of_changes(s, both):
-    assert all(held == {new} for new, held in beside_a_cut_off_core(s, both)) and s.o.faults == []
+def test_a_relay_leaves_a_core_that_is_cut_off_and_its_zone_receives_changes(scene, both):
+    assert all(held == {new} for new, held in versions_beside_an_isolated_core(scene, both)) and scene.o.faults == []
 
 
 AGED = (
@@ -86,67 +89,72 @@
 )
 
 
-def without_guards(s, monkeypatch, *guards):
-    """The same town whose daemons ask for news without these guards; -> does its zone stay behind?"""
+def is_zone_outdated_without(scene, monkeypatch, *guards):
+    """Return whether the zone holds outdated versions if its daemons request updates without these guards."""
     without(monkeypatch, "silverglade.configuration.updater", *zip(*guards), "silverglade.runtime.daemon_components.Updater")
-    for n in s.w.nodes.values():
-        n.boot()
-    s.w.run(9)
-    return any(held != {new} for new, held in beside_a_cut_off_core(s, True))
+    for node in scene.w.nodes.values():
+        node.boot()
+    scene.w.run(9)
+    return any(held != {new} for new, held in versions_beside_an_isolated_core(scene, True))
 
 
-def test_a_proxy_that_asks_on_whatever_the_age_of_the_proof_stays_behind(s, monkeypatch):
-    assert without_guards(s, monkeypatch, AGED, HEDGED)
+def test_without_both_guards_the_zone_holds_outdated_items(scene, monkeypatch):
+    assert is_zone_outdated_without(scene, monkeypatch, AGED, HEDGED)
 
 
 @pytest.mark.parametrize("guard", [AGED, HEDGED], ids=["aged", "hedged"])
-def test_either_guard_keeps_a_zone_from_staying_behind(s, monkeypatch, guard):
-    assert not without_guards(s, monkeypatch, guard)
+def test_either_guard_keeps_the_zone_up_to_date(scene, monkeypatch, guard):
+    assert not is_zone_outdated_without(scene, monkeypatch, guard)
 
 
-def test_while_its_proxy_is_cut_off_a_zone_learns_of_changes_from_the_cores(s):
-    mates, proxy, core = zone_of(s)
-    rest = [n for n in mates if n is not proxy]
-    s.w.cut([proxy.name], [n for n in s.w.nodes if n != proxy.name and s.w.nodes[n].zone != ZONE])  # its zone it still hears
+def test_a_zone_receives_changes_from_the_cores_while_its_relay_is_cut_off(scene):
+    zone_members, relay, core = zone_with_relay(scene)
+    rest = [node for node in zone_members if node is not relay]
+    # the relay still reaches its own zone
+    scene.w.cut([relay.name], [node for node in scene.w.nodes if node != relay.name and scene.w.nodes[node].zone != ZONE])
     for _ in range(4):
-        new = changed(s, core)
-        s.w.run(APPLIED)
-        assert {version(n) for n in rest} == {new}
-    assert version(proxy) < new
-    s.w.heal()
-    assert until(s, lambda: version(proxy) == new) < APPLIED
-    assert s.o.faults == []
-
-
-def test_a_frozen_proxy_that_thaws_tells_nobody_an_older_version_and_no_proof_newer_than_its_own(s):
-    mates, proxy, core = zone_of(s)
-    rest = [n for n in mates if n is not proxy]
-    proxy.freeze(True)
-    s.w.run(2)
-    new = changed(s, core)
-    s.w.run(18)
-    assert {version(n) for n in rest} == {new}
-    newest = changed(s, core)
-    proxy.freeze(False)
-    held = {n.name: version(n) for n in rest}
+        new = change_configuration(scene, core)
+        scene.w.run(APPLY_TIME_S)
+        assert {version(node) for node in rest} == {new}
+    assert version(relay) < new
+    scene.w.heal()
+    assert until(scene, lambda: version(relay) == new) < APPLY_TIME_S
+    assert scene.o.faults == []
+
+
+def test_a_relay_resumed_after_a_pause_sends_no_older_version(scene):
+    zone_members, relay, core = zone_with_relay(scene)
+    rest = [node for node in zone_members if node is not relay]
+    relay.freeze(True)
+    scene.w.run(2)
+    new = change_configuration(scene, core)
+    scene.w.run(18)
+    assert {version(node) for node in rest} == {new}
+    newest = change_configuration(scene, core)
+    relay.freeze(False)
+    held = {node.name: version(node) for node in rest}
     for _ in range(80):
-        s.w.run(0.05)
-        for n in rest:
-            assert version(n) >= held[n.name]
-            held[n.name] = version(n)
-    assert {version(n) for n in mates} == {newest} and s.o.faults == []
+        scene.w.run(0.05)
+        for node in rest:
+            assert version(node) >= held[node.name]
+            held[node.name] = version(node)
+    assert {version(node) for node in zone_members} == {newest} and scene.o.faults == []
 
 
-def test_the_age_of_a_proof_never_shrinks_over_the_hops(s):
-    """A daemon's proof is no newer than what its proxy holds, and that no newer than its core's (all clocks are one here)."""
-    mates, proxy, core = zone_of(s)
+def test_the_age_of_a_proof_never_decreases_from_hop_to_hop(scene):
+    """A daemon's proof is no newer than its relay's, and the relay's no newer than its core's (all clocks are equal here)."""
+    zone_members, relay, core = zone_with_relay(scene)
     for _ in range(100):
-        s.w.run(0.1)
-        fresh = proxy.store_proved_at
-        assert fresh <= s.w.nodes[core].control.proven_at + milliseconds(1)  # a core tells whole milliseconds, not rounded up
-        assert all(n.store_proved_at <= fresh for n in mates)
-    s.w.cut([core, *(n.name for n in mates)], [n for n in s.w.nodes if n != core and s.w.nodes[n].zone != ZONE])
-    s.w.run(1)  # what was on its way has come
-    was = max(n.store_proved_at for n in mates)
-    s.w.run(20)  # nothing but the cut-off core to be asked: no proof can come
-    assert max(n.store_proved_at for n in mates) <= was + 1 * SEC
+        scene.w.run(0.1)
+        relay_proved_at = relay.store_proved_at
+        assert relay_proved_at <= scene.w.nodes[core].control.proven_at + milliseconds(
+            1
+        )  # a core's age is in whole milliseconds, not rounded up
+        assert all(node.store_proved_at <= relay_proved_at for node in zone_members)
+    scene.w.cut(
+        [core, *(node.name for node in zone_members)], [node for node in scene.w.nodes if node != core and scene.w.nodes[node].zone != ZONE]
+    )
+    scene.w.run(1)  # messages in flight have arrived
+    last_proved_at = max(node.store_proved_at for node in zone_members)
+    scene.w.run(20)  # only the cut-off core can be queried, so no newer proof can arrive
+    assert max(node.store_proved_at for node in zone_members) <= last_proved_at + 1 * SEC
