--- a/silverglade/membership/core_peers.py
+++ b/silverglade/membership/core_peers.py
@@ -52,8 +52,8 @@
         self._table = table
         self._tuning = tuning
 
-    def on_pause(self, now: timedelta) -> None:
-        """Measure the silence of every core from now on: a paused process received no messages."""
+    def reset_silence_timers(self, now: timedelta) -> None:
+        """Measure the silence of every core from now on, because the process has just started or was paused."""
         for peer in self.peers.values():
             peer.last_sync_at = now
 
--- a/silverglade/membership/core_table.py
+++ b/silverglade/membership/core_table.py
@@ -66,7 +66,7 @@
         self._last_moved_at = ZERO
         # times: of the start or the end of the last pause, of the last timer event, of the next maintenance, of the next sync
         self._has_started = False
-        self._listening_since = ZERO
+        self._silence_counted_since = ZERO
         self._last_timer = ZERO
         self._next_maintenance = ZERO
         self._next_sync: timedelta | None = None
@@ -106,9 +106,9 @@
 
     def _reset_silence_timers(self, now: timedelta) -> None:
         """Measure every silence from now on, because the process has just started or was paused."""
-        self._listening_since = now
+        self._silence_counted_since = now
         self._death_detector.reset_silence_timers(now)
-        self._peers.on_pause(now)
+        self._peers.reset_silence_timers(now)
 
     # --- timer
 
@@ -196,7 +196,7 @@
 
     def _may_publish_changes(self, dead: tuple[str, ...], now: timedelta) -> bool:
         """Whether there are changes to answer with, and they need not be batched any longer."""
-        if not self._peers.has_synced and now - self._listening_since <= self._tuning["takeover"]:
+        if not self._peers.has_synced and now - self._silence_counted_since <= self._tuning["takeover"]:
             return False
         if self._delta_server.position is None or dead != self._announced_dead:
             return True
--- a/silverglade/membership/death_detector.py
+++ b/silverglade/membership/death_detector.py
@@ -37,7 +37,7 @@
 """The number of its watchers that must suspect a daemon; a daemon with fewer watchers must be suspected by all of them."""
 
 SUSPICION_SETTLE_DIVISOR = 3
-"""A suspicion takes effect after the tuning "settle" divided by this number."""
+"""A suspicion counts only after it has lasted longer than the tuning "settle" divided by this number."""
 
 Members = Mapping[str, MemberRecord]
 
@@ -61,7 +61,7 @@
         "_rows",
         "_peers",
         "_tuning",
-        "_listening_since",
+        "_silence_counted_since",
         "_requested_at",
         "_heartbeat_at",
         "_suspected_since",
@@ -74,7 +74,7 @@
         self._rows = rows
         self._peers = peers
         self._tuning = tuning
-        self._listening_since = ZERO
+        self._silence_counted_since = ZERO
         self._requested_at: dict[str, timedelta] = {}  # when each daemon last asked this core for updates
         self._heartbeat_at: dict[str, timedelta] = {}  # when this core last received a heartbeat of each daemon
         self._suspected_since: dict[str, timedelta] = {}  # start of the time for which a suspected daemon has not answered this core
@@ -84,7 +84,7 @@
 
     def reset_silence_timers(self, now: timedelta) -> None:
         """Measure every silence from now on, because the process has just started or was paused."""
-        self._listening_since = now
+        self._silence_counted_since = now
         for times in (self._requested_at, self._heartbeat_at, self._suspected_since):
             times.update(dict.fromkeys(times, now))
 
@@ -112,7 +112,7 @@
     # --- detection of dead daemons
 
     def update_dead(self, members: Members, now: timedelta) -> None:
-        """Compute `dead` anew.
+        """Recompute `dead`.
 
         :param members: all daemons that have a record in the table.
         """
@@ -153,7 +153,7 @@
         since = self._suspected_since.get(daemon, now)
         if now - since <= self._tuning["settle"] / SUSPICION_SETTLE_DIVISOR:
             return False
-        return self._heartbeat_at.get(daemon, self._listening_since) < since
+        return self._heartbeat_at.get(daemon, self._silence_counted_since) < since
 
     def _silent_daemons(self, present: Members, now: timedelta) -> dict[str, DeathCause]:
         """Return the daemons from which the core that they query has received nothing for too long; publish those that query this core."""
@@ -179,7 +179,7 @@
 
         :param core: the core or zone relay that the daemon queries; a zone relay counts as alive until it is found dead.
         """
-        start = self._listening_since
+        start = self._silence_counted_since
         last_contact = max(self._requested_at.get(daemon, start), self._heartbeat_at.get(daemon, start))
         if core is None or core == self._name or core not in present:
             return last_contact
--- a/silverglade/membership/published_rows.py
+++ b/silverglade/membership/published_rows.py
@@ -63,26 +63,26 @@
         """
         due = []
         for row_key, row in list(self.rows.items()):
-            if not all_rows and (self._is_acknowledged(row_key, row, table, now) or self._was_sent_recently(row_key, now)):
+            if not all_rows and (self._can_skip_resend(row_key, row, table, now) or self._was_sent_recently(row_key, now)):
                 continue
             self._sent_at[row_key] = now
             due.append((*row_key, *row))
         return tuple(due)
 
-    def _is_acknowledged(self, row_key: RowKey, row: PublishedRow, table: ReplicatedTable, now: timedelta) -> bool:
+    def _can_skip_resend(self, row_key: RowKey, row: PublishedRow, table: ReplicatedTable, now: timedelta) -> bool:
         """Whether a row need not be resent now; removes a row that a higher rank supersedes, and a tombstone that the cores hold."""
         held = table.rows.get(row_key)
         if row_key == self._own_record:
             return held is not None and held.rank == row.rank and held.value == row.value
         if held is None:
-            return row.scope == ALL_CORES and row_key in self._sent_at and self._was_sent_to_cores(row_key, row, now)
+            return row.scope == ALL_CORES and row_key in self._sent_at and self._can_skip_core_row_resend(row_key, row, now)
         if held.rank < row.rank:
             return False
         if held.rank > row.rank or row.value is None:
             del self.rows[row_key]
         return True
 
-    def _was_sent_to_cores(self, row_key: RowKey, row: PublishedRow, now: timedelta) -> bool:
+    def _can_skip_core_row_resend(self, row_key: RowKey, row: PublishedRow, now: timedelta) -> bool:
         """Whether a row scoped to cores need not be resent now.
 
         Cores do not return such rows, so nothing shows that they hold them. The row with the queried core is not resent; others are
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -334,17 +334,17 @@
 
 
 def test_expired_tombstones_and_origins_without_rows_are_dropped():
-    t = ReplicatedTable(process_id="a")
-    t.merge((SoftStateRow("thing", "k", (1,), 1, "", "old", 4),), ZERO)
-    t.advance_to({"old": 4})
-    t.drop_origins({"a"})
-    assert t.vector == {"old": 4}
-    t.insert(SoftStateRow("thing", "k", (2,), None, ""), ZERO)
-    t.drop_tombstones(9 * SEC, 10 * SEC)
-    assert len(t.rows) == 1
-    t.drop_tombstones(11 * SEC, 10 * SEC)
-    t.drop_origins({"a"})
-    assert t.rows == {} and t.tombstones == {} and t.vector == {"a": 1}
+    table = ReplicatedTable(process_id="a")
+    table.merge((SoftStateRow("thing", "k", (1,), 1, "", "old", 4),), ZERO)
+    table.advance_to({"old": 4})
+    table.drop_origins({"a"})
+    assert table.vector == {"old": 4}
+    table.insert(SoftStateRow("thing", "k", (2,), None, ""), ZERO)
+    table.drop_tombstones(9 * SEC, 10 * SEC)
+    assert len(table.rows) == 1
+    table.drop_tombstones(11 * SEC, 10 * SEC)
+    table.drop_origins({"a"})
+    assert table.rows == {} and table.tombstones == {} and table.vector == {"a": 1}
 
 
 @pytest.mark.parametrize("seed", range(3))
