--- a/silverglade/membership/core_peers.py
+++ b/silverglade/membership/core_peers.py
@@ -103,7 +103,7 @@
         :returns: whether this table's vector has changed, and the messages to send in reply.
         """
         vector, base = dict(message.vector), dict(message.base)
-        peer = self._note(core, message, vector, now)
+        peer = self._update_peer(core, message, vector, now)
         if not covers(self._table.vector, {**vector, **base}):
             return False, [self._sync(core, now)]  # the rows build on a vector that this table does not cover
         has_moved = not covers(self._table.vector, vector)
@@ -113,7 +113,7 @@
             return has_moved, [self._sync(core, now)]
         return has_moved, []
 
-    def _note(self, core: str, message: SyncTables, vector: VersionVector, now: timedelta) -> CorePeer:
+    def _update_peer(self, core: str, message: SyncTables, vector: VersionVector, now: timedelta) -> CorePeer:
         peer = self.peers.setdefault(core, CorePeer(last_sync_at=now))
         peer.last_sync_at = now
         peer.vector = vector if message.is_complete else {**peer.vector, **vector}
