--- a/tests/membership/test_live_members.py
+++ b/tests/membership/test_live_members.py
@@ -1,4 +1,4 @@
-"""The list of live members is worked out from what changed, and is the same as from the whole table (design 4.3)."""
+"""The list of live members, computed incrementally, equals the list computed from the whole table (design 4.3)."""
 
 import random
 from datetime import timedelta
@@ -19,7 +19,7 @@
 
 
 def scanned(table, name):
-    """The attributes of a daemon, read from all rows."""
+    """Return the attributes of a daemon, read from all rows of the table."""
     found = {
         key.split(" ", 1)[1]: row.value
         for (kind, key), row in table.rows.items()
@@ -29,7 +29,7 @@
 
 
 def play(seed, table_class=ReplicatedTable):
-    """Rows come, change and go; after each the list is compared with the whole table."""
+    """Insert, change and remove random rows, and compare the list with the whole table after each."""
     rng, table, live = random.Random(seed), table_class(process_id="p"), LiveMembers(own_name="d1")
     for step in range(1, 120):
         now = timedelta(seconds=step)
@@ -39,12 +39,12 @@
         else:
             value = rng.choice((None, step, "x"))
             row = SoftStateRow(ATTRIBUTE_ROW, joined_key(name, rng.choice(("news", "front", "pace"))), (step,), value, "", "", 0)
-        table.take(row, now)
+        table.insert(row, now)
         if rng.random() < 0.2:
             table.drop_tombstones(now, timedelta(seconds=rng.choice((0, 3))))
         live.is_outdated = True
         own = {"news": step}
-        live.update(table, own_record=record("d1", 0), own_attributes=own, is_isolated=False, is_heard=lambda name: True)
+        live.update(table, own_record=record("d1", 0), own_attributes=own, is_isolated=False, has_recent_heartbeat=lambda name: True)
         listed = {member.name: member.attributes for member in live.members}
         held = {name: member for name, member in table.members().items() if member.state != "left"}
         assert set(listed) == set(held) | {"d1"}
@@ -53,13 +53,13 @@
             assert listed[name] == expected
 
 
-# A list that is made from what changed may miss a change: a daemon would be taken for what it was.
+# An incremental computation that misses a change would list a daemon with outdated attributes.
 @pytest.mark.parametrize("seed", range(20))
-def test_the_list_is_what_the_whole_table_says(seed):
+def test_the_incremental_list_equals_one_computed_from_the_whole_table(seed):
     play(seed)
 
 
-def test_an_attribute_that_is_not_made_anew_is_noticed(monkeypatch):
+def test_a_stale_attribute_cache_fails_the_comparison(monkeypatch):
     module = "silverglade.membership.replicated_table"
     without(monkeypatch, module, "        self._attributes.pop(daemon, None)\n", "", f"{module}.ReplicatedTable")
     with pytest.raises(AssertionError):
