--- a/silverglade/autoscaling/__init__.py
+++ b/silverglade/autoscaling/__init__.py
@@ -1,1 +1,1 @@
-"""How many replicas a region needs (design 9, 16.3)."""
+"""Sizing of a region: how many replicas it requires, and orders for them (design 9, 16.3, 16.5)."""
--- a/silverglade/autoscaling/load_bounds.py
+++ b/silverglade/autoscaling/load_bounds.py
@@ -1,7 +1,7 @@
-"""What a region's replicas report bounds what it is said to require, where replicas are ordered (design 16.5).
+"""Bounds for the published requirement of a region, derived from the load that its replicas report (design 16.5).
 
-One daemon's arrivals are a small sample of a large fleet's, and what the chain makes of a sample swings. The reports are the whole
-region's: how many replicas' work they do together, and whether requests wait there.
+The arrivals at one daemon are a small sample of those of a large fleet, and the requirement that the Markov chain derives from a
+sample fluctuates. The reports cover the whole region: how much work its replicas do together, and whether requests queue there.
 """
 
 from __future__ import annotations
@@ -12,43 +12,43 @@
 from math import ceil
 from typing import Any, NamedTuple, Protocol
 
-QUEUED_UNTIL_FULL = 1.0
-"""Requests that wait at a replica, in the mean, from which on a region's replicas are full."""
+SATURATION_QUEUE_LENGTH = 1.0
+"""Mean number of queued requests per replica from which on a region's replicas count as saturated."""
 
-LEAST_FULL_USE = 0.25
-"""Replicas may be full with fewer of their slots used, by long prompts for example, but not with fewer than this share."""
+MIN_SATURATION_UTILIZATION = 0.25
+"""Lowest utilization taken for saturation. Long prompts, for example, can saturate a replica that uses few of its slots."""
 
-FULL_USE_RECOVERY = 0.002
-"""By how much the use at which replicas are taken for full rises again with each look."""
+SATURATION_RECOVERY = 0.002
+"""Increase of the saturation utilization with each sample, until it is back at 1."""
 
-MOST_GROWTH = 1.5
-"""A region whose replicas are full is said to require at most so many times those that are ready: more is seen once these serve."""
+MAX_GROWTH_FACTOR = 1.5
+"""Limit for the requirement of a saturated region, as a multiple of its ready replicas. More is seen once the new ones serve."""
 
-ROUNDING = 1e-9
-"""What a quotient may be off before it is rounded up."""
+ROUNDING_TOLERANCE = 1e-9
+"""Floating-point error that a quotient may have without being rounded up."""
 
 
 class ReportedLoad(Protocol):
-    """What is looked at of a replica's load."""
+    """The fields of a replica's load report that are used here."""
 
     @property
     def active(self) -> int:
-        """Requests that run."""
+        """Running requests."""
 
     @property
     def queued(self) -> int:
-        """Requests that wait there."""
+        """Queued requests."""
 
     @property
     def slots(self) -> int:
-        """Requests that it runs at once."""
+        """The number of requests that the replica runs concurrently."""
 
 
-class Look(NamedTuple):
-    """The region's ready replicas at one time.
+class LoadSample(NamedTuple):
+    """The load of the region's ready replicas at one time.
 
-    :ivar busy: so many replicas' slots are used.
-    :ivar queued: requests that wait, for each replica.
+    :ivar busy: used slots, expressed as a number of whole replicas.
+    :ivar queued: mean number of queued requests per replica.
     """
 
     at: timedelta
@@ -57,57 +57,59 @@
 
 
 class LoadBounds:
-    """The bounds of one service's requirement in the region.
+    """Bounds for the requirement of one service in the region.
 
-    :ivar full_use: the share of slots at which requests begin to wait, as it was met lately.
+    :ivar saturation_utilization: the share of used slots at which requests were last seen to queue; it recovers slowly to 1.
     """
 
-    __slots__ = ("_looks", "_ready", "_tuning", "full_use")
+    __slots__ = ("_ready_replicas", "_samples", "_tuning", "saturation_utilization")
 
     def __init__(self, *, tuning: Mapping[str, Any]) -> None:
         self._tuning = tuning
-        self._looks: deque[Look] = deque()
-        self._ready = 0
-        self.full_use = 1.0
+        self._samples: deque[LoadSample] = deque()
+        self._ready_replicas = 0
+        self.saturation_utilization = 1.0
 
-    def look(self, now: timedelta, loads: Iterable[ReportedLoad]) -> None:
-        """Take the loads of the service's ready replicas in the region."""
+    def add_sample(self, now: timedelta, loads: Iterable[ReportedLoad]) -> None:
+        """Add a sample of the loads of the service's ready replicas in the region."""
         loads = list(loads)
-        self._ready = len(loads)
+        self._ready_replicas = len(loads)
         slots = max(1, sum(load.slots for load in loads))
-        use = min(1.0, sum(load.active for load in loads) / slots)
-        queued = sum(load.queued for load in loads) / max(1, self._ready)
-        self._looks.append(Look(now, use * self._ready, queued))
-        while now - self._looks[0].at > self._tuning["scale_trend"]:
-            self._looks.popleft()
-        self.full_use = min(1.0, self.full_use + FULL_USE_RECOVERY)
-        if self._is_full(now):
-            self.full_use = max(LEAST_FULL_USE, min(self.full_use, use))
-
-    def bounded(self, now: timedelta, required: int) -> int:
-        """Bound what the chain asks for: no less than bears this load at `scale_top`, no more than bears it at `scale_fall`.
-
-        Where no replica is ready nothing is known, and the number stands.
+        utilization = min(1.0, sum(load.active for load in loads) / slots)
+        queued = sum(load.queued for load in loads) / max(1, self._ready_replicas)
+        self._samples.append(LoadSample(now, utilization * self._ready_replicas, queued))
+        while now - self._samples[0].at > self._tuning["scale_trend"]:
+            self._samples.popleft()
+        self.saturation_utilization = min(1.0, self.saturation_utilization + SATURATION_RECOVERY)
+        if self._is_saturated(now):
+            self.saturation_utilization = max(MIN_SATURATION_UTILIZATION, min(self.saturation_utilization, utilization))
+
+    def clamp(self, now: timedelta, required: int) -> int:
+        """Return the requirement, limited to the range in which the load of one replica is at most `scale_top` and at least `scale_fall`.
+
+        The upper limit of a saturated region is at least `MAX_GROWTH_FACTOR` times its ready replicas.
+
+        Without a ready replica there is no load to judge by, and the requirement is returned unchanged.
         """
-        if not self._ready:
+        if not self._ready_replicas:
             return required
-        replicas = self._projected_busy(now) / self.full_use
-        least: int = ceil(replicas / self._tuning["scale_top"] - ROUNDING)
-        most: int = max(least, ceil(replicas / self._tuning["scale_fall"] - ROUNDING))
-        if self._is_full(now):
-            most = max(most, ceil(self._ready * MOST_GROWTH))
-        return max(least, min(required, most))
-
-    def _recent(self, now: timedelta) -> list[Look]:
-        return [look for look in self._looks if now - look.at < self._tuning["need_window"]]
-
-    def _projected_busy(self, now: timedelta) -> float:
-        """The mean over `need_window`, and its rise since the oldest look, which is expected to go on (9.3)."""
-        recent = self._recent(now)
-        mean = sum(look.busy for look in recent) / max(1, len(recent))
-        oldest = [look.busy for look in self._looks if now - look.at > self._tuning["scale_trend"] - self._tuning["need_window"]]
+        replicas = self._projected_busy_replicas(now) / self.saturation_utilization
+        lower_bound: int = ceil(replicas / self._tuning["scale_top"] - ROUNDING_TOLERANCE)
+        upper_bound: int = max(lower_bound, ceil(replicas / self._tuning["scale_fall"] - ROUNDING_TOLERANCE))
+        if self._is_saturated(now):
+            upper_bound = max(upper_bound, ceil(self._ready_replicas * MAX_GROWTH_FACTOR))
+        return max(lower_bound, min(required, upper_bound))
+
+    def _recent_samples(self, now: timedelta) -> list[LoadSample]:
+        return [sample for sample in self._samples if now - sample.at < self._tuning["need_window"]]
+
+    def _projected_busy_replicas(self, now: timedelta) -> float:
+        """Return the mean over `need_window` plus its increase since the oldest samples, which is expected to continue (design 9.3)."""
+        recent = self._recent_samples(now)
+        mean = sum(sample.busy for sample in recent) / max(1, len(recent))
+        oldest = [sample.busy for sample in self._samples if now - sample.at > self._tuning["scale_trend"] - self._tuning["need_window"]]
         return mean + max(0.0, mean - sum(oldest) / len(oldest)) if oldest else mean
 
-    def _is_full(self, now: timedelta) -> bool:
-        recent = self._recent(now)
-        return sum(look.queued for look in recent) >= QUEUED_UNTIL_FULL * max(1, len(recent))
+    def _is_saturated(self, now: timedelta) -> bool:
+        recent = self._recent_samples(now)
+        return sum(sample.queued for sample in recent) >= SATURATION_QUEUE_LENGTH * max(1, len(recent))
--- a/silverglade/autoscaling/markov_chain.py
+++ b/silverglade/autoscaling/markov_chain.py
@@ -1,11 +1,11 @@
 """The paper's Markov chain (design 9.1): state probabilities, throughput and response time.
 
-The paper's symbols stand here as they do there (docs/paper.md): `lam` arrivals a second, `mu` requests a second that one replica
-ends, `r` requests a second that the dispatcher places, `m` replicas, `room` the largest number of requests in the system, and
-`q[k,n]` the probability of k requests in it of which n are with the dispatcher.
+The code uses the paper's symbols (docs/paper.md): `lam` is the number of arrivals per second, `mu` the number of requests per second
+that one replica completes, `r` the number of requests per second that the dispatcher places, `m` the number of replicas, `room` the
+largest number of requests in the system, and `q[k,n]` the probability of k requests in the system of which n are with the dispatcher.
 
-All of it works on floats and on Fractions alike. Summing the balance equations over the levels below k gives q[k,0] from level
-k-1 with no subtraction; the balance of (k,0) itself then gives q[k,1].
+Everything works with floats and with Fractions. Summing the balance equations over the levels below k gives q[k,0] from level k-1
+without a subtraction; the balance equation of (k,0) itself then gives q[k,1].
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 if TYPE_CHECKING:
     from fractions import Fraction
 
-LARGEST_WEIGHT = 1e200
-"""Beyond it all weights are scaled down, so that none overflows."""
+MAX_WEIGHT = 1e200
+"""If a weight exceeds this, all weights are scaled down to prevent overflow."""
 
-SAME_RESPONSE_TIME = 1e-13
-"""Relative difference below which another replica changes nothing."""
+RESPONSE_TIME_TOLERANCE = 1e-13
+"""Relative difference between response times below which further replicas are taken to change nothing."""
 
 NEGLIGIBLE_WEIGHT = 1e-20
-"""Share of the sum below which the rest of a chain is left out."""
+"""Share of the total weight below which the remaining states of a chain are left out."""
 
-ROUNDING = 1e-9
-"""What a quotient may be off before it is rounded to a whole number."""
+ROUNDING_TOLERANCE = 1e-9
+"""Floating-point error that a quotient may have when it is rounded to an integer."""
 
 FLOW_PRINTED: Final = "printed"
 FLOW_SERVED: Final = "served"
@@ -35,18 +35,18 @@
 
 
 class ChainMeasures(NamedTuple):
-    """Figures of a chain in balance.
+    """Figures of a chain in its steady state.
 
     :ivar response_time: W in seconds.
-    :ivar throughput: requests a second that end.
-    :ivar loss: share of arrivals that find no room.
-    :ivar use: share of the time that a replica is used.
+    :ivar throughput: completed requests per second.
+    :ivar loss: share of arrivals that are rejected because the system is full.
+    :ivar utilization: share of the time for which a replica is busy.
     """
 
     response_time: float
     throughput: float
     loss: float
-    use: float
+    utilization: float
 
 
 class RequiredReplicas(NamedTuple):
@@ -57,9 +57,9 @@
 
 
 def state_weights(*, lam: Number, mu: Number, r: Number, m: int, room: int) -> list[tuple[Number, Number]]:
-    """Weights of the states, not yet normalised.
+    """Return the weights of the states, not normalised.
 
-    On floats the list ends where what follows can only be smaller and is nothing beside the sum.
+    With floats, the list ends where all further weights decrease and are negligible compared with the sum.
 
     :returns: (q[k,0], q[k,1]) for k = 0 to `room`; q[0,1] is 0.
     """
@@ -78,19 +78,19 @@
         total += q0 + q1
         if not isinstance(q0, float):
             continue
-        if max(q0, q1) > LARGEST_WEIGHT:
-            weights = [(a / LARGEST_WEIGHT, b / LARGEST_WEIGHT) for a, b in weights]
-            total = total / LARGEST_WEIGHT
+        if max(q0, q1) > MAX_WEIGHT:
+            weights = [(a / MAX_WEIGHT, b / MAX_WEIGHT) for a, b in weights]
+            total = total / MAX_WEIGHT
         elif lam < 0.9 * min(k, m) * mu and q0 + q1 < NEGLIGIBLE_WEIGHT * total:
             break
     return weights
 
 
 def chain_measures(*, lam: float, mu: float, r: float, m: int, room: int, flow: str = FLOW_PRINTED) -> ChainMeasures:
-    """Figures of the chain.
+    """Return the figures of the chain in its steady state.
 
-    :param flow: `FLOW_PRINTED` takes the throughput of the paper's (8) as the design states it: mu times the summed (k,0)
-        probabilities. `FLOW_SERVED` counts every busy replica of a state, min(k, m) mu: what leaves the chain (docs/paper.md).
+    :param flow: `FLOW_PRINTED` computes the throughput by equation (8) of the paper, as the design states it: mu times the sum of the
+        (k,0) probabilities. `FLOW_SERVED` counts all busy replicas of a state, min(k, m) mu: what leaves the chain (docs/paper.md).
     """
     weights = state_weights(lam=lam, mu=mu, r=r, m=m, room=room)
     total = sum(a + b for a, b in weights)
@@ -112,41 +112,42 @@
     fallback_load: float,
     flow: str = FLOW_PRINTED,
 ) -> RequiredReplicas:
-    """The smallest number of replicas that meets a latency target (design 9.2).
+    """Return the smallest number of replicas that meets a latency target (design 9.2).
 
-    Every number is tried, as the printed W need not fall with m; beyond the room it no longer changes.
+    Every number is tried, because the printed W does not necessarily decrease with m. More replicas than the room change nothing.
 
-    :param replicas: that the region has.
+    :param replicas: the region's present number of replicas.
     :param latency_target: in seconds.
     :param room: requests per replica.
-    :param fan_out: times the region's replicas is the dispatcher's speed, and the largest number that is returned.
-    :param max_load: no number is returned for which lam/(m mu) is higher.
-    :param fallback_load: without a number that meets the target: the smallest with at most this load.
+    :param fan_out: this multiple of the region's replicas is both the speed of the dispatcher and the largest number returned.
+    :param max_load: numbers for which lam/(m mu) exceeds this are not returned.
+    :param fallback_load: if no number meets the target, the smallest with at most this load is returned.
     """
     if lam <= 0:
         return RequiredReplicas(0, True)
-    most = fan_out * max(1, replicas)
-    r = most * mu
-    whole_room = room * max(1, replicas)
+    max_replicas = fan_out * max(1, replicas)
+    r = max_replicas * mu
+    total_room = room * max(1, replicas)
     previous: float | None = None
-    for m in range(_replicas_at_load(lam, mu, max_load), min(most, whole_room) + 1):
-        response_time = chain_measures(lam=lam, mu=mu, r=r, m=m, room=whole_room, flow=flow).response_time
+    for m in range(_replicas_at_load(lam, mu, max_load), min(max_replicas, total_room) + 1):
+        response_time = chain_measures(lam=lam, mu=mu, r=r, m=m, room=total_room, flow=flow).response_time
         if response_time <= latency_target:
             return RequiredReplicas(m, True)
-        if previous and abs(previous - response_time) < SAME_RESPONSE_TIME * response_time:
-            break  # hardly a state holds more than m: no larger m changes W
+        if previous and abs(previous - response_time) < RESPONSE_TIME_TOLERANCE * response_time:
+            break  # states with more than m requests have negligible weight: a larger m does not change W
         previous = response_time
-    return RequiredReplicas(min(most, _replicas_at_load(lam, mu, fallback_load)), False)
+    return RequiredReplicas(min(max_replicas, _replicas_at_load(lam, mu, fallback_load)), False)
 
 
 def _replicas_at_load(lam: float, mu: float, load: float) -> int:
-    """The smallest number of replicas, at least 1, that bears the arrivals with at most this load."""
-    return max(1, ceil(lam / (load * mu) - ROUNDING))
+    """Return the smallest number of replicas, at least 1, whose load is at most `load`."""
+    return max(1, ceil(lam / (load * mu) - ROUNDING_TOLERANCE))
 
 
 def room_of_replica(*, capacity: int, mu: float, latency_target: float) -> int:
-    """K for one replica (design 16.3): requests that run, and those whose wait for a slot is within the latency target.
+    """Return K for one replica (design 16.3): running requests, plus those whose wait for a slot stays within the latency target.
 
-    Who finds k requests at a replica that runs `capacity` at once waits for k - capacity + 1 ends, mu a second.
+    A request that finds k requests at a replica with `capacity` slots waits for k - capacity + 1 completions, of which there are mu
+    per second.
     """
-    return capacity + floor(latency_target * mu + ROUNDING)
+    return capacity + floor(latency_target * mu + ROUNDING_TOLERANCE)
--- a/silverglade/autoscaling/replica_orderer.py
+++ b/silverglade/autoscaling/replica_orderer.py
@@ -1,6 +1,6 @@
 """Orders replicas while this daemon holds the lease of that duty (design 16.5), the component "replica_orders".
 
-How many is decided in `replica_orders.py`; here stand what that follows from, and the calls to the platform.
+`replica_orders.py` decides how many to order. This module collects the inputs of the decision and makes the calls to the platform.
 """
 
 from __future__ import annotations
@@ -25,81 +25,85 @@
     StoreUpdated,
     TimerFired,
 )
-from .replica_orders import Scaling, ServiceOrders, Situation, homes_of_service
+from .replica_orders import DecisionInputs, Scaling, ServiceOrders, homes_of_service
 from .requirement_rows import RequirementRow, is_requirement_row, scalable_services, split_requirement_key
 from .service_scaler import ServiceRequirement
 
 STATUS_OK = 200
-STATUS_REFUSED = 400
+STATUS_CLIENT_ERROR = 400
 STATUS_FENCED = 409
 STATUS_TOO_MANY = 429
 
-FIRST_PAUSE = timedelta(seconds=1)
-"""Before a call that failed is made again; doubled each time up to `LONGEST_PAUSE`."""
+INITIAL_BACKOFF = timedelta(seconds=1)
+"""Delay before a failed call is retried; doubled after each failure up to `MAX_BACKOFF`."""
 
-LONGEST_PAUSE = timedelta(seconds=32)
-MOST_DOUBLINGS = 5
-MOST_CALLS = 4
-"""Calls under way at once: the platform takes few a second from all daemons."""
+MAX_BACKOFF = timedelta(seconds=32)
+MAX_BACKOFF_DOUBLINGS = 5
+MAX_CONCURRENT_CALLS = 4
+"""Limit for concurrent calls, because the platform accepts few calls per second from all daemons together."""
 
-Subject = tuple[str, str]
-"""A service and a zone: what one order is about."""
+ServiceZone = tuple[str, str]
+"""(service, zone): the subject of one order."""
 
 
-class CallUnderWay(NamedTuple):
-    """A call that has not ended, about so many replicas."""
+class CallInFlight(NamedTuple):
+    """A call that has not ended, and the number of replicas that it orders."""
 
     call_id: str
     replicas: int
 
 
 class OrderCalls:
-    """The calls about one service and zone under the present lease.
+    """State of the platform calls for one service and zone under the present lease.
 
-    :ivar confirmed: the number that the platform has taken last; None where it is not known.
-    :ivar refused: the number that it will not take; None for none.
-    :ivar under_way: the call that has not ended.
-    :ivar failures: calls that failed, in a row.
-    :ivar not_before: when the next call may be made.
+    :ivar confirmed: the number that the platform accepted last; None if unknown.
+    :ivar refused: the number that the platform has refused for good, or None.
+    :ivar in_flight: the call that has not ended, or None.
+    :ivar failures: consecutive failed calls.
+    :ivar not_before: the earliest time of the next call.
     """
 
-    __slots__ = ("confirmed", "failures", "not_before", "refused", "under_way")
+    __slots__ = ("confirmed", "failures", "in_flight", "not_before", "refused")
 
     def __init__(self) -> None:
         self.confirmed: int | None = None
         self.refused: int | None = None
-        self.under_way: CallUnderWay | None = None
+        self.in_flight: CallInFlight | None = None
         self.failures = 0
         self.not_before = ZERO
 
     def may_call(self, now: timedelta) -> bool:
-        """Whether the platform may be called now."""
-        return self.under_way is None and now >= self.not_before
+        """Return whether the platform may be called now."""
+        return self.in_flight is None and now >= self.not_before
 
     def is_settled(self, count: int) -> bool:
-        """Whether the platform has answered for good for this number."""
-        return self.under_way is None and count in (self.confirmed, self.refused)
+        """Return whether the platform has accepted this number, or refused it for good."""
+        return self.in_flight is None and count in (self.confirmed, self.refused)
 
-    def succeed(self, count: int) -> None:
-        """The platform has taken this number."""
+    def record_success(self, count: int) -> None:
+        """Record that the platform accepted this number."""
         self.confirmed, self.refused, self.failures = count, None, 0
 
-    def refuse(self, count: int) -> None:
-        """The platform will not take this number, ever."""
+    def record_refusal(self, count: int) -> None:
+        """Record that the platform refused this number for good."""
         self.refused, self.failures = count, 0
 
-    def fail(self, now: timedelta) -> None:
-        """The call, which may have been taken, is to be made again with the newest number after a pause that grows."""
+    def record_failure(self, now: timedelta) -> None:
+        """Record a failed call.
+
+        The platform may have accepted it all the same, so the confirmed number is unknown. The next call carries the newest number after
+        an exponential backoff.
+        """
         self.confirmed = None
-        self.not_before = now + min(LONGEST_PAUSE, FIRST_PAUSE * 2 ** min(self.failures, MOST_DOUBLINGS))
+        self.not_before = now + min(MAX_BACKOFF, INITIAL_BACKOFF * 2 ** min(self.failures, MAX_BACKOFF_DOUBLINGS))
         self.failures += 1
 
 
 class ReplicaOrderer:
     """The state machine that orders replicas.
 
-    :ivar services: the orders of each service with scaling.
-    :ivar calls: by service and zone.
+    :ivar services: the orders of each service with scaling, by service.
+    :ivar calls: the state of calls by (service, zone).
     """
 
     handled_events: ClassVar[tuple[type[Event], ...]] = (
@@ -114,7 +118,7 @@
     def __init__(self, *, tuning: Mapping[str, Any]) -> None:
         self._tuning = tuning
         self.services: dict[str, ServiceOrders] = {}
-        self.calls: dict[Subject, OrderCalls] = {}
+        self.calls: dict[ServiceZone, OrderCalls] = {}
         self._configuration: Mapping[str, Any] = {}
         self._drained_zones: frozenset[str] = frozenset()
         self._replicas: dict[str, EndpointRecord] = {}
@@ -123,7 +127,7 @@
         self._token: int | None = None
         self._usable_until: timedelta | None = None
         self._is_fenced = False
-        self._calls_made = 0
+        self._call_count = 0
         self._next_run = ZERO
         self._effects: list[Effect] = []
         self._handlers: dict[type[Event], Callable[[timedelta, Any], None]] = {
@@ -141,7 +145,7 @@
         effects, self._effects = self._effects, []
         return effects
 
-    # what the orders follow from
+    # --- inputs of the orders
 
     def _on_membership_changed(self, now: timedelta, event: MembershipChanged) -> None:
         self._ready_daemons = frozenset(member.name for member in members_of(event.members) if member.is_ready)
@@ -152,21 +156,21 @@
 
     def _on_soft_state_changed(self, now: timedelta, event: SoftStateChanged) -> None:
         if event.kind == LISTED:
-            self._take_listed(event.rows)
+            self._update_listed_replicas(event.rows)
         elif event.kind == REQUIREMENT_ROW:
             self._requirements.update(
                 {key: RequirementRow.of(value) for key, (_, value) in event.rows.items() if is_requirement_row(value)}
             )
 
-    def _take_listed(self, rows: Mapping[str, tuple[Any, Any]]) -> None:
+    def _update_listed_replicas(self, rows: Mapping[str, tuple[Any, Any]]) -> None:
         for name, (_, value) in rows.items():
             if value is None:
                 self._replicas.pop(name, None)
             elif is_endpoint_row(value):
                 self._replicas[name] = EndpointRecord.of(value)
 
-    def _known_requirements(self, service: str) -> dict[str, ServiceRequirement]:
-        """Region to what it requires, as far as the daemon that said so is alive; a dead one's word may be old."""
+    def _current_requirements(self, service: str) -> dict[str, ServiceRequirement]:
+        """Return the requirements by region whose publisher is ready; the rows of other publishers may be outdated."""
         known = {}
         for key, row in self._requirements.items():
             named, region = split_requirement_key(key)
@@ -174,10 +178,10 @@
                 known[region] = ServiceRequirement(row.required, row.ready, row.is_short)
         return known
 
-    # the lease
+    # --- lease
 
     def _on_lease_changed(self, now: timedelta, event: LeaseChanged) -> None:
-        """Take the lease; under another token nothing that was ordered before is known to stand."""
+        """Update the lease. Under a new token, no earlier order is known to be still in effect."""
         if event.duty != Duty.SCALE:
             return
         if event.token != self._token:
@@ -188,44 +192,44 @@
                 orders.release()
         self._usable_until = event.usable_until
 
-    def _may_act(self, now: timedelta) -> bool:
+    def _is_lease_usable(self, now: timedelta) -> bool:
         if self._token is None or self._usable_until is None or self._is_fenced:
             return False
         return now < self._usable_until
 
-    # time
+    # --- timer
 
     def _on_timer(self, now: timedelta, event: TimerFired) -> None:
         if now >= self._next_run:
-            self._run(now)
-            again_at = [calls.not_before for calls in self.calls.values() if calls.not_before > now]
-            self._next_run = min([now + self._tuning["scale_every"], *again_at])
+            self._reconcile_services(now)
+            retry_times = [calls.not_before for calls in self.calls.values() if calls.not_before > now]
+            self._next_run = min([now + self._tuning["scale_every"], *retry_times])
         self._effects.append(WakeAt(self._next_run if self._configuration else IDLE))
 
-    def _run(self, now: timedelta) -> None:
-        """Look at all services; order where this daemon may."""
+    def _reconcile_services(self, now: timedelta) -> None:
+        """Update the listed replicas of all services, and the orders if the lease is usable; call the platform as needed."""
         scalable = scalable_services(self._configuration)
         for service in self.services.keys() - scalable.keys():
             del self.services[service]
         for service, scaling in sorted(scalable.items()):
             orders = self.services.setdefault(service, ServiceOrders())
-            orders.note_listed(now, self._listed(service))
-            if self._may_act(now):
-                self._decide(now, service, orders, Scaling.of(scaling))
-        self._call_where_due(now)
+            orders.update_listed(now, self._listed_counts(service))
+            if self._is_lease_usable(now):
+                self._update_orders(now, service, orders, Scaling.of(scaling))
+        self._send_pending_orders(now)
 
-    def _listed(self, service: str) -> Counter[tuple[str, str]]:
-        """How many replicas of a service are listed and do not leave, by (zone, region)."""
+    def _listed_counts(self, service: str) -> Counter[tuple[str, str]]:
+        """Return the number of listed replicas of a service that are not leaving, by (zone, region)."""
         return Counter(
             (record.zone, record.region) for record in self._replicas.values() if record.service == service and not record.is_leaving
         )
 
-    def _decide(self, now: timedelta, service: str, orders: ServiceOrders, scaling: Scaling) -> None:
+    def _update_orders(self, now: timedelta, service: str, orders: ServiceOrders, scaling: Scaling) -> None:
         before = {zone: order.ordered for zone, order in orders.zones.items()}
-        requirements = self._known_requirements(service)
+        requirements = self._current_requirements(service)
         homes = homes_of_service(self._configuration, service)
         hold, step_share = self._tuning["scale_hold"], self._tuning["scale_step"]
-        orders.decide(now, Situation(scaling, requirements, self._drained_zones, homes, hold, step_share))
+        orders.decide(now, DecisionInputs(scaling, requirements, self._drained_zones, homes, hold, step_share))
         for zone, order in sorted(orders.zones.items()):
             if order.ordered != before[zone]:
                 requirement = requirements.get(order.region)
@@ -234,11 +238,11 @@
                     log_record("replica-order", service=service, zone=zone, count=order.ordered, before=before[zone], required=required)
                 )
 
-    # calls
+    # --- platform calls
 
-    def _call_where_due(self, now: timedelta) -> None:
-        """Tell the platform the orders that it has not taken yet, those that add replicas first."""
-        if self._token is None or not self._may_act(now):
+    def _send_pending_orders(self, now: timedelta) -> None:
+        """Send the orders that the platform has not accepted yet; those that add replicas come first."""
+        if self._token is None or not self._is_lease_usable(now):
             return
         pending = [
             (order.ordered <= order.listed, service, zone, order.ordered)
@@ -250,34 +254,34 @@
             calls = self.calls.setdefault((service, zone), OrderCalls())
             if calls.is_settled(count):
                 self.services[service].zones[zone].confirm(now)
-            elif calls.may_call(now) and self._calls_under_way() < MOST_CALLS:
-                self._calls_made += 1
-                calls.under_way = CallUnderWay(f"{Duty.SCALE}-{self._token}-{self._calls_made}", count)
+            elif calls.may_call(now) and self._calls_in_flight() < MAX_CONCURRENT_CALLS:
+                self._call_count += 1
+                calls.in_flight = CallInFlight(f"{Duty.SCALE}-{self._token}-{self._call_count}", count)
                 body = {"service": service, "zone": zone, "count": count}
-                self._effects.append(CallPlatform(calls.under_way.call_id, Duty.SCALE, self._token, Duty.SCALE, body))
+                self._effects.append(CallPlatform(calls.in_flight.call_id, Duty.SCALE, self._token, Duty.SCALE, body))
 
-    def _calls_under_way(self) -> int:
-        return sum(calls.under_way is not None for calls in self.calls.values())
+    def _calls_in_flight(self) -> int:
+        return sum(calls.in_flight is not None for calls in self.calls.values())
 
     def _on_call_ended(self, now: timedelta, event: PlatformCallEnded) -> None:
-        """Take the answer to a call under the present lease; others say nothing any more."""
-        for subject, calls in self.calls.items():
-            if calls.under_way is not None and calls.under_way.call_id == event.call_id:
-                count = calls.under_way.replicas
-                calls.under_way = None
-                self._on_answer(now, subject, calls, count, event.status)
-                self._next_run = min(self._next_run, max(now, calls.not_before))  # others may wait for their turn
+        """Handle the end of a call made under the present lease; others are ignored."""
+        for service_zone, calls in self.calls.items():
+            if calls.in_flight is not None and calls.in_flight.call_id == event.call_id:
+                count = calls.in_flight.replicas
+                calls.in_flight = None
+                self._on_answer(now, service_zone, calls, count, event.status)
+                self._next_run = min(self._next_run, max(now, calls.not_before))  # other orders may be waiting for a free call slot
                 return
 
-    def _on_answer(self, now: timedelta, subject: Subject, calls: OrderCalls, count: int, status: int | None) -> None:
-        service, zone = subject
+    def _on_answer(self, now: timedelta, service_zone: ServiceZone, calls: OrderCalls, count: int, status: int | None) -> None:
+        service, zone = service_zone
         if status == STATUS_OK:
-            calls.succeed(count)
+            calls.record_success(count)
             return
         self._effects.append(log_record("replica-order-failed", service=service, zone=zone, count=count, status=status))
         if status == STATUS_FENCED:
             self._is_fenced = True
-        elif status is not None and STATUS_REFUSED <= status < 500 and status != STATUS_TOO_MANY:
-            calls.refuse(count)
+        elif status is not None and STATUS_CLIENT_ERROR <= status < 500 and status != STATUS_TOO_MANY:
+            calls.record_refusal(count)
         else:
-            calls.fail(now)
+            calls.record_failure(now)
--- a/silverglade/autoscaling/requirement_rows.py
+++ b/silverglade/autoscaling/requirement_rows.py
@@ -1,6 +1,6 @@
-"""What a region requires of a service, told to the daemon that orders replicas (design 16.5).
+"""Soft-state rows that carry the requirements of a region to the daemon that orders replicas (design 16.5).
 
-Every daemon works out what its own region requires. One daemon of the region, the same for all, publishes it as soft state.
+Every daemon computes what its own region requires. One daemon per region, which all agree on, publishes the result.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from ..runtime.events import SoftStatePublished
 
 KEY_SEPARATOR = "/"
-"""Between a service's name, which holds none, and a region's."""
+"""Separates the name of a service, which cannot contain it, from that of a region."""
 
 
 class RequirementRow(NamedTuple):
-    """What a region requires of a service; in soft state as an array of its fields in this order.
+    """The requirement of a region for a service; in soft state an array of its fields in this order.
 
-    :ivar required: replicas.
-    :ivar ready: replicas that are.
-    :ivar is_short: these are too few.
-    :ivar publisher: the daemon that says so.
+    :ivar required: required replicas.
+    :ivar ready: ready replicas.
+    :ivar is_short: the ready replicas are too few.
+    :ivar publisher: the daemon that published the row.
     """
 
     required: int
@@ -33,12 +33,12 @@
 
     @classmethod
     def of(cls, row: tuple[Any, ...]) -> RequirementRow:
-        """A record from its array; fields of a later program are dropped."""
+        """Return the row that an array encodes; fields added by later versions are dropped."""
         return cls(*row[: len(cls._fields)])
 
 
-class KnownRow(NamedTuple):
-    """A row as it was told last."""
+class PublishedRow(NamedTuple):
+    """The newest known version of a row: its version number and value."""
 
     number: int
     value: tuple[Any, ...] | None
@@ -48,63 +48,67 @@
 
 
 def is_requirement_row(value: object) -> TypeGuard[tuple[Any, ...]]:
-    """Whether an array from another daemon holds a `RequirementRow`, perhaps with fields of a later program behind it."""
+    """Return whether a value from another daemon is a valid `RequirementRow`; later versions may append fields."""
     if not isinstance(value, tuple) or len(value) < len(FIELD_TYPES):
         return False
     return all(type(field) is field_type for field, field_type in zip(value, FIELD_TYPES)) and min(value[:2]) >= 0
 
 
 def requirement_key(service: str, region: str) -> str:
-    """Return the key of a row."""
+    """Return the soft-state key of a row."""
     return f"{service}{KEY_SEPARATOR}{region}"
 
 
 def split_requirement_key(key: str) -> tuple[str, str]:
-    """Return service and region of a key."""
+    """Return the service and the region that a key names."""
     service, _, region = key.partition(KEY_SEPARATOR)
     return service, region
 
 
 def scalable_services(configuration: Mapping[str, Any]) -> dict[str, Mapping[str, Any]]:
-    """The services whose replicas are ordered, with their `scaling`; what earlier versions stored has none."""
+    """Return the `scaling` of each service whose replicas are ordered. Configurations stored by earlier versions have none."""
     services = configuration.get("services") or {}
     return {name: service["scaling"] for name, service in services.items() if service.get("scaling")}
 
 
 def publisher_of(region: str, members: Iterable[MemberRecord]) -> str | None:
-    """The daemon that publishes what a region requires: one that clients call, the same for all; None where there is none."""
+    """Return the daemon that publishes the requirements of a region, or None.
+
+    It is one that serves clients, and the same for all daemons with the same member list.
+    """
     daemons = [member.name for member in members if member.region == region and member.is_ready and not member.is_core]
     publisher: str | None = highest_ranked(f"{REQUIREMENT_ROW} {region}", daemons)
     return publisher
 
 
 class RequirementPublisher:
-    """Publishes what the own region requires, where that falls to this daemon."""
+    """Publishes the requirements of the own region if this daemon is the publisher."""
 
-    __slots__ = ("_known", "_own_name", "_region", "_started_at", "_tuning")
+    __slots__ = ("_own_name", "_published", "_region", "_started_at", "_tuning")
 
     def __init__(self, *, own_name: str, region: str, tuning: Mapping[str, Any]) -> None:
         self._own_name = own_name
         self._region = region
         self._tuning = tuning
-        self._known: dict[str, KnownRow] = {}  # by key
+        self._published: dict[str, PublishedRow] = {}  # by key
         self._started_at: timedelta | None = None
 
-    def note_rows(self, rows: Mapping[str, tuple[Any, Any]]) -> None:
-        """Note rows of any daemon: what this one publishes must outrank them."""
+    def observe_rows(self, rows: Mapping[str, tuple[Any, Any]]) -> None:
+        """Record the version numbers of rows from any daemon, which rows published here must outrank."""
         for key, (rank, value) in rows.items():
-            known = self._known.get(key)
+            known = self._published.get(key)
             if known is None or rank[0] >= known.number:
-                self._known[key] = KnownRow(rank[0], value)
+                self._published[key] = PublishedRow(rank[0], value)
 
     def rows_due(
         self, now: timedelta, *, services: Collection[str], required: Mapping[str, tuple[int, int, bool]], members: Iterable[MemberRecord]
     ) -> list[SoftStatePublished]:
-        """The rows to publish now: those that differ from what was told last.
+        """Return the rows to publish now: those that differ from the newest known version.
 
-        A daemon that has just started has not met the region's requests yet: it publishes nothing for `scale_trend`.
+        A daemon that has just started has not yet seen a representative share of the region's requests, so it publishes nothing for
+        `scale_trend`.
 
-        :param required: service to the fields of a `ServiceRequirement`.
+        :param required: the fields of a `ServiceRequirement` by service.
         """
         if self._started_at is None:
             self._started_at = now
@@ -114,8 +118,8 @@
         for service in sorted(set(services) & required.keys()):
             key = requirement_key(service, self._region)
             value = tuple(RequirementRow(*required[service], self._own_name))
-            known = self._known.get(key, KnownRow(0, None))
+            known = self._published.get(key, PublishedRow(0, None))
             if value != known.value:
-                self._known[key] = KnownRow(known.number + 1, value)
+                self._published[key] = PublishedRow(known.number + 1, value)
                 rows.append(SoftStatePublished(REQUIREMENT_ROW, key, (known.number + 1,), value))
         return rows
--- a/silverglade/autoscaling/service_scaler.py
+++ b/silverglade/autoscaling/service_scaler.py
@@ -1,7 +1,7 @@
 """The scaler for services (design 16.3), the component "service_scaler".
 
-The number that it works out, set against the ready replicas, says what the region cannot take. Of services whose replicas are
-ordered (16.5) it is told to whoever orders them.
+It estimates how many replicas each service requires in the region, and by comparison with the ready replicas whether the region is
+short of them. For services whose replicas are ordered (design 16.5), the requirement is published to the daemon that orders them.
 """
 
 from __future__ import annotations
@@ -33,17 +33,17 @@
 
 MS_PER_SECOND = 1000
 
-LATENCY_OF_SLOT = "place"
-"""Value of the setting `need_latency`: a request takes up one slot of a replica, not the whole replica."""
+LATENCY_PER_SLOT = "place"
+"""Value of the setting `need_latency`: latency is the time for which a request occupies one slot, not the whole replica."""
 
 
 class ReplicaLoad(NamedTuple):
-    """What a replica of a service reported.
+    """The load report of a replica.
 
-    :ivar active: requests that run.
-    :ivar slots: requests that it runs at once.
-    :ivar is_ready: it answers and takes new requests.
-    :ivar queued: requests that wait there.
+    :ivar active: running requests.
+    :ivar slots: requests that the replica runs concurrently.
+    :ivar is_ready: it responds and accepts new requests.
+    :ivar queued: queued requests.
     """
 
     service: str
@@ -55,20 +55,20 @@
 
 
 class ServiceRequirement(NamedTuple):
-    """How many replicas a service requires in the region, how many are ready, and whether these are too few."""
+    """The number of replicas that a service requires in the region, how many are ready, and whether these are too few."""
 
     required: int
     ready: int
     is_short: bool
 
 
-class Grounds(NamedTuple):
-    """What a service's requirement follows from; the fields are pairs of the log line.
+class RequirementInputs(NamedTuple):
+    """The inputs of a service's requirement; the field names are those of the log line.
 
-    :ivar arrival_rate: requests a second in the region, projected.
-    :ivar retry_rate: retries a second at this daemon; they are no arrivals.
-    :ivar service_s: 1/mu in seconds; 0 while it is not known.
-    :ivar use: mean share of the slots that are used.
+    :ivar arrival_rate: projected requests per second in the region.
+    :ivar retry_rate: retries per second at this daemon; they do not count as arrivals.
+    :ivar service_s: 1/mu in seconds; 0 if unknown.
+    :ivar use: mean utilization of the slots.
     """
 
     arrival_rate: float
@@ -78,39 +78,39 @@
 
 
 class ServiceMeasurement:
-    """One service's replicas in the region, as they reported, and its requests at this daemon.
+    """Utilization of one service's replicas in the region, as they reported it, and the service's requests at this daemon.
 
-    :ivar load: of the requests but retries.
-    :ivar retries: when they arrived.
+    :ivar load: measurement of the requests other than retries.
+    :ivar retries: arrival times of retries.
     """
 
-    __slots__ = ("_started_at", "_tuning", "_uses", "load", "retries")
+    __slots__ = ("_started_at", "_tuning", "_utilization_samples", "load", "retries")
 
     def __init__(self, *, now: timedelta, tuning: Mapping[str, Any]) -> None:
         self._tuning = tuning
         self._started_at = now
-        self._uses: deque[tuple[timedelta, float]] = deque()
+        self._utilization_samples: deque[tuple[timedelta, float]] = deque()
         self.load = LoadMeasurement(tuning)
         self.retries: deque[timedelta] = deque()
 
     def completion_window(self, now: timedelta) -> timedelta:
-        """Over which time completions are counted."""
+        """Return the window over which completions are counted."""
         window: timedelta = max(self._tuning["scale_every"], min(self._tuning["need_window"], now - self._started_at))
         return window
 
-    def mean_use(self, now: timedelta, loads: list[ReplicaLoad]) -> float:
-        """Mean use over `need_window` of what is ready: active requests over slots at each report, at most 1."""
+    def mean_utilization(self, now: timedelta, loads: list[ReplicaLoad]) -> float:
+        """Add a sample of the ready replicas; return the mean over `need_window` of active requests per slot, at most 1."""
         slots = sum(load.slots for load in loads)
         if slots:
-            self._uses.append((now, sum(load.active for load in loads) / slots))
-        while self._uses and now - self._uses[0][0] >= self._tuning["need_window"]:
-            self._uses.popleft()
-        if not self._uses:
+            self._utilization_samples.append((now, sum(load.active for load in loads) / slots))
+        while self._utilization_samples and now - self._utilization_samples[0][0] >= self._tuning["need_window"]:
+            self._utilization_samples.popleft()
+        if not self._utilization_samples:
             return 0.0
-        return min(1.0, sum(use for _, use in self._uses) / len(self._uses))
+        return min(1.0, sum(utilization for _, utilization in self._utilization_samples) / len(self._utilization_samples))
 
     def retry_rate(self, now: timedelta) -> float:
-        """Retries a second."""
+        """Return the retries per second."""
         window: timedelta = self._tuning["scale_every"]
         while self.retries and now - self.retries[0] >= window:
             self.retries.popleft()
@@ -120,7 +120,7 @@
 class ServiceScaler:
     """The state machine of the scaler.
 
-    :ivar measurements: of each service that has had requests, or that a route leads to.
+    :ivar measurements: by service, for services that have had requests or are the target of a route.
     """
 
     handled_events: ClassVar[tuple[type[Event], ...]] = (
@@ -141,9 +141,9 @@
         self._members: tuple[MemberRecord, ...] = ()
         self._configuration: Mapping[str, Any] | None = None
         self._loads: Mapping[str, tuple[Any, ...]] = {}
-        self._bounds: dict[str, LoadBounds] = {}  # of each service whose replicas are ordered
+        self._bounds: dict[str, LoadBounds] = {}  # by service, for services whose replicas are ordered
         self._next_run = ZERO
-        self._last_requirements: dict[tuple[str, str], ServiceRequirement] = {}  # by (region, service), as they were last broadcast
+        self._last_requirements: dict[tuple[str, str], ServiceRequirement] = {}  # by (region, service), as last broadcast
         self._effects: list[Effect] = []
         self._handlers: dict[type[Event], Callable[[timedelta, Any], None]] = {
             TimerFired: self._on_timer,
@@ -156,7 +156,7 @@
         }
 
     def step(self, now: timedelta, event: Event) -> list[Effect]:
-        """Handle one event; -> its effects in their order."""
+        """Handle one event; return its effects in their order."""
         self._handlers[type(event)](now, event)
         effects = self._effects
         self._effects = []
@@ -175,7 +175,7 @@
 
     def _on_soft_state_changed(self, now: timedelta, event: SoftStateChanged) -> None:
         if event.kind == REQUIREMENT_ROW:
-            self._publisher.note_rows(event.rows)
+            self._publisher.observe_rows(event.rows)
 
     def _on_request_observed(self, now: timedelta, event: ServiceRequestObserved) -> None:
         measurement = self._measurement(event.service, now)
@@ -198,17 +198,17 @@
         return self.measurements[service]
 
     def _update_requirements(self, now: timedelta, configuration: Mapping[str, Any]) -> None:
-        """Work out what every service requires; log and broadcast what changed."""
-        daemons = daemons_with_clients(self._members, self._region)
+        """Compute the requirement of every service; log and broadcast the changes."""
+        daemons = count_client_facing_daemons(self._members, self._region)
         loads = [ReplicaLoad(*load) for load in self._loads.values()]
         requirements: dict[tuple[str, str], ServiceRequirement] = {}
         for service, latency_target in sorted(latency_targets(configuration).items()):
             ready = [load for load in loads if load.service == service and load.region == self._region and load.is_ready]
-            requirement, grounds = self._requirement(now, service=service, latency_target=latency_target, loads=ready, daemons=daemons)
+            requirement, inputs = self._requirement(now, service=service, latency_target=latency_target, loads=ready, daemons=daemons)
             key = (self._region, service)
             requirements[key] = requirement
             if requirement != self._last_requirements.get(key):
-                self._log(service, requirement, grounds, daemons)
+                self._log(service, requirement, inputs, daemons)
         for service in [service for service in self.measurements if (self._region, service) not in requirements]:
             del self.measurements[service]
         if requirements != self._last_requirements:
@@ -223,41 +223,41 @@
         scalable: Mapping[str, Mapping[str, Any]],
         loads: list[ReplicaLoad],
     ) -> None:
-        """Publish what the region requires of services whose replicas are ordered, where that falls to this daemon."""
+        """Publish the region's requirements for services whose replicas are ordered, if this daemon is the publisher."""
         if not scalable:
             return
-        bounded = {}
+        bounded_requirements = {}
         for service in [service for service in scalable if (self._region, service) in requirements]:
             ready = [load for load in loads if load.service == service and load.region == self._region and load.is_ready]
             bounds = self._bounds.setdefault(service, LoadBounds(tuning=self._tuning))
-            bounds.look(now, ready)
+            bounds.add_sample(now, ready)
             requirement = requirements[self._region, service]
-            required = bounds.bounded(now, requirement.required)
+            required = bounds.clamp(now, requirement.required)
             is_short = required > requirement.ready if ready else requirement.is_short
-            bounded[service] = ServiceRequirement(required, requirement.ready, is_short)
-        rows = self._publisher.rows_due(now, services=scalable, required=bounded, members=self._members)
+            bounded_requirements[service] = ServiceRequirement(required, requirement.ready, is_short)
+        rows = self._publisher.rows_due(now, services=scalable, required=bounded_requirements, members=self._members)
         self._effects += [Post(Component.MEMBERSHIP, row) for row in rows]
 
     def _requirement(
         self, now: timedelta, *, service: str, latency_target: float, loads: list[ReplicaLoad], daemons: int
-    ) -> tuple[ServiceRequirement, Grounds]:
-        """Work out what one service requires, and what that follows from.
+    ) -> tuple[ServiceRequirement, RequirementInputs]:
+        """Compute the requirement of one service, and return it with its inputs.
 
         :param latency_target: in seconds.
-        :param loads: of the service's ready replicas in the region.
+        :param loads: loads of the service's ready replicas in the region.
         """
         measurement = self._measurement(service, now)
         ready = len(loads)
         slots = max(1.0, sum(load.slots for load in loads) / ready) if ready else 1.0  # of one replica
         rates = measurement.load.rates(now, self._tuning["scale_every"], measurement.completion_window(now))
         arrival_rate = measurement.load.projected_rate(now, rates.arrivals * daemons)
-        use = measurement.mean_use(now, loads)
+        utilization = measurement.mean_utilization(now, loads)
         service_time = measurement.load.update_service_time(
-            use=use,
+            utilization=utilization,
             ready=ready,
             daemons=daemons,
             completions=rates.completions,
-            slots=slots if self._tuning["need_latency"] == LATENCY_OF_SLOT else 1,
+            slots=slots if self._tuning["need_latency"] == LATENCY_PER_SLOT else 1,
         )
         required = 0
         is_short = arrival_rate > 0 and not ready
@@ -270,11 +270,11 @@
             )
             is_short = is_short or (not meets_target and required >= self._tuning["scale_fan"] * max(1, ready))
         required = measurement.load.hold(now, required)
-        grounds = Grounds(arrival_rate, measurement.retry_rate(now), service_time or 0.0, use)
-        return ServiceRequirement(required, ready, is_short or required > ready), grounds
+        inputs = RequirementInputs(arrival_rate, measurement.retry_rate(now), service_time or 0.0, utilization)
+        return ServiceRequirement(required, ready, is_short or required > ready), inputs
 
-    def _log(self, service: str, requirement: ServiceRequirement, grounds: Grounds, daemons: int) -> None:
-        figures = {name: f"{value:.4g}" for name, value in grounds._asdict().items()}
+    def _log(self, service: str, requirement: ServiceRequirement, inputs: RequirementInputs, daemons: int) -> None:
+        figures = {name: f"{value:.4g}" for name, value in inputs._asdict().items()}
         self._effects.append(
             log_record(
                 "service-scaler",
@@ -290,7 +290,7 @@
 
 
 def latency_targets(configuration: Mapping[str, Any]) -> dict[str, float]:
-    """The tightest latency target, in seconds, of the routes that lead to each service."""
+    """Return the strictest latency target, in seconds, among the routes that lead to each service."""
     targets_ms: dict[str, int] = {}
     for route in configuration["routes"]:
         for share in route["shares"]:
@@ -300,7 +300,10 @@
     return {service: target_ms / MS_PER_SECOND for service, target_ms in targets_ms.items()}
 
 
-def daemons_with_clients(members: tuple[MemberRecord, ...], region: str) -> int:
-    """How many of the region's ready daemons clients call, at least 1: those that are no cores, where there are any."""
+def count_client_facing_daemons(members: tuple[MemberRecord, ...], region: str) -> int:
+    """Return how many of the region's ready daemons serve clients, at least 1.
+
+    These are the daemons that are not cores; in a region of cores only, all of them.
+    """
     here = [member for member in members if member.region == region and member.is_ready]
     return max(1, sum(not member.is_core for member in here) or len(here))
--- a/silverglade/autoscaling/tenant_scaler.py
+++ b/silverglade/autoscaling/tenant_scaler.py
@@ -1,7 +1,7 @@
 """The scaler for tenants' requests (design 9), the component "tenant_scaler" of every daemon.
 
-Each daemon works out how many replicas of each kind its region requires, and publishes its part, that number over the count of
-the region's daemons, in its member record. Every daemon adds the parts up.
+Each daemon estimates how many replicas of each kind its region requires, and publishes its share, which is that number divided by
+the number of the region's daemons, in its member record. Every daemon sums up the shares.
 """
 
 from __future__ import annotations
@@ -32,24 +32,24 @@
 from .markov_chain import RequiredReplicas
 
 PARTS_ATTRIBUTE = "parts"
-"""Attribute of the member record that holds a daemon's parts."""
+"""Attribute of the member record that holds the daemon's `ScalerPart` rows."""
 
 DEFAULT_KIND = "model"
-"""The kind of replicas of which a region keeps its least number, also while there is none."""
+"""The kind of replicas whose regional minimum applies even if the region has none."""
 
 MS_PER_SECOND = 1000
-ROUNDING = 1e-6
-"""What a sum of parts may be off before it is rounded up."""
+ROUNDING_TOLERANCE = 1e-6
+"""Floating-point error that a sum of shares may have without being rounded up."""
 
 
 class ScalerPart(NamedTuple):
-    """What a daemon publishes of one kind of replicas; in the member record as an array of its fields in this order.
+    """A daemon's contribution for one kind of replicas; in the member record an array of its fields in this order.
 
-    :ivar required: by this daemon's measurements, for the whole region.
-    :ivar share: `required` over the count of the region's daemons.
-    :ivar arrival_rate: requests a second in the region.
-    :ivar service_time: in seconds; 0 while it is not known.
-    :ivar meets_target: the number meets the latency target.
+    :ivar required: the number that this daemon requires for the whole region by its own measurements.
+    :ivar share: `required` divided by the number of the region's daemons.
+    :ivar arrival_rate: requests per second in the region.
+    :ivar service_time: in seconds; 0 if unknown.
+    :ivar meets_target: whether the required number meets the latency target.
     """
 
     kind: str
@@ -61,14 +61,14 @@
 
     @classmethod
     def of(cls, row: tuple[Any, ...]) -> ScalerPart:
-        """A part from its array; fields of a later program are dropped."""
+        """Return the part that an array encodes; fields added by later versions are dropped."""
         return cls(*row[: len(cls._fields)])
 
 
 class TenantScaler:
     """The state machine of the scaler.
 
-    :ivar measurements: of each kind of requests that came by.
+    :ivar measurements: of each kind of requests seen.
     """
 
     handled_events: ClassVar[tuple[type[Event], ...]] = (
@@ -101,7 +101,7 @@
         }
 
     def step(self, now: timedelta, event: Event) -> list[Effect]:
-        """Handle one event; -> its effects in their order."""
+        """Handle one event; return its effects in their order."""
         self._handlers[type(event)](now, event)
         effects = self._effects
         self._effects = []
@@ -121,7 +121,7 @@
         self._measurement(event.kind).arrivals.append(now)
 
     def _on_retry_observed(self, now: timedelta, event: TenantRetryObserved) -> None:
-        """Take an arrival back: the shard's owner knew the key, so that it was a retry."""
+        """Remove the last arrival: the shard owner recognised its key as that of a retry."""
         measurement = self.measurements.get(event.kind)
         if measurement is not None and measurement.arrivals:
             measurement.arrivals.pop()
@@ -142,25 +142,25 @@
         return self.measurements[kind]
 
     def _sum_of_parts(self) -> dict[tuple[str, str], int]:
-        """The sum of all daemons' parts: (region, kind) to replicas."""
+        """Return the sum of all daemons' shares, by (region, kind)."""
         totals: dict[tuple[str, str], float] = {}
         for member in self._members:
             for row in member.attribute(PARTS_ATTRIBUTE, ()):
                 part = ScalerPart.of(row)
                 key = (member.region, part.kind)
                 totals[key] = totals.get(key, 0.0) + part.share
-        return {key: ceil(total - ROUNDING) for key, total in totals.items()}
+        return {key: ceil(total - ROUNDING_TOLERANCE) for key, total in totals.items()}
 
     def _publish_parts(self, now: timedelta, configuration: Mapping[str, Any]) -> None:
-        """Work out this daemon's part of each kind, and put them into its member record."""
+        """Compute this daemon's part of each kind and publish the parts in its member record."""
         zones = {name: zone for name, zone in configuration["zones"].items() if zone["region"] == self._region}
-        least = sum(zone["least"] for zone in zones.values())
+        zone_minimum = sum(zone["least"] for zone in zones.values())
         daemons = max(1, sum(member.region == self._region and member.is_ready for member in self._members))
         entries = [entry for entry in map(ReplicaEntry.of, self._replicas.values()) if entry.record.zone in zones]
         parts = []
         for kind, latency_target in sorted(latency_targets(configuration).items()):
             here = [entry for entry in entries if entry.record.kind == kind]
-            minimum = least if here or kind == DEFAULT_KIND else 0
+            minimum = zone_minimum if here or kind == DEFAULT_KIND else 0
             parts.append(self._part(now, kind=kind, latency_target=latency_target, entries=here, daemons=daemons, minimum=minimum))
         self._effects.append(Post(Component.MEMBERSHIP, AttributeSet(PARTS_ATTRIBUTE, tuple([tuple(part) for part in parts]))))
         summary = ";".join(f"{part.kind}:{part.required}:{part.share:.2f}:{part.arrival_rate:.2f}" for part in parts)
@@ -169,18 +169,20 @@
     def _part(
         self, now: timedelta, *, kind: str, latency_target: float, entries: list[ReplicaEntry], daemons: int, minimum: int
     ) -> ScalerPart:
-        """Work out this daemon's part of one kind.
+        """Compute this daemon's part of one kind.
 
         :param latency_target: in seconds.
         :param entries: the region's replicas of this kind.
-        :param minimum: the smallest number to require.
+        :param minimum: lower limit of the required number.
         """
         measurement = self._measurement(kind)
-        uses = [entry.status.use for entry in entries if entry.status and entry.status.state == ReplicaState.READY]
+        utilizations = [entry.status.use for entry in entries if entry.status and entry.status.state == ReplicaState.READY]
         rates = measurement.rates(now, self._tuning["scale_every"])
         arrival_rate = measurement.projected_rate(now, rates.arrivals * daemons)
-        use = sum(uses) / len(uses) if uses else 0.0
-        service_time = measurement.update_service_time(use=use, ready=len(uses), daemons=daemons, completions=rates.completions)
+        utilization = sum(utilizations) / len(utilizations) if utilizations else 0.0
+        service_time = measurement.update_service_time(
+            utilization=utilization, ready=len(utilizations), daemons=daemons, completions=rates.completions
+        )
         required = RequiredReplicas(0, True)
         if arrival_rate > 0 and service_time:
             required = measurement.required_replicas(
@@ -195,7 +197,7 @@
 
 
 def latency_targets(configuration: Mapping[str, Any]) -> dict[str, float]:
-    """The tightest latency target, in seconds, of the classes whose requests go to each kind of replicas."""
+    """Return the strictest latency target, in seconds, among the request classes served by each kind of replicas."""
     targets_ms: dict[str, int] = {}
     for tenant in configuration["tenants"].values():
         for request_class in tenant["classes"].values():
--- a/silverglade/duties/__init__.py
+++ b/silverglade/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Calls to the platform that one daemon at a time makes (design 18): leases with fencing tokens, and usage reports."""
+"""Leases with fencing tokens for calls to the platform that only one daemon at a time may make, and usage reports (design 18)."""
--- a/silverglade/duties/duty.py
+++ b/silverglade/duties/duty.py
@@ -1,10 +1,13 @@
-"""The duties: kinds of calls to the platform that one daemon at a time makes (design 18)."""
+"""Names of the duties: kinds of platform calls that only one daemon at a time may make (design 18)."""
 
 from enum import StrEnum
 
 
 class Duty(StrEnum):
-    """A duty; its value is the name of its role in the store and of its calls."""
+    """A kind of platform call made under a lease.
+
+    The value names both the role in the control store and the kind of the calls.
+    """
 
     USAGE = "usage"
     SCALE = "scale"
--- a/silverglade/duties/leases.py
+++ b/silverglade/duties/leases.py
@@ -1,8 +1,8 @@
-"""The component that knows which duties this daemon holds, and until when it may act on them (design 18.1).
+"""The component that tracks which duties this daemon holds and until when it may act on them (design 18.1).
 
-Control names one holder of each duty (role kind `DUTY_ROLE`); the role's epoch is the fencing token, which rises with every change
-of holder. The holder may act while its store was lately proved to be the newest; a new one first waits until the old one's time is
-surely over.
+The control store names one holder of each duty (role kind `DUTY_ROLE`). The epoch of the role is the fencing token: it increases
+with every change of holder. The holder may act for a limited time after its store was last proved to be up to date. A new holder
+first waits until the previous holder's time has certainly run out.
 """
 
 from __future__ import annotations
@@ -20,25 +20,25 @@
 from .lease_times import LeaseTimes
 
 ACTING_COMPONENTS: Mapping[str, Component] = {Duty.USAGE: Component.USAGE_REPORTER, Duty.SCALE: Component.REPLICA_ORDERS}
-"""Duty -> the component that acts on it."""
+"""The component that acts on each duty."""
 
 
 class HeldDuty(Record):
-    """A duty of which this daemon is named as holder.
+    """A duty assigned to this daemon.
 
-    :ivar token: the role's epoch.
-    :ivar acts_from: a new holder waits until then.
+    :ivar token: the epoch of the role, used as fencing token.
+    :ivar usable_from: end of the takeover wait; the lease may not be used before this time.
     """
 
     token: int
-    acts_from: timedelta
+    usable_from: timedelta
 
 
 class DutyLeases:
-    """Tells the acting components and the writer of calls what they may do.
+    """Publishes the state of each lease to the acting component and to the writer of platform calls.
 
-    :ivar held: duty to what is held of it.
-    :ivar proved_at: when the store was last proved to be the newest; None without a proof.
+    :ivar held: the duties assigned to this daemon, by name.
+    :ivar proved_at: when the store was last proved to be up to date; None without a proof.
     """
 
     handled_events: ClassVar[tuple[type[Event], ...]] = (StoreUpdated, ProofRenewed, ProcessPaused, TimerFired)
@@ -49,7 +49,7 @@
         self._times = LeaseTimes.of(tuning["duty_lease"])
         self.held: dict[str, HeldDuty] = {}
         self.proved_at: timedelta | None = None
-        self._told: dict[str, LeaseChanged] = {}
+        self._published_leases: dict[str, LeaseChanged] = {}
 
     def step(self, now: timedelta, event: Event) -> list[Effect]:
         """Handle one event; return its effects."""
@@ -62,12 +62,12 @@
             case ProcessPaused():
                 self.proved_at = None
         for duty in self._duties:
-            effects += self._tell(duty, now)
-        waits = [held.acts_from for held in self.held.values() if held.acts_from > now]
+            effects += self._publish_lease(duty, now)
+        waits = [held.usable_from for held in self.held.values() if held.usable_from > now]
         return [*effects, WakeAt(min(waits, default=IDLE))]
 
     def _on_store_updated(self, event: StoreUpdated, now: timedelta) -> list[Effect]:
-        """Take the holders that control names."""
+        """Update the held duties from the holders that the control store names."""
         effects: list[Effect] = []
         for duty in self._duties:
             assignment = role_assignment(event.store, DUTY_ROLE, duty)
@@ -82,16 +82,16 @@
         return effects
 
     def _usable_until(self, held: HeldDuty, now: timedelta) -> timedelta | None:
-        """Return until when a call may be written; None for not at all."""
-        if now < held.acts_from or self.proved_at is None:
+        """Return the time before which calls may be written; None if none may be written now."""
+        if now < held.usable_from or self.proved_at is None:
             return None
-        return self.proved_at + self._times.proof_lasts
+        return self.proved_at + self._times.proof_lifetime
 
-    def _tell(self, duty: str, now: timedelta) -> list[Effect]:
-        """Tell who acts on the duty, and who writes its calls, where something has changed for them."""
+    def _publish_lease(self, duty: str, now: timedelta) -> list[Effect]:
+        """Return the effects that publish the lease of a duty, if it differs from the lease published last."""
         held = self.held.get(duty)
         lease = LeaseChanged(duty, held.token, self._usable_until(held, now)) if held else LeaseChanged(duty, None, None)
-        if lease == self._told.get(duty, LeaseChanged(duty, None, None)):
+        if lease == self._published_leases.get(duty, LeaseChanged(duty, None, None)):
             return []
-        self._told[duty] = lease
+        self._published_leases[duty] = lease
         return [SetLease(duty, lease.token, lease.usable_until), Post(ACTING_COMPONENTS[duty], lease)]
--- a/silverglade/duties/usage_counter.py
+++ b/silverglade/duties/usage_counter.py
@@ -1,4 +1,7 @@
-"""The component of a daemon that clients reach which counts tenants' requests by windows, and tells the holder (design 18.4)."""
+"""The component that counts requests of each tenant by window and sends the counts to the holder of the usage duty (design 18.4).
+
+It runs in every daemon that serves clients.
+"""
 
 from __future__ import annotations
 
@@ -22,18 +25,21 @@
 )
 from ..runtime.record import Record
 from .duty import Duty
-from .messages import Counts, UsageCounted, UsageTaken
+from .messages import TenantCounts, WindowUsage, WindowUsageAck
 from .wall_clock import WindowClock
 
-RESEND = timedelta(seconds=1)
-"""Counts that the holder has not confirmed are sent again after this."""
+RESEND_INTERVAL = timedelta(seconds=1)
+"""Counts that the holder has not acknowledged are sent again after this."""
 
-FIRST_READ = timedelta(milliseconds=500)
-"""The time of day is asked for again after this, while it is not known."""
+WALL_CLOCK_RETRY_INTERVAL = timedelta(milliseconds=500)
+"""How often the wall clock is requested until the first reading arrives."""
 
 
 class Holder(NamedTuple):
-    """Who holds the duty: another process of the same daemon knows nothing of what was sent to the one before."""
+    """The holder of the duty.
+
+    The process id is part of it, because a restarted holder has lost the counts sent to its previous process.
+    """
 
     name: str
     token: int
@@ -43,20 +49,20 @@
 class FinishedWindow(Record):
     """A window that has ended.
 
-    :ivar taken_by: the holder that confirmed the counts; None for none.
-    :ivar sent_at: when they were last sent.
+    :ivar acknowledged_by: the holder that acknowledged the counts; None if none has.
+    :ivar sent_at: when the counts were last sent.
     """
 
-    counts: Counts
-    taken_by: Holder | None = None
+    counts: TenantCounts
+    acknowledged_by: Holder | None = None
     sent_at: timedelta | None = None
 
 
 class UsageCounter:
-    """Counts, and sends each finished window until the holder has it or it is too old.
+    """Counts requests, and sends each finished window until the holder acknowledges it or it can no longer be reported.
 
-    :ivar window: the one that is counted; None until the time of day is known.
-    :ivar finished: window to what was counted in it, as long as it may still be reported.
+    :ivar window: the number of the window being counted; None until the wall clock has been read.
+    :ivar finished: finished windows by number, as long as they may still be reported.
     """
 
     handled_events: ClassVar[tuple[type[Event], ...]] = (
@@ -71,7 +77,7 @@
 
     def __init__(self, *, process_id: str, tuning: Mapping[str, Any]) -> None:
         self._process_id = process_id
-        self._late: timedelta = tuning["usage_late"]
+        self._allowed_lateness: timedelta = tuning["usage_late"]
         self._clock = WindowClock(length=tuning["usage_window"])
         self.window: int | None = None
         self.finished: dict[int, FinishedWindow] = {}
@@ -80,13 +86,13 @@
         self._assignment: tuple[str, int] | None = None
         self._process_ids: dict[str, str] = {}
         self._is_leaving = False
-        self._next_at = self._wake_at = ZERO
+        self._next_partial_send_at = self._wake_at = ZERO
 
     def step(self, now: timedelta, event: Event) -> list[Effect]:
         """Handle one event; return its effects."""
         match event:
             case TenantRequestStarted():
-                return self._on_started(event.tenant, now)
+                return self._on_request_started(event.tenant, now)
             case StoreUpdated():
                 self._on_store_updated(event)
             case MembershipChanged():
@@ -94,43 +100,43 @@
             case MessageReceived():
                 self._on_message(event)
             case WallClockRead():
-                self._clock.on_read(event.since_1970, now)
+                self._clock.update_offset(event.since_1970, now)
             case ShutdownStarted():
                 self._is_leaving = True
             case TimerFired():
                 return self._on_timer(now)
         return []
 
-    def _on_started(self, tenant: str, now: timedelta) -> list[Effect]:
-        """Count a request; the timer is wanted no earlier for that than at the end of the window."""
-        effects = self._roll(now)
+    def _on_request_started(self, tenant: str, now: timedelta) -> list[Effect]:
+        """Count a request, and let the timer fire no later than the end of its window."""
+        effects = self._close_windows(now)
         self._counts[tenant] += 1
         if effects or self.window is None:
             return effects
-        self._wake_at = min(self._wake_at, self._clock.end_of(self.window))
+        self._wake_at = min(self._wake_at, self._clock.window_end(self.window))
         return [WakeAt(self._wake_at)]
 
     def _on_store_updated(self, event: StoreUpdated) -> None:
-        """Take who holds the duty, and whether there are tenants."""
+        """Update the holder of the duty and whether any tenants are configured."""
         assignment = role_assignment(event.store, DUTY_ROLE, Duty.USAGE)
         self._assignment = (assignment.holder, assignment.epoch) if assignment else None
         self._has_tenants = bool((value_of(event.store, CONFIGURATION_KEY) or {}).get("callers"))
 
     def _holder(self) -> Holder | None:
-        """Return who holds the duty, as far as this daemon knows."""
+        """Return the holder of the duty according to the local store; None if none is assigned."""
         if self._assignment is None:
             return None
         name, token = self._assignment
         return Holder(name, token, self._process_ids.get(name, ""))
 
     def _on_message(self, event: MessageReceived) -> None:
-        """The holder has a window."""
-        taken, holder = UsageTaken.decode(event.body), self._holder()
-        if taken and holder and event.sender == holder.name and taken.token == holder.token and taken.window in self.finished:
-            self.finished[taken.window].taken_by = holder
+        """Mark a window as acknowledged if the message comes from the current holder."""
+        ack, holder = WindowUsageAck.decode(event.body), self._holder()
+        if ack and holder and event.sender == holder.name and ack.token == holder.token and ack.window in self.finished:
+            self.finished[ack.window].acknowledged_by = holder
 
-    def _roll(self, now: timedelta) -> list[Effect]:
-        """Finish the windows that have ended. A clock that steps back reopens none: the newest goes on."""
+    def _close_windows(self, now: timedelta) -> list[Effect]:
+        """Close the windows that have ended. If the clock steps back, closed windows stay closed and the newest window continues."""
         if self._clock.offset is None:
             return []
         window = self._clock.window_at(now)
@@ -138,7 +144,7 @@
             self.window = window
         if window <= self.window:
             return []
-        oldest = self._clock.window_at(now - self._late)
+        oldest = self._clock.window_at(now - self._allowed_lateness)
         for number in range(max(self.window, oldest - 1), window):
             counted = self._counts if number == self.window else {}
             if counted or self._has_tenants:
@@ -153,28 +159,32 @@
         return [*effects, ReadWallClock()]
 
     def _on_timer(self, now: timedelta) -> list[Effect]:
-        """Finish windows and send what the holder lacks."""
+        """Close windows and send the counts that the holder has not acknowledged."""
         if self._clock.offset is None:
-            return [ReadWallClock(), WakeAt(now + FIRST_READ)]
-        effects, holder = self._roll(now), self._holder()
+            return [ReadWallClock(), WakeAt(now + WALL_CLOCK_RETRY_INTERVAL)]
+        effects, holder = self._close_windows(now), self._holder()
         if holder is not None:
             for number, window in self.finished.items():
-                if window.taken_by != holder and (window.sent_at is None or now - window.sent_at >= RESEND):
+                if window.acknowledged_by != holder and (window.sent_at is None or now - window.sent_at >= RESEND_INTERVAL):
                     window.sent_at = now
-                    effects.append(Send(holder.name, UsageCounted(self._process_id, holder.token, number, window.counts).encode()))
-            if self._is_leaving and self._counts and self.window is not None and now >= self._next_at:
-                self._next_at = now + RESEND  # this process may end before the window does
+                    effects.append(Send(holder.name, WindowUsage(self._process_id, holder.token, number, window.counts).encode()))
+            if self._is_leaving and self._counts and self.window is not None and now >= self._next_partial_send_at:
+                self._next_partial_send_at = now + RESEND_INTERVAL  # this process may exit before the window ends
                 counts = tuple(sorted(self._counts.items()))
-                effects.append(Send(holder.name, UsageCounted(self._process_id, holder.token, self.window, counts).encode()))
-        self._wake_at = self._next_timer(now, holder)
+                effects.append(Send(holder.name, WindowUsage(self._process_id, holder.token, self.window, counts).encode()))
+        self._wake_at = self._next_wakeup(now, holder)
         return [*effects, WakeAt(self._wake_at)]
 
-    def _next_timer(self, now: timedelta, holder: Holder | None) -> timedelta:
-        """Return when something is to be done again."""
+    def _next_wakeup(self, now: timedelta, holder: Holder | None) -> timedelta:
+        """Return when the timer must fire next."""
         if not (self._has_tenants or self._counts or self.finished):
             return IDLE
-        waits = [self._clock.end_of(self._clock.window_at(now))]
-        waits += [window.sent_at + RESEND for window in self.finished.values() if window.taken_by != holder and window.sent_at is not None]
+        waits = [self._clock.window_end(self._clock.window_at(now))]
+        waits += [
+            window.sent_at + RESEND_INTERVAL
+            for window in self.finished.values()
+            if window.acknowledged_by != holder and window.sent_at is not None
+        ]
         if self._is_leaving:
-            waits.append(now + RESEND)
+            waits.append(now + RESEND_INTERVAL)
         return max(min(waits), now)
--- a/silverglade/duties/wall_clock.py
+++ b/silverglade/duties/wall_clock.py
@@ -1,4 +1,4 @@
-"""Windows of the time of day, for components that know only the steady clock (design 18.4)."""
+"""Conversion between the monotonic clock and numbered windows of wall-clock time (design 18.4)."""
 
 from __future__ import annotations
 
@@ -6,26 +6,29 @@
 
 
 class WindowClock:
-    """Tells which window of the time of day it is.
+    """Maps monotonic times to wall-clock windows.
 
-    :ivar length: of a window.
-    :ivar offset: what the time of day is ahead of the steady clock; None until it was read.
+    :ivar length: length of a window.
+    :ivar offset: wall-clock time minus monotonic time; None until the wall clock has been read.
     """
 
     def __init__(self, *, length: timedelta) -> None:
         self.length = length
         self.offset: timedelta | None = None
 
-    def on_read(self, since_1970: timedelta, now: timedelta) -> None:
-        """Take the time of day."""
+    def update_offset(self, since_1970: timedelta, now: timedelta) -> None:
+        """Set the offset from a reading of the wall clock, taken at `now`."""
         self.offset = since_1970 - now
 
     def window_at(self, now: timedelta) -> int:
-        """Return the number of the window at a time; window k begins k lengths after 1970 did. The clock must have been read."""
+        """Return the number of the window at a monotonic time: window k begins k lengths after 1970 began.
+
+        The wall clock must have been read.
+        """
         assert self.offset is not None
         return (now + self.offset) // self.length
 
-    def end_of(self, window: int) -> timedelta:
-        """Return when a window ends, on the steady clock. The clock must have been read."""
+    def window_end(self, window: int) -> timedelta:
+        """Return the monotonic time at which a window ends. The wall clock must have been read."""
         assert self.offset is not None
         return (window + 1) * self.length - self.offset
--- a/tests/autoscaling/test_load_bounds.py
+++ b/tests/autoscaling/test_load_bounds.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from silverglade.autoscaling.load_bounds import LEAST_FULL_USE, LoadBounds
+from silverglade.autoscaling.load_bounds import MIN_SATURATION_UTILIZATION, LoadBounds
 from silverglade.autoscaling.requirement_rows import publisher_of
 from silverglade.autoscaling.service_scaler import ReplicaLoad, ServiceScaler
 from silverglade.membership.records import members_of
@@ -25,11 +25,11 @@
         """`active`, `queued`: at each replica."""
         for _ in range(times):
             self.now += 2
-            self.bounds.look(self.now * SECOND, [ReplicaLoad("s", "m", active, 10, True, queued)] * self.replicas)
+            self.bounds.add_sample(self.now * SECOND, [ReplicaLoad("s", "m", active, 10, True, queued)] * self.replicas)
         return self
 
     def bounded(self, required):
-        return self.bounds.bounded(self.now * SECOND, required)
+        return self.bounds.clamp(self.now * SECOND, required)
 
 
 @pytest.mark.parametrize("required,bounded", [(0, 7), (7, 7), (8, 8), (9, 8), (500, 8)])
@@ -56,19 +56,19 @@
 def test_replicas_that_were_full_with_few_slots_used_are_taken_for_full_there_for_a_while():
     r = Region().look(4, queued=2).look(4, times=5)
     assert r.bounded(0) == 13  # as full as they were: not 4 / 0.8
-    full_use = r.bounds.full_use
-    assert 0.4 < full_use < 0.43
+    saturation_utilization = r.bounds.saturation_utilization
+    assert 0.4 < saturation_utilization < 0.43
     r.look(4, times=400)
-    assert r.bounds.full_use == 1.0 and r.bounded(0) == 5
+    assert r.bounds.saturation_utilization == 1.0 and r.bounded(0) == 5
 
 
 def test_a_queue_at_idle_replicas_says_little():
-    assert Region().look(0, queued=5).bounds.full_use == LEAST_FULL_USE
+    assert Region().look(0, queued=5).bounds.saturation_utilization == MIN_SATURATION_UTILIZATION
 
 
 def test_one_look_with_a_queue_is_not_full():
     r = Region().look(5, times=10).look(5, queued=1, times=1)
-    assert r.bounded(500) == 8 and r.bounds.full_use == 1.0
+    assert r.bounded(500) == 8 and r.bounds.saturation_utilization == 1.0
 
 
 def test_a_rise_is_carried_ahead():
--- a/tests/autoscaling/test_markov_chain.py
+++ b/tests/autoscaling/test_markov_chain.py
@@ -176,7 +176,7 @@
 
 @pytest.mark.parametrize(
     "name,value",
-    [pytest.param("NEGLIGIBLE_WEIGHT", 0.05, id="TINY-0.05"), pytest.param("SAME_RESPONSE_TIME", 0.05, id="SAME-0.05")],
+    [pytest.param("NEGLIGIBLE_WEIGHT", 0.05, id="TINY-0.05"), pytest.param("RESPONSE_TIME_TOLERANCE", 0.05, id="SAME-0.05")],
 )
 def test_a_search_that_leaves_out_too_much_is_found(monkeypatch, name, value):
     monkeypatch.setattr(chain, name, value)
--- a/tests/autoscaling/test_replica_orderer.py
+++ b/tests/autoscaling/test_replica_orderer.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from silverglade.autoscaling.replica_orderer import FIRST_PAUSE, LONGEST_PAUSE, MOST_CALLS, OrderCalls, ReplicaOrderer
+from silverglade.autoscaling.replica_orderer import INITIAL_BACKOFF, MAX_BACKOFF, MAX_CONCURRENT_CALLS, OrderCalls, ReplicaOrderer
 from silverglade.duties.duty import Duty
 from silverglade.runtime.components import Component
 from silverglade.runtime.daemon_machine import DaemonMachine
@@ -177,7 +177,7 @@
         while len(h.calls) == made and h.now < since + 100:
             h.run(0.1)
         times.append(round(h.now - since, 1))
-    assert FIRST_PAUSE == SECOND and times == [1, 2, 4, 8, 16, 32, 32, 32] and LONGEST_PAUSE == 32 * SECOND
+    assert INITIAL_BACKOFF == SECOND and times == [1, 2, 4, 8, 16, 32, 32, 32] and MAX_BACKOFF == 32 * SECOND
     h.require("a", 9)
     assert h.run(4) == [("a2", 5)]  # while the call for a1 is under way
     h.end(status, call=-2)
@@ -186,9 +186,9 @@
 
 def test_what_was_confirmed_before_a_call_that_failed_is_not_known_to_stand():
     calls = OrderCalls()
-    calls.succeed(4)
+    calls.record_success(4)
     assert calls.is_settled(4)
-    calls.fail(SECOND)
+    calls.record_failure(SECOND)
     assert not calls.is_settled(4)
 
 
@@ -226,7 +226,7 @@
     h = Holder(zones=tuple(REGION_OF))
     for region in "abc":
         h.require(region, 9)
-    assert len(h.run(10)) == MOST_CALLS
+    assert len(h.run(10)) == MAX_CONCURRENT_CALLS
     h.end(200)
     assert len(h.run(1)) == 1
 
--- a/tests/autoscaling/test_replica_orders.py
+++ b/tests/autoscaling/test_replica_orders.py
@@ -9,12 +9,12 @@
 from hypothesis import strategies as st
 
 from silverglade.autoscaling.replica_orders import (
+    ADOPTION_DELAY,
     REVERSAL_SPAN,
     SPARE_REPLICAS,
-    STANDING_MEMORY,
+    DecisionInputs,
     Scaling,
     ServiceOrders,
-    Situation,
     homes_of_service,
 )
 from silverglade.autoscaling.service_scaler import ServiceRequirement
@@ -48,7 +48,7 @@
         return {(zone, REGION_OF[zone]): sum(at <= self.now for at in there) - self.crashed[zone] for zone, there in self.there.items()}
 
     def take(self, zone, count):
-        assert self.scaling.least <= count <= self.scaling.most
+        assert self.scaling.min_replicas <= count <= self.scaling.max_replicas
         there = self.there[zone]
         there.sort()
         del there[count:]
@@ -58,13 +58,13 @@
     def tick(self, **required):
         """One look: region=(required, is_short) or a number; a region that is left out is not known."""
         now = self.now * SECOND
-        self.orders.note_listed(now, {place: count for place, count in self.listed().items() if count > 0})
+        self.orders.update_listed(now, {place: count for place, count in self.listed().items() if count > 0})
         before = self.ordered()
         requirements = {
             region: ServiceRequirement(*((value, 0, False) if isinstance(value, int) else (value[0], 0, value[1])))
             for region, value in required.items()
         }
-        self.orders.decide(now, Situation(self.scaling, requirements, self.drained, self.homes, HOLD_S * SECOND, self.step_share))
+        self.orders.decide(now, DecisionInputs(self.scaling, requirements, self.drained, self.homes, HOLD_S * SECOND, self.step_share))
         for zone, order in self.orders.zones.items():
             if order.ordered != before[zone]:
                 self.changes.append((self.now, zone, before[zone], order.ordered))
@@ -193,7 +193,7 @@
 def test_a_region_gives_nothing_back_while_replicas_are_missing():
     p = Platform()
     p.tick(a=5, b=5)
-    p.orders.zones["a1"].is_own = True  # the number is an order, not what happens to be listed
+    p.orders.zones["a1"].is_ordered_here = True  # the number is an order, not what happens to be listed
     p.crashed["a1"] = 1
     assert not lowers_after(p, a=2, b=5)
     p.crashed["a1"] = 0
@@ -326,7 +326,7 @@
     p = Platform()
     p.tick()
     p.crashed["a1"] = 1
-    p.run(STANDING_MEMORY // SECOND - 10)
+    p.run(ADOPTION_DELAY // SECOND - 10)
     assert p.ordered()["a1"] == 3
     p.run(20)
     assert p.ordered()["a1"] == 2
--- a/tests/autoscaling/test_requirement_rows.py
+++ b/tests/autoscaling/test_requirement_rows.py
@@ -76,7 +76,7 @@
     rest = tuple(m for m in MEMBERS if m.name != first)
     successor = publisher(publisher_of("m", rest))
     rows = {"s/m": ((41,), (3, 2, True, first)), "s/n": ((99,), (1, 1, False, "far"))}
-    successor.note_rows(rows)
+    successor.observe_rows(rows)
     assert due(successor) == []  # not its turn
     (row,) = due(successor, members=rest)  # the same numbers, by another daemon
     assert row.rank == (42,) and RequirementRow.of(row.value).publisher == successor._own_name
@@ -84,8 +84,8 @@
 
 def test_an_older_row_that_comes_late_does_not_lower_the_rank():
     made = publisher(publisher_of("m", MEMBERS))
-    made.note_rows({"s/m": ((7,), None)})
-    made.note_rows({"s/m": ((3,), (1, 1, False, "x"))})
+    made.observe_rows({"s/m": ((7,), None)})
+    made.observe_rows({"s/m": ((3,), (1, 1, False, "x"))})
     assert due(made)[0].rank == (8,)
 
 
--- a/tests/autoscaling/test_service_scaler.py
+++ b/tests/autoscaling/test_service_scaler.py
@@ -5,7 +5,7 @@
 import pytest
 
 from silverglade.autoscaling import service_scaler as module
-from silverglade.autoscaling.service_scaler import ServiceScaler, daemons_with_clients, latency_targets
+from silverglade.autoscaling.service_scaler import ServiceScaler, count_client_facing_daemons, latency_targets
 from silverglade.membership.records import members_of
 from silverglade.runtime.settings import tuning
 from silverglade.runtime.state_machine import MachineComponent
@@ -70,9 +70,9 @@
 
 def test_the_daemons_are_the_regions_ready_ones_that_clients_call():
     roll = (rec("a"), rec("b"), rec("c", core=True), rec("d", region="n"), rec("e", state="leaving"))
-    assert daemons_with_clients(members_of(roll), "m") == 2
-    assert daemons_with_clients(members_of((rec("a", core=True), rec("b", core=True))), "m") == 2
-    assert daemons_with_clients((), "m") == 1
+    assert count_client_facing_daemons(members_of(roll), "m") == 2
+    assert count_client_facing_daemons(members_of((rec("a", core=True), rec("b", core=True))), "m") == 2
+    assert count_client_facing_daemons((), "m") == 1
 
 
 def test_arrivals_times_daemons_over_the_rate_of_a_replica_at_most_at_the_top_load():
--- a/tests/autoscaling/test_tenant_scaler.py
+++ b/tests/autoscaling/test_tenant_scaler.py
@@ -35,12 +35,12 @@
 
 def test_service_is_use_times_ready_over_daemons_times_the_served_rate():
     measurement = LoadMeasurement(TUNING)
-    assert abs(measurement.update_service_time(use=0.6, ready=4, daemons=3, completions=2.0) - 0.4) < 1e-12
-    assert measurement.update_service_time(use=0.0, ready=4, daemons=3, completions=0.0) == measurement.service_time  # held
+    assert abs(measurement.update_service_time(utilization=0.6, ready=4, daemons=3, completions=2.0) - 0.4) < 1e-12
+    assert measurement.update_service_time(utilization=0.0, ready=4, daemons=3, completions=0.0) == measurement.service_time  # held
     measurement.completions.append((0 * SEC, 0.3))
-    assert measurement.update_service_time(use=0.4, ready=4, daemons=3, completions=0.0) == 0.3  # mean latency
+    assert measurement.update_service_time(utilization=0.4, ready=4, daemons=3, completions=0.0) == 0.3  # mean latency
     measurement.completions.append((0 * SEC, 0.9))
-    assert measurement.update_service_time(use=0.6, ready=4, daemons=3, completions=0.0) == 0.3  # not while busy
+    assert measurement.update_service_time(utilization=0.6, ready=4, daemons=3, completions=0.0) == 0.3  # not while busy
 
 
 def run(*, came, daemons=2, least=1, secs=18, use=0.5):
--- a/tests/duties/test_duties_at_platform.py
+++ b/tests/duties/test_duties_at_platform.py
@@ -109,14 +109,14 @@
 
 def with_times(monkeypatch, **changed):
     """Let the lease have other times, and the holder call without a pause, so that two holders are sure to meet."""
-    monkeypatch.setattr(usage_reporter, "FIRST_PAUSE", SECOND / 10)
-    monkeypatch.setattr(usage_reporter, "MAX_PAUSE", SECOND / 10)
+    monkeypatch.setattr(usage_reporter, "INITIAL_BACKOFF", SECOND / 10)
+    monkeypatch.setattr(usage_reporter, "MAX_BACKOFF", SECOND / 10)
     times = type("Times", (), {"of": staticmethod(lambda lease: LeaseTimes.of(lease)._replace(**changed))})
     monkeypatch.setattr(leases, "LeaseTimes", times)
 
 
 def test_a_holder_that_acts_on_an_old_proof_is_seen(monkeypatch):
-    with_times(monkeypatch, proof_lasts=timedelta(days=1))
+    with_times(monkeypatch, proof_lifetime=timedelta(days=1))
     world, _ = interrupted(7, "asked", unheard_and_deaf)
     assert "lower fence" in [rule for rule, *_ in breaches(world)]
 
@@ -146,8 +146,8 @@
     world, _ = interrupted(9, "taken", lose_answer_holder_and_an_edge)
     windows = [arrival.body["window"] for arrival in world.arrivals]
     assert len(windows) > len(set(windows)) and breaches(world) == []  # it was sent again, as it was
-    send = UsageReporter._send
-    summed_anew = lambda self, recorded, now: send(self, recorded._replace(counts=self._sum(recorded.window)), now)  # noqa: E731
-    monkeypatch.setattr(UsageReporter, "_send", summed_anew)
+    send = UsageReporter._send_report
+    summed_anew = lambda self, recorded, now: send(self, recorded._replace(counts=self._total_counts(recorded.window)), now)  # noqa: E731
+    monkeypatch.setattr(UsageReporter, "_send_report", summed_anew)
     world, _ = interrupted(9, "taken", lose_answer_holder_and_an_edge)
     assert "two contents" in [rule for rule, *_ in breaches(world)]
--- a/tests/duties/test_leases.py
+++ b/tests/duties/test_leases.py
@@ -37,15 +37,15 @@
     assert told(machine.step(SECOND, StoreUpdated(store(4, "a"), (1, 4)))) == (4, None)
     over = SECOND + TIMES.takeover_wait
     machine.step(over - timedelta(milliseconds=1), ProofRenewed(over - SECOND))
-    assert machine._told["usage"].usable_until is None
-    assert told(machine.step(over, TimerFired())) == (4, over - SECOND + TIMES.proof_lasts)
+    assert machine._published_leases["usage"].usable_until is None
+    assert told(machine.step(over, TimerFired())) == (4, over - SECOND + TIMES.proof_lifetime)
 
 
 def test_each_proof_lengthens_the_lease_and_another_holder_ends_it():
     machine = leases()
     machine.step(SECOND, StoreUpdated(store(4, "a"), (1, 4)))
-    assert told(machine.step(20 * SECOND, ProofRenewed(19 * SECOND))) == (4, 19 * SECOND + TIMES.proof_lasts)
-    assert told(machine.step(21 * SECOND, ProofRenewed(20 * SECOND))) == (4, 20 * SECOND + TIMES.proof_lasts)
+    assert told(machine.step(20 * SECOND, ProofRenewed(19 * SECOND))) == (4, 19 * SECOND + TIMES.proof_lifetime)
+    assert told(machine.step(21 * SECOND, ProofRenewed(20 * SECOND))) == (4, 20 * SECOND + TIMES.proof_lifetime)
     assert told(machine.step(21 * SECOND, StoreUpdated(store(5, "b"), (1, 5)))) == (None, None)
 
 
@@ -69,10 +69,10 @@
 def test_the_times_leave_no_room_for_two_holders(lease_s):
     lease = timedelta(seconds=lease_s)
     times = LeaseTimes.of(lease)
-    last_act = times.proof_lasts + times.call_timeout  # of the old holder, after the change
+    last_act = times.proof_lifetime + times.call_timeout  # of the old holder, after the change
     assert times.takeover_wait > last_act
     # A, B, A: B must have acted, with a proof of before A was named again
-    first_act_of_a_again = times.takeover_wait - times.proof_lasts + times.takeover_wait
+    first_act_of_a_again = times.takeover_wait - times.proof_lifetime + times.takeover_wait
     assert first_act_of_a_again - last_act > lease
 
 
--- a/tests/duties/test_usage_reporter.py
+++ b/tests/duties/test_usage_reporter.py
@@ -88,7 +88,7 @@
     (again,) = calls(machine, 12 * SECOND)
     assert again.body == call.body
     machine.step(12 * SECOND, PlatformCallEnded(again.call_id, 200, b""))
-    assert calls(machine, 14 * SECOND) == [] and machine.closed == FIRST
+    assert calls(machine, 14 * SECOND) == [] and machine.last_closed == FIRST
 
 
 # Guards against: a holder that the platform's fence has shut out goes on calling.
@@ -108,13 +108,13 @@
     record(machine, 6 * SECOND)
     (call,) = calls(machine, 6 * SECOND)
     machine.step(7 * SECOND, PlatformCallEnded(call.call_id, status, b""))
-    assert (machine.closed == FIRST) is is_closed
+    assert (machine.last_closed == FIRST) is is_closed
 
 
 def test_a_late_report_is_given_up():
     machine = holder()
     record(machine, 6 * SECOND)
-    assert calls(machine, 15.1 * SECOND) == [] and machine.closed == FIRST
+    assert calls(machine, 15.1 * SECOND) == [] and machine.last_closed == FIRST
 
 
 @pytest.mark.parametrize("lease", [LeaseChanged("usage", 4, None), LeaseChanged("usage", 4, 6 * SECOND), LeaseChanged("usage", None, None)])
--- a/tests/duties/test_usage_takeover.py
+++ b/tests/duties/test_usage_takeover.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 from silverglade.duties.duty import Duty
-from silverglade.duties.messages import UsageCounted
+from silverglade.duties.messages import WindowUsage
 from silverglade.duties.usage_reporter import UsageReporter
 from silverglade.membership.records import MemberRecord
 from silverglade.runtime.events import LeaseChanged, MembershipChanged, MessageReceived, StoreUpdated, TimerFired, WallClockRead
@@ -30,7 +30,7 @@
         self.part.step(self.now, LeaseChanged(Duty.USAGE, TOKEN, None))
 
     def count(self, name, requests):
-        body = UsageCounted("p1", TOKEN, WINDOW, (("ann", requests),)).encode()
+        body = WindowUsage("p1", TOKEN, WINDOW, (("ann", requests),)).encode()
         return self.part.step(self.now, MessageReceived(name, body))
 
     def recorded(self, seconds):
