--- a/tests/autoscaling/test_markov_chain.py
+++ b/tests/autoscaling/test_markov_chain.py
@@ -1,4 +1,4 @@
-"""The paper's chain (design 9.1) against its printed equations, a linear solve and a simulation."""
+"""The paper's chain (design 9.1), compared with its printed equations, a linear solve and a simulation."""
 
 import random
 from fractions import Fraction as F
@@ -12,7 +12,7 @@
 
 
 def printed(lam, mu, r, m, room):
-    """Recursions (1) to (6) as the source prints them, with differences; k ranges from m >= 3."""
+    """Recursions (1) to (6) as the paper prints them, with subtractions; they hold for m >= 3."""
     q0, q1 = {0: F(1)}, {0: F(0)}
     q0[1] = lam / mu
     q1[1] = (lam + mu) / r * (lam / mu)
@@ -34,7 +34,7 @@
 
 
 def balance(lam, mu, r, m, room):
-    """Rates between the states of the source's diagram."""
+    """Transition rates between the states of the paper's diagram."""
     go = {}
     for k in range(room + 1):
         if k < room:
@@ -67,8 +67,8 @@
     for (s, t), x in balance(lam, mu, r, m, room).items():
         a[at[s]][at[s]] -= x
         a[at[t]][at[s]] += x
-    a[-1] = [F(1)] * (len(ids) + 1)  # in place of one equation: they sum to 1
-    for i in range(len(ids)):  # Gauss and Jordan, exactly
+    a[-1] = [F(1)] * (len(ids) + 1)  # replaces one equation: probabilities sum to 1
+    for i in range(len(ids)):  # exact Gauss-Jordan elimination
         p = next(j for j in range(i, len(ids)) if a[j][i])
         a[i], a[p] = a[p], a[i]
         a[i] = [x / a[i][i] for x in a[i]]
@@ -81,7 +81,7 @@
     assert [a[at[s]][-1] for s in ids] == [q[k][n] / tot for k, n in ids]
 
 
-def test_a_simulated_chain_holds_and_serves_what_the_measures_say():
+def test_a_simulated_chain_agrees_with_the_measures():
     lam, mu, r, m, room = 2.4, 1.0, 60.0, 3, 12
     rng, s, t, held, out, in0 = random.Random(5), (0, 0), 0.0, 0.0, 0, 0.0
     go = {}
@@ -107,7 +107,7 @@
 KW = dict(mu=1.0, replicas=3, room=20, fan_out=50, max_load=0.8, fallback_load=0.65)
 
 
-def test_the_smallest_m_that_meets_the_aim_is_taken_and_no_smaller_one_does():
+def test_the_smallest_m_that_meets_the_target_is_returned():
     for lam in (0.3, 0.9, 1.7, 2.3):
         for aim in (1.05, 1.2, 2.0, 6.0):
             m, met = smallest_sufficient(lam=lam, latency_target=aim, **KW)
@@ -117,22 +117,22 @@
                     assert (w <= aim and lam / x <= 0.8) == (x == m)
 
 
-def test_no_m_busier_than_the_top_and_failing_the_aim_the_fall():
+def test_the_load_is_limited_and_the_fallback_load_applies_if_the_target_is_missed():
     assert smallest_sufficient(lam=0.79, latency_target=100.0, **KW) == (1, True)
     assert smallest_sufficient(lam=0.81, latency_target=100.0, **KW) == (2, True)  # above 0.8 on one
     assert smallest_sufficient(lam=3.0, latency_target=0.5, **KW) == (5, False)  # 3/0.65 = 4.6
     assert smallest_sufficient(lam=2.6, latency_target=0.5, **KW) == (4, False)  # 2.6/0.65 = 4, at most
     assert smallest_sufficient(lam=0.0, latency_target=0.5, **KW) == (0, True)
-    assert smallest_sufficient(lam=1e6, latency_target=0.5, **KW) == (150, False)  # fifty times the replicas
+    assert smallest_sufficient(lam=1e6, latency_target=0.5, **KW) == (150, False)  # fan_out times the replicas
 
 
-def test_long_chains_neither_overflow_nor_vanish():
+def test_long_chains_neither_overflow_nor_underflow():
     w, g, loss, use = chain_measures(lam=5000.0, mu=1.0, r=1e6, m=3, room=2000, flow="served")
     assert 0.99 < use <= 1.0 and loss > 0.99 and 600 < w < 700
 
 
 def whole(*, lam, mu, replicas, latency_target, room, fan_out, max_load, fallback_load, flow="printed"):
-    """The smallest m by the printed rule alone, every m tried, every state held."""
+    """Return the smallest m by the printed rule alone, with every m tried and every state computed."""
     from math import ceil
 
     cap, big = fan_out * replicas, room * replicas
@@ -149,7 +149,7 @@
 
 
 def differ(seed):
-    """-> cases in which the search and the printed rule part."""
+    """Return the random cases in which the search and the printed rule disagree."""
     rng, bad = random.Random(seed), []
     for _ in range(150):
         mu = rng.choice((0.5, 1.0, 30.0))
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_what_is_left_out_of_the_search_changes_no_m(seed):
+def test_the_shortened_search_returns_the_same_m_as_the_full_search(seed):
     assert differ(seed) == []
 
 
@@ -178,12 +178,12 @@
     "name,value",
     [pytest.param("NEGLIGIBLE_WEIGHT", 0.05, id="TINY-0.05"), pytest.param("RESPONSE_TIME_TOLERANCE", 0.05, id="SAME-0.05")],
 )
-def test_a_search_that_leaves_out_too_much_is_found(monkeypatch, name, value):
+def test_a_search_that_omits_too_many_states_is_detected(monkeypatch, name, value):
     monkeypatch.setattr(chain, name, value)
     assert differ(0)
 
 
-def test_the_room_is_what_runs_and_what_can_still_begin_within_the_aim():
+def test_the_room_includes_requests_that_can_start_within_the_latency_target():
     assert room_of_replica(capacity=64, mu=100.0, latency_target=0.6) == 124
-    assert room_of_replica(capacity=6, mu=2.0, latency_target=0.4) == 6  # nobody who waits would be in time
+    assert room_of_replica(capacity=6, mu=2.0, latency_target=0.4) == 6  # no queued request would meet the target
     assert room_of_replica(capacity=1, mu=2.5, latency_target=2.0) == 6
--- a/tests/autoscaling/test_requirement_rows.py
+++ b/tests/autoscaling/test_requirement_rows.py
@@ -1,4 +1,7 @@
-"""What a region requires, on its way to the daemon that orders replicas (design 16.5): each test fails without its rule."""
+"""Publication of a region's requirements to the daemon that orders replicas (design 16.5).
+
+Each test fails if the rule that it checks is removed.
+"""
 
 from datetime import timedelta
 
@@ -32,16 +35,18 @@
 
 
 def publisher(name, *, members=MEMBERS):
-    made = RequirementPublisher(own_name=name, region="m", tuning=tuning())
-    assert made.rows_due(0 * SECOND, services=("s",), required={"s": (3, 2, True)}, members=members) == []  # it has just started
-    return made
+    instance = RequirementPublisher(own_name=name, region="m", tuning=tuning())
+    assert (
+        instance.rows_due(0 * SECOND, services=("s",), required={"s": (3, 2, True)}, members=members) == []
+    )  # still within scale_trend of its start
+    return instance
 
 
-def due(made, required=(3, 2, True), *, members=MEMBERS, now=WARM):
-    return made.rows_due(now, services=("s",), required={"s": required, "other": (9, 9, False)}, members=members)
+def due(instance, required=(3, 2, True), *, members=MEMBERS, now=WARM):
+    return instance.rows_due(now, services=("s",), required={"s": required, "other": (9, 9, False)}, members=members)
 
 
-def test_one_daemon_of_the_region_that_clients_call_publishes():
+def test_exactly_one_client_facing_daemon_of_the_region_publishes():
     chosen = publisher_of("m", MEMBERS)
     assert chosen in ("a", "b", "c")
     published = {name: due(publisher(name)) for name in ("a", "b", "c", "core", "far")}
@@ -50,24 +55,24 @@
     assert (row.kind, row.key, row.value, row.scope) == (REQUIREMENT_ROW, "s/m", (3, 2, True, chosen), "")
 
 
-def test_no_core_no_daemon_of_another_region_and_none_that_is_leaving_publishes():
+def test_cores_foreign_daemons_and_daemons_that_are_not_ready_do_not_publish():
     for others in ({"core": True}, {"region": "n"}, {"state": "leaving"}, {"state": "joining"}):
         rows = tuple(member(f"other{i}", **others) for i in range(20))
         assert publisher_of("m", members_of((member("a"), *rows))) == "a"
         assert publisher_of("m", members_of(rows)) is None
 
 
-def test_a_daemon_that_has_just_started_publishes_nothing_for_the_time_of_the_trend():
-    made = publisher(publisher_of("m", MEMBERS))
+def test_a_daemon_publishes_nothing_for_scale_trend_after_its_start():
+    instance = publisher(publisher_of("m", MEMBERS))
     trend = tuning()["scale_trend"]
-    assert due(made, now=trend - SECOND) == [] and due(made, now=trend) != []
+    assert due(instance, now=trend - SECOND) == [] and due(instance, now=trend) != []
 
 
-def test_a_row_is_published_only_when_it_says_something_new():
-    made = publisher(publisher_of("m", MEMBERS))
-    (first,) = due(made)
-    assert due(made) == []
-    (second,) = due(made, (4, 2, True))
+def test_a_row_is_published_only_when_its_value_changes():
+    instance = publisher(publisher_of("m", MEMBERS))
+    (first,) = due(instance)
+    assert due(instance) == []
+    (second,) = due(instance, (4, 2, True))
     assert second.rank > first.rank
 
 
@@ -77,19 +82,19 @@
     successor = publisher(publisher_of("m", rest))
     rows = {"s/m": ((41,), (3, 2, True, first)), "s/n": ((99,), (1, 1, False, "far"))}
     successor.observe_rows(rows)
-    assert due(successor) == []  # not its turn
-    (row,) = due(successor, members=rest)  # the same numbers, by another daemon
+    assert due(successor) == []  # not the publisher yet
+    (row,) = due(successor, members=rest)  # the same numbers from another publisher
     assert row.rank == (42,) and RequirementRow.of(row.value).publisher == successor._own_name
 
 
-def test_an_older_row_that_comes_late_does_not_lower_the_rank():
-    made = publisher(publisher_of("m", MEMBERS))
-    made.observe_rows({"s/m": ((7,), None)})
-    made.observe_rows({"s/m": ((3,), (1, 1, False, "x"))})
-    assert due(made)[0].rank == (8,)
+def test_a_delayed_older_row_does_not_lower_the_rank():
+    instance = publisher(publisher_of("m", MEMBERS))
+    instance.observe_rows({"s/m": ((7,), None)})
+    instance.observe_rows({"s/m": ((3,), (1, 1, False, "x"))})
+    assert due(instance)[0].rank == (8,)
 
 
-def test_a_core_collects_these_rows_before_it_answers_the_fleet():
+def test_requirement_rows_are_not_urgent_for_cores():
     rows = CoreRows(process_id="p")
     rows.take([SoftStateRow(REQUIREMENT_ROW, "s/m", (1,), (1, 1, False, "a"), "")], 0 * SECOND)
     assert rows.has_changed and not rows.has_urgent_change
@@ -97,12 +102,12 @@
     assert rows.has_urgent_change
 
 
-def test_keys_hold_any_region():
+def test_keys_can_contain_any_region_name():
     assert split_requirement_key(requirement_key("s", "a region/with both")) == ("s", "a region/with both")
 
 
 @pytest.mark.parametrize("value", [None, (), (1, 1, False), (1, 1, 0, "a"), (True, 1, False, "a"), (-1, 1, False, "a"), [1, 1, False, "a"]])
-def test_rows_of_another_form_are_told_apart(value):
+def test_malformed_rows_are_recognized(value):
     assert is_requirement_row((1, 1, False, "a")) and is_requirement_row((1, 1, False, "a", "later"))
     assert not is_requirement_row(value)
 
@@ -113,16 +118,16 @@
 
 
 def scaler_effects(services):
-    """What the scaler of the region's publisher posts in half a minute."""
-    made = MachineComponent(ServiceScaler(own_name="a", region="m", tuning=tuning()))
+    """Return what the scaler of the region's publisher posts in half a minute."""
+    instance = MachineComponent(ServiceScaler(own_name="a", region="m", tuning=tuning()))
     routes = [dict(name="r", kind="pure", aim_ms=600, shares=[dict(service=name, weight=1.0) for name in services])]
-    made.send((0 * SECOND, ("roll", (member("a"),))))
-    made.send((0 * SECOND, ("book", {"config": ((1, 1), {"routes": routes, "services": services})}, (1, 1))))
-    effects = [effect for i in range(300) for effect in made.send((i * 0.1 * SECOND, ("pulse",)))]
+    instance.send((0 * SECOND, ("roll", (member("a"),))))
+    instance.send((0 * SECOND, ("book", {"config": ((1, 1), {"routes": routes, "services": services})}, (1, 1))))
+    effects = [effect for i in range(300) for effect in instance.send((i * 0.1 * SECOND, ("pulse",)))]
     return [effect[1:] for effect in effects if effect[0] == "post"]
 
 
-def test_the_scaler_publishes_for_services_with_scaling_alone():
+def test_the_scaler_publishes_only_for_services_with_scaling():
     assert scaler_effects({"s": {}, "t": {}}) == []
     assert scaler_effects({"s": {}, "t": {"scaling": SCALING}}) == [
         ("membership", ("publish", REQUIREMENT_ROW, "t/m", (1,), (0, 0, False, "a"), ""))
--- a/tests/autoscaling/test_service_scaler.py
+++ b/tests/autoscaling/test_service_scaler.py
@@ -1,4 +1,7 @@
-"""The scaler for replicas that nobody orders (design 16.3): each test fails without its rule."""
+"""The scaler for services (design 16.3).
+
+Each test fails if the rule that it checks is removed.
+"""
 
 from datetime import timedelta
 
@@ -11,197 +14,198 @@
 from silverglade.runtime.state_machine import MachineComponent
 from silverglade.testbed.experiments.demand_day import day
 
-SEC = timedelta(seconds=1)
+SECOND = timedelta(seconds=1)
 
 
-def rec(i, region="m", core=False, state="ready"):
+def member(i, region="m", core=False, state="ready"):
     return (i, "l", 1, 1, "z", region, "", "", core, state, (), ())
 
 
-def route(aim, *services, weight=1.0):
-    return dict(name="r", kind="pure", aim_ms=aim, shares=[dict(service=s, weight=weight) for s in services])
+def route(target_ms, *services, weight=1.0):
+    return dict(name="r", kind="pure", aim_ms=target_ms, shares=[dict(service=s, weight=weight) for s in services])
 
 
-CFG = {"routes": [route(600, "s", "t"), route(200, "t"), route(50, "s", weight=0.0)], "services": {"s": {}, "t": {}}}
+CONFIGURATION = {"routes": [route(600, "s", "t"), route(200, "t"), route(50, "s", weight=0.0)], "services": {"s": {}, "t": {}}}
 
 
-class Daemon:
-    """One part, driven; what it cast and logged."""
+class ScalerDriver:
+    """Drives one scaler; records what it broadcast and logged."""
 
-    def __init__(self, *, daemons=2, cfg=CFG, **opts):
-        self.p = MachineComponent(ServiceScaler(region="m", tuning=tuning(**opts)))
-        self.short, self.logs, self.now = None, [], 0.0
-        self.tell(("roll", tuple(rec(f"d{i}") for i in range(daemons))))
-        if cfg:
-            self.configure(cfg)
+    def __init__(self, *, daemons=2, configuration=CONFIGURATION, **options):
+        self.scaler = MachineComponent(ServiceScaler(region="m", tuning=tuning(**options)))
+        self.requirements, self.logs, self.now = None, [], 0.0
+        self.send(("roll", tuple(member(f"d{i}") for i in range(daemons))))
+        if configuration:
+            self.configure(configuration)
 
-    def configure(self, cfg):
-        self.tell(("book", {"config": ((1, 1), cfg)}, (1, 1)))
+    def configure(self, configuration):
+        self.send(("book", {"config": ((1, 1), configuration)}, (1, 1)))
 
-    def tell(self, ev):
-        for e in self.p.send((self.now * SEC, ev)):
-            if e[0] == "cast":
-                self.short = e[1][1]
-                assert e[1][0] == "short"
-            elif e[0] == "log":
-                self.logs.append(dict(e[2]))
+    def send(self, event):
+        for effect in self.scaler.send((self.now * SECOND, event)):
+            if effect[0] == "cast":
+                self.requirements = effect[1][1]
+                assert effect[1][0] == "short"
+            elif effect[0] == "log":
+                self.logs.append(dict(effect[2]))
 
     def loads(self, *active, capacity=10, ready=True, region="m"):
-        self.tell(("loads", {f"r{region}{i}": ("s", region, a, capacity, ready) for i, a in enumerate(active)}))
+        self.send(("loads", {f"r{region}{i}": ("s", region, a, capacity, ready) for i, a in enumerate(active)}))
 
-    def run(self, secs, *, came=0, served=0, took=0.5, repeats=0):
-        """came, served, repeats: in each second."""
+    def run(self, secs, *, arrivals=0, completions=0, duration_s=0.5, retries=0):
+        """Run for `secs` seconds; arrivals, completions and retries are per second."""
         for _ in range(int(secs * 20)):
             self.now = round(self.now + 0.05, 2)
             if abs(self.now - round(self.now)) < 0.01:
-                for _ in range(came):
-                    self.tell(("arrived", "s", False))
-                for _ in range(repeats):
-                    self.tell(("arrived", "s", True))
-                for _ in range(served):
-                    self.tell(("served", "s", took))
-            self.tell(("pulse",))
-        return self.short and self.short.get(("m", "s"))
+                for _ in range(arrivals):
+                    self.send(("arrived", "s", False))
+                for _ in range(retries):
+                    self.send(("arrived", "s", True))
+                for _ in range(completions):
+                    self.send(("served", "s", duration_s))
+            self.send(("pulse",))
+        return self.requirements and self.requirements.get(("m", "s"))
 
 
-def test_the_aim_is_the_tightest_goal_of_the_routes_that_lead_to_the_service():
-    assert latency_targets(CFG) == {"s": 0.6, "t": 0.2}
+def test_the_latency_target_is_the_strictest_of_the_routes_to_the_service():
+    assert latency_targets(CONFIGURATION) == {"s": 0.6, "t": 0.2}
 
 
-def test_the_daemons_are_the_regions_ready_ones_that_clients_call():
-    roll = (rec("a"), rec("b"), rec("c", core=True), rec("d", region="n"), rec("e", state="leaving"))
-    assert count_client_facing_daemons(members_of(roll), "m") == 2
-    assert count_client_facing_daemons(members_of((rec("a", core=True), rec("b", core=True))), "m") == 2
+def test_ready_client_facing_daemons_of_the_region_are_counted():
+    members = (member("a"), member("b"), member("c", core=True), member("d", region="n"), member("e", state="leaving"))
+    assert count_client_facing_daemons(members_of(members), "m") == 2
+    assert count_client_facing_daemons(members_of((member("a", core=True), member("b", core=True))), "m") == 2
     assert count_client_facing_daemons((), "m") == 1
 
 
-def test_arrivals_times_daemons_over_the_rate_of_a_replica_at_most_at_the_top_load():
-    d = Daemon(daemons=3)
-    d.loads(5, 5)  # half used: 2 replicas, 3 daemons, 2 ends a second
-    assert d.run(30, came=2, served=2) == (2, 2, False)
-    assert (d.logs[-1]["service_s"], d.logs[-1]["use"], d.logs[-1]["arrival_rate"]) == ("0.1667", "0.5", "6")
-    d.loads(9, 9)  # 1/mu of 0.3: 6 * 0.3 / 0.8 = 2.25
-    assert d.run(10, came=2, served=2) == (3, 2, True)
+def test_the_requirement_keeps_the_load_per_replica_below_scale_top():
+    driver = ScalerDriver(daemons=3)
+    driver.loads(5, 5)  # utilization 0.5: 2 replicas, 3 daemons, 2 completions per second
+    assert driver.run(30, arrivals=2, completions=2) == (2, 2, False)
+    assert (driver.logs[-1]["service_s"], driver.logs[-1]["use"], driver.logs[-1]["arrival_rate"]) == ("0.1667", "0.5", "6")
+    driver.loads(9, 9)  # 1/mu of 0.3: 6 * 0.3 / 0.8 = 2.25
+    assert driver.run(10, arrivals=2, completions=2) == (3, 2, True)
 
 
-def test_a_wrong_count_of_daemons_cancels_out_of_the_offered_load():
-    got = []
+def test_a_wrong_daemon_count_cancels_out_of_the_offered_load():
+    requirements = []
     for n in (1, 3, 9):
-        d = Daemon(daemons=n)
-        d.loads(6, 6, 6)
-        got.append(d.run(20, came=2, served=2))
-    assert got == [(3, 3, False)] * 3
+        driver = ScalerDriver(daemons=n)
+        driver.loads(6, 6, 6)
+        requirements.append(driver.run(20, arrivals=2, completions=2))
+    assert requirements == [(3, 3, False)] * 3
 
 
-def test_a_region_without_a_ready_replica_is_short_of_them():
-    d = Daemon()
-    d.loads(5, 5, ready=False)
-    assert d.run(4, came=2)[1:] == (0, True)
-    d.loads(5, 5, region="n")
-    assert d.run(4, came=2)[1:] == (0, True)
+def test_a_region_without_a_ready_replica_is_short():
+    driver = ScalerDriver()
+    driver.loads(5, 5, ready=False)
+    assert driver.run(4, arrivals=2)[1:] == (0, True)
+    driver.loads(5, 5, region="n")
+    assert driver.run(4, arrivals=2)[1:] == (0, True)
 
 
-def test_a_service_of_which_nothing_is_known_or_asked_is_not_short():
-    d = Daemon()
-    d.loads(0, 0)
-    assert d.run(4) == (0, 2, False)
-    assert d.run(4, came=3) == (0, 2, False)  # nothing was served yet: no m is worked out
+def test_a_service_without_requests_or_completions_is_not_short():
+    driver = ScalerDriver()
+    driver.loads(0, 0)
+    assert driver.run(4) == (0, 2, False)
+    assert driver.run(4, arrivals=3) == (0, 2, False)  # no completions yet, so no requirement is computed
 
 
-def test_the_dispatchers_cap_that_misses_the_aim_marks_the_region_short():
-    d = Daemon(daemons=1, scale_fan=1)
-    d.loads(9)
-    assert d.run(10, came=3, served=3, took=4.0) == (1, 1, True)  # 1/mu 0.3, W above 0.6 at the cap of 1
-    d = Daemon(daemons=1, scale_fan=1)
-    d.loads(1)
-    assert d.run(10, came=3, served=3) == (1, 1, False)
+def test_missing_the_target_at_the_dispatcher_limit_marks_the_region_short():
+    driver = ScalerDriver(daemons=1, scale_fan=1)
+    driver.loads(9)
+    assert driver.run(10, arrivals=3, completions=3, duration_s=4.0) == (1, 1, True)  # 1/mu 0.3, W above 0.6 at the limit of 1
+    driver = ScalerDriver(daemons=1, scale_fan=1)
+    driver.loads(1)
+    assert driver.run(10, arrivals=3, completions=3) == (1, 1, False)
 
 
-def test_repeats_are_counted_apart():
-    d = Daemon()
-    d.loads(5, 5)
-    calm = d.run(20, came=2, served=2)
-    d.run(20, came=2, served=2, repeats=40)
-    assert d.short["m", "s"] == calm
+def test_retries_are_not_counted_as_arrivals():
+    driver = ScalerDriver()
+    driver.loads(5, 5)
+    calm = driver.run(20, arrivals=2, completions=2)
+    driver.run(20, arrivals=2, completions=2, retries=40)
+    assert driver.requirements["m", "s"] == calm
 
 
-def test_repeats_taken_for_arrivals_would_be_found():
-    d = Daemon()
-    d.loads(5, 5)
-    calm = d.run(20, came=2, served=2)
-    assert d.run(4, came=42, served=2) != calm
+def test_retries_counted_as_arrivals_would_change_the_requirement():
+    driver = ScalerDriver()
+    driver.loads(5, 5)
+    calm = driver.run(20, arrivals=2, completions=2)
+    assert driver.run(4, arrivals=42, completions=2) != calm
 
 
-def test_while_use_is_low_latency_stands_for_one_place_of_a_replica():
-    for how, m in (("place", 1), ("whole", 7)):
-        d = Daemon(daemons=1, need_latency=how)
-        d.loads(0, 0)
-        assert d.run(30, came=4, served=4, took=1.0)[0] == m, how  # 4 a second for a second each; 4 / 0.65
+def test_at_low_utilization_latency_is_the_time_of_one_slot():
+    for need_latency, required in (("place", 1), ("whole", 7)):
+        driver = ScalerDriver(daemons=1, need_latency=need_latency)
+        driver.loads(0, 0)
+        # 4 per second that take one second each; 4 / 0.65
+        assert driver.run(30, arrivals=4, completions=4, duration_s=1.0)[0] == required, need_latency
 
 
-def test_latency_is_not_taken_once_use_is_known():
-    d = Daemon(daemons=1)
-    d.loads(8, 8)
-    d.run(10, came=2, served=2, took=5.0)
-    assert d.logs[-1]["service_s"] == "0.8"
+def test_latency_is_ignored_once_utilization_is_known():
+    driver = ScalerDriver(daemons=1)
+    driver.loads(8, 8)
+    driver.run(10, arrivals=2, completions=2, duration_s=5.0)
+    assert driver.logs[-1]["service_s"] == "0.8"
 
 
-def test_more_is_said_at_once_and_less_only_after_six_seconds():
-    d = Daemon(daemons=1)
-    d.loads(5, 5)
-    d.run(20, came=2, served=2)
-    low = d.short["m", "s"][0]
-    d.run(2.2, came=20, served=2)
-    high = d.short["m", "s"][0]
+def test_the_requirement_increases_at_once_and_decreases_after_six_seconds():
+    driver = ScalerDriver(daemons=1)
+    driver.loads(5, 5)
+    driver.run(20, arrivals=2, completions=2)
+    low = driver.requirements["m", "s"][0]
+    driver.run(2.2, arrivals=20, completions=2)
+    high = driver.requirements["m", "s"][0]
     assert high > low
-    d.loads(1, 1)
-    t0 = d.now
-    while d.short["m", "s"][0] == high:
-        d.run(0.1)
-        assert d.now - t0 < 12
-    assert 6 <= d.now - t0 <= 10.2  # six seconds after it was first enough, looked at every two
-
-
-def test_it_speaks_only_when_something_changed():
-    d = Daemon()
-    d.loads(5, 5)
-    d.run(30, came=2, served=2)
-    n = len(d.logs)
-    d.run(30, came=2, served=2)
-    assert len(d.logs) == n and n <= 6
-
-
-def test_a_service_that_left_the_configuration_leaves_nothing():
-    d = Daemon()
-    d.loads(5, 5)
-    d.run(10, came=2, served=2)
-    d.configure({"routes": [route(100, "t")], "services": {"t": {}}})
-    d.run(4)
-    assert set(d.short) == {("m", "t")}
-    assert set(d.p.machine.measurements) <= {"t"}
-
-
-def test_the_configuration_may_come_as_the_book_brings_it():
-    d = Daemon(cfg=None)
-    d.tell(("book", {"config": ((1, 1), CFG)}, (1, 1)))
-    d.loads(0)
-    d.run(4)
-    assert set(d.short) == {("m", "s"), ("m", "t")}
-    d.tell(("book", {"config": ((1, 2), {"services": {}, "routes": []})}, (1, 2)))
-    d.run(4)
-    assert set(d.short) == {("m", "s"), ("m", "t")}
+    driver.loads(1, 1)
+    started = driver.now
+    while driver.requirements["m", "s"][0] == high:
+        driver.run(0.1)
+        assert driver.now - started < 12
+    assert 6 <= driver.now - started <= 10.2  # six seconds after it was first sufficient, evaluated every two
+
+
+def test_the_scaler_logs_only_changes():
+    driver = ScalerDriver()
+    driver.loads(5, 5)
+    driver.run(30, arrivals=2, completions=2)
+    n = len(driver.logs)
+    driver.run(30, arrivals=2, completions=2)
+    assert len(driver.logs) == n and n <= 6
+
+
+def test_a_service_removed_from_the_configuration_leaves_no_state():
+    driver = ScalerDriver()
+    driver.loads(5, 5)
+    driver.run(10, arrivals=2, completions=2)
+    driver.configure({"routes": [route(100, "t")], "services": {"t": {}}})
+    driver.run(4)
+    assert set(driver.requirements) == {("m", "t")}
+    assert set(driver.scaler.machine.measurements) <= {"t"}
+
+
+def test_a_configuration_without_services_is_ignored():
+    driver = ScalerDriver(configuration=None)
+    driver.send(("book", {"config": ((1, 1), CONFIGURATION)}, (1, 1)))
+    driver.loads(0)
+    driver.run(4)
+    assert set(driver.requirements) == {("m", "s"), ("m", "t")}
+    driver.send(("book", {"config": ((1, 2), {"services": {}, "routes": []})}, (1, 2)))
+    driver.run(4)
+    assert set(driver.requirements) == {("m", "s"), ("m", "t")}
 
 
 @pytest.mark.parametrize("capacity", [6, 64])
-def test_over_a_day_of_swings_what_the_region_cannot_take_is_said_and_a_calm_day_is_not_short(capacity):
-    d = day(capacity=capacity, secs=300)
-    assert d["missed"] < 0.15 and d["false"] < 0.3 and d["crowd_s"] < 6
-    d = day(capacity=capacity, secs=200, peak=2.0, work=0.1)
-    assert d["false"] == 0 and d["mean"] <= 1
+def test_shortage_is_detected_on_a_day_of_load_swings_and_not_on_a_calm_day(capacity):
+    figures = day(capacity=capacity, secs=300)
+    assert figures["missed"] < 0.15 and figures["false"] < 0.3 and figures["crowd_s"] < 6
+    figures = day(capacity=capacity, secs=200, peak=2.0, work=0.1)
+    assert figures["false"] == 0 and figures["mean"] <= 1
 
 
-def test_a_day_finds_a_scaler_that_holds_nothing_back_or_sees_no_crowd(monkeypatch):
-    well = day(capacity=16, secs=200)
+def test_the_simulated_day_detects_a_scaler_without_hold_or_projection(monkeypatch):
+    unmodified = day(capacity=16, secs=200)
 
     plain = module.LoadMeasurement
 
@@ -210,11 +214,11 @@
             return rate / 3
 
     monkeypatch.setattr(module, "LoadMeasurement", Blind)
-    assert day(capacity=16, secs=200)["missed"] > 3 * well["missed"]
+    assert day(capacity=16, secs=200)["missed"] > 3 * unmodified["missed"]
 
     class Hasty(plain):
         def hold(self, now, required):
             return required
 
     monkeypatch.setattr(module, "LoadMeasurement", Hasty)
-    assert day(capacity=16, secs=200)["lines"] > 1.3 * well["lines"]
+    assert day(capacity=16, secs=200)["lines"] > 1.3 * unmodified["lines"]
--- a/tests/autoscaling/test_tenant_scaler.py
+++ b/tests/autoscaling/test_tenant_scaler.py
@@ -1,4 +1,7 @@
-"""The scaler's rules round the chain (design 9): each fails without its rule."""
+"""Rules of the tenant scaler around the Markov chain (design 9).
+
+Each test fails if the rule that it checks is removed.
+"""
 
 from datetime import timedelta
 
@@ -10,83 +13,83 @@
 from silverglade.runtime.state_machine import MachineComponent
 from silverglade.testbed.sites import hamlet
 
-SEC = timedelta(seconds=1)
+SECOND = timedelta(seconds=1)
 TUNING = tuning()
 
 
-def test_the_rise_of_ten_seconds_is_carried_ten_seconds_ahead():
-    measurement, got = LoadMeasurement(TUNING), []
+def test_the_increase_over_ten_seconds_is_projected_ten_seconds_ahead():
+    measurement, projected = LoadMeasurement(TUNING), []
     for i, lam in enumerate([2, 2, 2, 2, 2, 2, 5, 5, 5, 5, 5, 5, 3]):
-        got.append(measurement.projected_rate(i * 2 * SEC, float(lam)))
-    assert got[:6] == [2.0] * 6
-    assert got[6:11] == [8.0] * 5  # 5 now, 2 ten seconds ago
-    assert got[11] == 5.0  # the rise is over
-    assert got[12] == 3.0  # a fall is not carried
+        projected.append(measurement.projected_rate(i * 2 * SECOND, float(lam)))
+    assert projected[:6] == [2.0] * 6
+    assert projected[6:11] == [8.0] * 5  # 5 now, 2 ten seconds ago
+    assert projected[11] == 5.0  # the increase is over
+    assert projected[12] == 3.0  # a decrease is not projected
 
 
-def test_more_is_named_at_once_and_less_only_after_it_was_enough_for_six_seconds():
+def test_the_held_count_increases_at_once_and_decreases_after_six_seconds():
     measurement = LoadMeasurement(TUNING)
-    ms = [(0, 2), (2, 5), (4, 3), (6, 4), (8, 3), (10, 3), (12, 3)]
-    assert [measurement.hold(t * SEC, m) for t, m in ms] == [2, 5, 5, 5, 5, 4, 4]
+    steps = [(0, 2), (2, 5), (4, 3), (6, 4), (8, 3), (10, 3), (12, 3)]
+    assert [measurement.hold(t * SECOND, m) for t, m in steps] == [2, 5, 5, 5, 5, 4, 4]
     measurement = LoadMeasurement(TUNING)
-    ms = [(0, 5), (2, 3), (4, 3), (6, 5), (8, 3), (10, 3), (12, 3), (14, 3)]
-    assert [measurement.hold(t * SEC, m) for t, m in ms] == [5, 5, 5, 5, 5, 5, 5, 3]  # asked for again
+    steps = [(0, 5), (2, 3), (4, 3), (6, 5), (8, 3), (10, 3), (12, 3), (14, 3)]
+    assert [measurement.hold(t * SECOND, m) for t, m in steps] == [5, 5, 5, 5, 5, 5, 5, 3]  # 5 was required again meanwhile
 
 
-def test_service_is_use_times_ready_over_daemons_times_the_served_rate():
+def test_the_service_time_follows_from_utilization_or_else_from_latency():
     measurement = LoadMeasurement(TUNING)
     assert abs(measurement.update_service_time(utilization=0.6, ready=4, daemons=3, completions=2.0) - 0.4) < 1e-12
     assert measurement.update_service_time(utilization=0.0, ready=4, daemons=3, completions=0.0) == measurement.service_time  # held
-    measurement.completions.append((0 * SEC, 0.3))
+    measurement.completions.append((0 * SECOND, 0.3))
     assert measurement.update_service_time(utilization=0.4, ready=4, daemons=3, completions=0.0) == 0.3  # mean latency
-    measurement.completions.append((0 * SEC, 0.9))
+    measurement.completions.append((0 * SECOND, 0.9))
     assert measurement.update_service_time(utilization=0.6, ready=4, daemons=3, completions=0.0) == 0.3  # not while busy
 
 
-def run(*, came, daemons=2, least=1, secs=18, use=0.5):
-    """A scaler part of region m with one ready replica -> its last named parts."""
+def run(*, arrivals, daemons=2, least=1, secs=18, use=0.5):
+    """Run a scaler in region m with one ready replica; return its last published part of the kind "model"."""
     configuration = hamlet()["config"]
     configuration["zones"]["middle"]["least"] = least
     scaler = MachineComponent(TenantScaler(region="m", tuning=TUNING))
     members = tuple((f"d{i}", "l", 1, 1, "middle", "m", "", "", False, "ready", (), ()) for i in range(daemons))
-    scaler.send((0 * SEC, ("book", {"config": ((1, 1), configuration)}, (1, 1))))
-    scaler.send((0 * SEC, ("roll", members)))
+    scaler.send((0 * SECOND, ("book", {"config": ((1, 1), configuration)}, (1, 1))))
+    scaler.send((0 * SECOND, ("roll", members)))
     record = ("r", 1, 1, "", "middle", "model", ("middle",), (), 4, False)
-    scaler.send((0 * SEC, ("replicas", {"r": (record, ("r", 1, 1, 1, "ready", use, 0.0, 1, 4, 1), 0 * SEC)})))
+    scaler.send((0 * SECOND, ("replicas", {"r": (record, ("r", 1, 1, 1, "ready", use, 0.0, 1, 4, 1), 0 * SECOND)})))
     last = {}
     for t in range(0, secs * 20):
-        now = t * SEC / 20
+        now = t * SECOND / 20
         if t and t % 20 == 0:
-            for _ in range(came):
+            for _ in range(arrivals):
                 scaler.send((now, ("arrived", "model")))
-                scaler.send((now, ("served", "model", SEC / 4, SEC / 4)))
-        for e in scaler.send((now, ("pulse",))):
-            if e[0] == "post" and e[2][1] == "parts":
-                last = {p[0]: p for p in e[2][2]}
+                scaler.send((now, ("served", "model", SECOND / 4, SECOND / 4)))
+        for effect in scaler.send((now, ("pulse",))):
+            if effect[0] == "post" and effect[2][1] == "parts":
+                last = {part[0]: part for part in effect[2][2]}
     return last["model"]
 
 
-def test_arrivals_over_two_seconds_times_the_daemon_count_feed_the_chain():
-    _, m, part, lam, sv, met = run(came=2, daemons=2)
-    assert (lam, sv, met) == (4.0, 0.125, True)  # 2 a second here, twice; 0.5*1/(2*2)
+def test_the_arrival_rate_is_that_of_two_seconds_times_the_daemon_count():
+    _, m, part, lam, sv, met = run(arrivals=2, daemons=2)
+    assert (lam, sv, met) == (4.0, 0.125, True)  # 2 per second here, two daemons; 0.5*1/(2*2)
     assert part == m / 2
 
 
-def test_the_regions_least_is_kept_when_nothing_comes():
-    assert run(came=0, least=3)[1:3] == (3, 1.5)
-    assert run(came=0, least=0)[1] == 0
+def test_the_regional_minimum_applies_without_requests():
+    assert run(arrivals=0, least=3)[1:3] == (3, 1.5)
+    assert run(arrivals=0, least=0)[1] == 0
 
 
 @pytest.mark.parametrize("town", ["hamlet", "navrang", "borough"])
-def test_what_one_daemon_heard_of_replicas_is_known_to_all_in_a_moment(town):
+def test_replicas_registered_at_one_daemon_are_soon_known_to_all(town):
     from silverglade.testbed.simulator.scenario import Scene
     from silverglade.testbed.simulator.tenant_replicas import Replica
 
-    s = Scene(town=town)
-    s.settle(5)
-    zone = s.t["daemons"][0][1]
+    scene = Scene(town=town)
+    scene.settle(5)
+    zone = scene.t["daemons"][0][1]
     for n in (0, 1, 2):
-        r = s.w.replicas[f"new-{n}"] = Replica(world=s.w, rid=f"new-{n}", zone=zone)
-        r.boot()  # one daemon is told
-        s.w.run(0.4)
-        assert all(r.rid in n.replica_records for n in s.w.nodes.values())
+        r = scene.w.replicas[f"new-{n}"] = Replica(world=scene.w, rid=f"new-{n}", zone=zone)
+        r.boot()  # registers at one daemon
+        scene.w.run(0.4)
+        assert all(r.rid in n.replica_records for n in scene.w.nodes.values())
--- a/tests/duties/test_leases.py
+++ b/tests/duties/test_leases.py
@@ -1,4 +1,4 @@
-"""When the holder of a duty may act, and what the role assigner makes of duties (design 18.1)."""
+"""Lease times, and the assignment of duties (design 18.1)."""
 
 from datetime import timedelta
 
@@ -17,7 +17,7 @@
 TIMES = LeaseTimes.of(3 * SECOND)
 
 
-def leases():
+def duty_leases():
     return DutyLeases(own_name="a", tuning=tuning(duties=["usage"], duty_lease=3.0))
 
 
@@ -25,53 +25,53 @@
     return {"duty/platform/usage": ((1, epoch), (epoch, holder, ""))}
 
 
-def told(effects):
-    """The last lease that whoever writes calls was told."""
+def last_lease(effects):
+    """Return the (token, usable_until) set last for the writer of platform calls; None if none was set."""
     found = [(effect.token, effect.usable_until) for effect in effects if isinstance(effect, SetLease)]
     return found[-1] if found else None
 
 
-def test_a_new_holder_waits_and_then_acts_while_its_proof_is_young():
-    machine = leases()
+def test_a_new_holder_acts_after_the_takeover_wait_while_its_proof_is_fresh():
+    machine = duty_leases()
     machine.step(SECOND, ProofRenewed(SECOND))
-    assert told(machine.step(SECOND, StoreUpdated(store(4, "a"), (1, 4)))) == (4, None)
-    over = SECOND + TIMES.takeover_wait
-    machine.step(over - timedelta(milliseconds=1), ProofRenewed(over - SECOND))
+    assert last_lease(machine.step(SECOND, StoreUpdated(store(4, "a"), (1, 4)))) == (4, None)
+    wait_end = SECOND + TIMES.takeover_wait
+    machine.step(wait_end - timedelta(milliseconds=1), ProofRenewed(wait_end - SECOND))
     assert machine._published_leases["usage"].usable_until is None
-    assert told(machine.step(over, TimerFired())) == (4, over - SECOND + TIMES.proof_lifetime)
+    assert last_lease(machine.step(wait_end, TimerFired())) == (4, wait_end - SECOND + TIMES.proof_lifetime)
 
 
-def test_each_proof_lengthens_the_lease_and_another_holder_ends_it():
-    machine = leases()
+def test_each_proof_extends_the_lease_and_another_holder_ends_it():
+    machine = duty_leases()
     machine.step(SECOND, StoreUpdated(store(4, "a"), (1, 4)))
-    assert told(machine.step(20 * SECOND, ProofRenewed(19 * SECOND))) == (4, 19 * SECOND + TIMES.proof_lifetime)
-    assert told(machine.step(21 * SECOND, ProofRenewed(20 * SECOND))) == (4, 20 * SECOND + TIMES.proof_lifetime)
-    assert told(machine.step(21 * SECOND, StoreUpdated(store(5, "b"), (1, 5)))) == (None, None)
+    assert last_lease(machine.step(20 * SECOND, ProofRenewed(19 * SECOND))) == (4, 19 * SECOND + TIMES.proof_lifetime)
+    assert last_lease(machine.step(21 * SECOND, ProofRenewed(20 * SECOND))) == (4, 20 * SECOND + TIMES.proof_lifetime)
+    assert last_lease(machine.step(21 * SECOND, StoreUpdated(store(5, "b"), (1, 5)))) == (None, None)
 
 
-# Guards against: a holder that was away while another held the duty acts at once, as if it had held it all the time.
-def test_a_holder_that_missed_another_waits_anew():
-    machine = leases()
+# Guards against: a holder that missed the term of another holder acts at once, as if it had held the duty throughout.
+def test_a_holder_waits_again_after_another_one_held_the_duty_in_between():
+    machine = duty_leases()
     machine.step(SECOND, StoreUpdated(store(4, "a"), (1, 4)))
     machine.step(20 * SECOND, ProofRenewed(20 * SECOND))
-    assert told(machine.step(20 * SECOND, StoreUpdated(store(6, "a"), (1, 6)))) == (6, None)
+    assert last_lease(machine.step(20 * SECOND, StoreUpdated(store(6, "a"), (1, 6)))) == (6, None)
 
 
-# Guards against: a daemon that stood still acts on a proof of before.
-def test_a_pause_ends_the_lease_until_the_next_proof():
-    machine = leases()
+# Guards against: a daemon acts on a proof obtained before its process was paused.
+def test_a_process_pause_suspends_the_lease_until_the_next_proof():
+    machine = duty_leases()
     machine.step(SECOND, StoreUpdated(store(4, "a"), (1, 4)))
     machine.step(20 * SECOND, ProofRenewed(20 * SECOND))
-    assert told(machine.step(20 * SECOND, ProcessPaused())) == (4, None)
+    assert last_lease(machine.step(20 * SECOND, ProcessPaused())) == (4, None)
 
 
 @pytest.mark.parametrize("lease_s", [2.7, 3.0, 10.0])
-def test_the_times_leave_no_room_for_two_holders(lease_s):
+def test_the_lease_times_exclude_two_holders_at_once(lease_s):
     lease = timedelta(seconds=lease_s)
     times = LeaseTimes.of(lease)
-    last_act = times.proof_lifetime + times.call_timeout  # of the old holder, after the change
+    last_act = times.proof_lifetime + times.call_timeout  # of the old holder, after the reassignment
     assert times.takeover_wait > last_act
-    # A, B, A: B must have acted, with a proof of before A was named again
+    # the role moves A, B, A: B acted on a proof obtained before A was named again
     first_act_of_a_again = times.takeover_wait - times.proof_lifetime + times.takeover_wait
     assert first_act_of_a_again - last_act > lease
 
@@ -90,7 +90,7 @@
     return machine
 
 
-def test_duties_go_to_cores_and_stay_where_they_are():
+def test_duties_are_assigned_to_cores_and_stay_with_their_holder():
     machine = assigner(duties=["usage", "scale"])
     ((first, second),) = [event.assignments for event in posted(machine, SECOND)]
     assert first[:3] == ("platform", "usage", 0) and second[:3] == ("platform", "scale", 0)
@@ -101,14 +101,14 @@
         assert posted(machine, SECOND) == []
 
 
-def test_a_holder_that_leaves_is_replaced_on_its_epoch():
+def test_a_leaving_holder_is_replaced_based_on_its_epoch():
     machine = assigner(duties=["usage"])
     machine.step(SECOND, StoreUpdated(store(7, "a"), (1, 7)))
     machine.step(SECOND, MembershipChanged((member("a", state="leaving"), member("b"))))
     assert posted(machine, SECOND) == [AssignRoles((("platform", "usage", 7, "b", ""),))]
 
 
-# Guards against: a duty that is dropped and named again begins at an epoch that was used.
+# Guards against: a duty that was dropped is assigned again with an epoch that was already used.
 def test_a_duty_is_never_dropped():
     machine = assigner()
     machine.step(SECOND, StoreUpdated(store(7, "a"), (1, 7)))
@@ -120,7 +120,7 @@
 SETTINGS = {"name": "n", "zone": "z", "region": "r", "listen": "127.0.0.1:1", "http": "127.0.0.1:2", "seeds": ["127.0.0.1:1"]}
 
 
-def test_a_lease_that_no_proof_would_keep_is_refused():
+def test_a_lease_shorter_than_the_normal_age_of_a_proof_is_refused():
     raw = {**SETTINGS, "cores": ["x", "y", "z"], "tuning": {"duties": ["usage"], "duty_lease": 1.0}}
     with pytest.raises(InvalidSettingsError, match="duty_lease: wants to be at least 2.6"):
         checked(raw)
--- a/tests/duties/test_usage_counter.py
+++ b/tests/duties/test_usage_counter.py
@@ -1,4 +1,4 @@
-"""What a daemon counts, and to whom it sends it (design 18.4)."""
+"""Counting of requests and the transmission of the counts to the holder (design 18.4)."""
 
 from datetime import timedelta
 
@@ -33,7 +33,7 @@
     machine = UsageCounter(process_id="p1", tuning=tuning(duties=["usage"]))
     machine.step(SECOND, StoreUpdated(store(), (1, 2)))
     machine.step(SECOND, MembershipChanged((member("core", "c1"),)))
-    machine.step(SECOND, WallClockRead(DAY + SECOND))  # the steady clock is a day behind
+    machine.step(SECOND, WallClockRead(DAY + SECOND))  # the monotonic clock is a day behind
     machine.step(SECOND, TimerFired())
     return machine
 
@@ -43,7 +43,7 @@
     return [(effect.to, effect.body) for effect in effects if isinstance(effect, Send)]
 
 
-def test_a_finished_window_is_sent_until_it_is_confirmed():
+def test_a_finished_window_is_resent_until_it_is_acknowledged():
     machine = counter()
     for tenant in ("a", "b", "a"):
         machine.step(2 * SECOND, TenantRequestStarted(tenant))
@@ -56,8 +56,8 @@
     assert sent(machine, 8 * SECOND) == []
 
 
-# Guards against: the new holder, or the same daemon after a restart, lacks what the one before had confirmed.
-def test_another_holder_gets_all_that_may_still_be_reported():
+# Guards against: a new holder, or the same daemon after a restart, lacks counts that the previous process acknowledged.
+def test_a_new_holder_receives_all_windows_that_may_still_be_reported():
     machine = counter()
     machine.step(2 * SECOND, TenantRequestStarted("a"))
     assert len(sent(machine, 5 * SECOND)) == 1
@@ -69,8 +69,8 @@
     assert [body[3] for _, body in sent(machine, 40 * SECOND)] == [FIRST + 5, FIRST + 6, FIRST + 7]
 
 
-# Guards against: a request is counted in two windows, or a window is reopened, when the clock of day steps back.
-def test_a_clock_that_steps_back_reopens_no_window():
+# Guards against: a request is counted in two windows, or a window is reopened, when the wall clock steps back.
+def test_a_wall_clock_step_back_reopens_no_window():
     machine = counter()
     machine.step(6 * SECOND, TenantRequestStarted("a"))
     machine.step(6 * SECOND, WallClockRead(DAY + 2 * SECOND))
@@ -80,7 +80,7 @@
     assert machine.finished[FIRST + 1].counts == (("a", 2),)
 
 
-def test_one_that_leaves_sends_what_it_has_so_far():
+def test_partial_counts_are_sent_at_shutdown():
     machine = counter()
     machine.step(2 * SECOND, TenantRequestStarted("a"))
     machine.step(3 * SECOND, ShutdownStarted(8 * SECOND, 9 * SECOND, 10 * SECOND))
@@ -88,7 +88,7 @@
     assert sent(machine, 3.5 * SECOND) == []
 
 
-def test_without_tenants_nothing_is_sent_or_waited_for():
+def test_without_tenants_nothing_is_sent_and_no_timer_is_set():
     machine = UsageCounter(process_id="p1", tuning=tuning(duties=["usage"]))
     machine.step(SECOND, WallClockRead(DAY + SECOND))
     machine.step(SECOND, StoreUpdated({"duty/platform/usage": ((1, 2), (1, "core", ""))}, (1, 2)))
--- a/tests/duties/test_usage_record.py
+++ b/tests/duties/test_usage_record.py
@@ -21,28 +21,28 @@
     return rows
 
 
-def judged(rows, *, epoch=4, window=7):
+def decided(rows, *, epoch=4, window=7):
     return decisions.decide(rows, RecordUsage(epoch, window, COUNTS), (1, 3))
 
 
 def test_the_holder_records_a_window():
-    assert judged(store()) == Take((("usage", (7, COUNTS)),))
-    assert judged(store(recorded=6)) == Take((("usage", (7, COUNTS)),))
+    assert decided(store()) == Take((("usage", (7, COUNTS)),))
+    assert decided(store(recorded=6)) == Take((("usage", (7, COUNTS)),))
 
 
-# Guards against: two reports of one window with different counts, from a daemon that is holder no more and from its successor.
+# Guards against: a former holder and its successor report one window with different counts.
 @pytest.mark.parametrize("rows", [{}, store(epoch=5), store(epoch=3)])
-def test_nobody_else_records_one(rows):
-    assert isinstance(judged(rows), Refused)
+def test_an_operation_with_another_epoch_is_refused(rows):
+    assert isinstance(decided(rows), Refused)
 
 
-# Guards against: two reports of one window with different counts, from the same holder after it forgot the first.
+# Guards against: a holder that has lost its record of a report reports the window again with different counts.
 @pytest.mark.parametrize("recorded", [7, 8])
 def test_a_window_is_recorded_once(recorded):
-    assert isinstance(judged(store(recorded=recorded)), Refused)
+    assert isinstance(decided(store(recorded=recorded)), Refused)
 
 
-def test_without_the_guards_both_are_taken(monkeypatch):
+def test_without_the_guards_both_operations_are_accepted(monkeypatch):
     without(
         monkeypatch,
         "silverglade.control.decisions",
@@ -50,10 +50,10 @@
         ("False", "False"),
         "silverglade.control.decisions.decide_usage",
     )
-    assert isinstance(judged(store(epoch=5)), Take) and isinstance(judged(store(recorded=7)), Take)
+    assert isinstance(decided(store(epoch=5)), Take) and isinstance(decided(store(recorded=7)), Take)
 
 
-def test_cores_alone_are_told_of_it():
+def test_usage_records_are_sent_to_cores_only():
     rows = store(recorded=7)
     assert [key for key, _, _ in items_since(rows, (0, 0))] == ["duty/platform/usage"]
     assert [key for key, _, _ in items_since(rows, (0, 0), for_core=True)] == ["duty/platform/usage", "usage"]
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize(
-    "fields, sound",
+    "fields, is_valid",
     [
         ((1, 2, COUNTS), True),
         ((1, 2, ()), True),
@@ -74,24 +74,24 @@
         ((1, 2, tuple((f"t{n}", 1) for n in range(4097))), False),
     ],
 )
-def test_its_form_is_checked(fields, sound):
-    assert is_valid_operation(("usage", *fields)) is sound
+def test_malformed_usage_operations_are_rejected(fields, is_valid):
+    assert is_valid_operation(("usage", *fields)) is is_valid
 
 
-def test_it_travels():
+def test_the_usage_operation_survives_encoding_and_decoding():
     operation = RecordUsage(4, 7, COUNTS)
     assert decode_operation(operation.encode()) == operation
 
 
 class Client:
     def __init__(self):
-        self.got = []
+        self.received = []
 
     def told(self, frm, body):
-        self.got.append(body[1:])
+        self.received.append(body[1:])
 
 
-def test_it_is_replicated_to_the_backups():
+def test_usage_records_are_replicated_to_the_backups():
     cluster = council.settled(seed=4, size=3, tolerance=(1, 1, 1), operators=0)
     cluster.clients["edge"] = client = Client()
     primary = cluster.cores[cluster.primary()]
@@ -99,7 +99,7 @@
     primary.feed(("msg", "edge", ("op", 2, "", RecordUsage(1, 7, COUNTS).encode(), "")))
     primary.feed(("msg", "edge", ("op", 3, "", RecordUsage(1, 7, ()).encode(), "")))
     cluster.run(2)
-    assert [(number, outcome[0]) for number, outcome in client.got] == [(1, "ok"), (2, "ok"), (3, "refuse")]
+    assert [(number, outcome[0]) for number, outcome in client.received] == [(1, "ok"), (2, "ok"), (3, "refuse")]
     members = [core for core in cluster.cores.values() if core.name in (primary.state.view.primary, *primary.state.view.backups)]
     held = [usage_record(core.state.store) for core in members]
     assert len(held) >= 2 and set(held) == {(7, COUNTS)}
--- a/tests/duties/test_usage_reporter.py
+++ b/tests/duties/test_usage_reporter.py
@@ -1,4 +1,4 @@
-"""What the holder records and sends, and what it makes of the platform's answers (design 18.2, 18.4)."""
+"""Recording and sending of usage by the holder, and its reactions to the platform's answers (design 18.2, 18.4)."""
 
 from datetime import timedelta
 
@@ -44,7 +44,7 @@
 
 
 def recorded(machine, now):
-    """The operation that the holder asks control for."""
+    """Return the operations that the holder requests from the control store."""
     effects = machine.step(now, TimerFired())
     return [effect.event.operation for effect in effects if isinstance(effect, Post)]
 
@@ -57,8 +57,8 @@
     machine.step(now, StoreUpdated({**CONFIGURATION, "usage": ((1, 2), (window, counts))}, (1, 2)))
 
 
-# Guards against: a daemon that is repeated, or thaws, counts twice; one that started again hides what its process before had counted.
-def test_each_process_counts_once():
+# Guards against: repeated counts are added twice, or the counts of a restarted daemon replace those of its previous process.
+def test_the_counts_of_each_process_are_added_once():
     machine = holder()
     for _ in range(2):
         assert report(machine, 5 * SECOND) == [("usage-got", 4, FIRST)]
@@ -69,13 +69,13 @@
     assert recorded(machine, 6.5 * SECOND) == [] and len(recorded(machine, 7 * SECOND)) == 1
 
 
-def test_one_that_does_not_report_is_waited_for_no_longer_than_half_of_the_time():
+def test_a_missing_report_is_waited_for_during_half_of_the_allowed_lateness():
     machine = holder()
     report(machine, 5 * SECOND)
     assert recorded(machine, 9.9 * SECOND) == [] and len(recorded(machine, 10 * SECOND)) == 1
 
 
-def test_nothing_is_sent_before_it_was_read_back_and_then_exactly_that():
+def test_exactly_the_record_that_was_read_back_is_sent():
     machine = holder()
     report(machine, 5 * SECOND)
     assert calls(machine, 10 * SECOND) == []
@@ -91,7 +91,7 @@
     assert calls(machine, 14 * SECOND) == [] and machine.last_closed == FIRST
 
 
-# Guards against: a holder that the platform's fence has shut out goes on calling.
+# Guards against: a holder whose token the platform has fenced off continues to call.
 def test_after_409_nothing_is_sent_until_the_token_changes():
     machine = holder()
     record(machine, 6 * SECOND)
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize("status, is_closed", [(400, True), (404, True), (408, False), (429, False), (302, False), (None, False)])
-def test_what_a_status_means(status, is_closed):
+def test_a_window_is_closed_by_final_statuses_only(status, is_closed):
     machine = holder()
     record(machine, 6 * SECOND)
     (call,) = calls(machine, 6 * SECOND)
@@ -111,7 +111,7 @@
     assert (machine.last_closed == FIRST) is is_closed
 
 
-def test_a_late_report_is_given_up():
+def test_an_overdue_report_is_abandoned():
     machine = holder()
     record(machine, 6 * SECOND)
     assert calls(machine, 15.1 * SECOND) == [] and machine.last_closed == FIRST
@@ -125,7 +125,7 @@
     assert calls(machine, 6 * SECOND) == []
 
 
-def test_reports_for_another_token_or_far_from_now_are_not_taken():
+def test_counts_for_another_token_or_a_distant_window_are_ignored():
     machine = holder()
     assert report(machine, 5 * SECOND, token=3) == [] and report(machine, 5 * SECOND, window=FIRST + 9) == []
     assert report(machine, 5 * SECOND, window=FIRST - 9) == [] and machine.reports == {}
--- a/tests/duties/test_usage_takeover.py
+++ b/tests/duties/test_usage_takeover.py
@@ -1,4 +1,4 @@
-"""What a holder that has just taken over records of windows that ended before (design 18.2, 18.4)."""
+"""Recording of windows that ended before a new holder took over (design 18.2, 18.4)."""
 
 from datetime import timedelta
 
@@ -19,52 +19,52 @@
 
 
 class Successor:
-    """A reporter that learns at second 2 of window 201 that it holds the duty."""
+    """A reporter that becomes holder at second 2 of window 201, while window 200 is unreported."""
 
     def __init__(self, names=("e0", "e1")):
-        self.part = UsageReporter(tuning=tuning(duties=[Duty.USAGE], duty_rate=50.0))
+        self.reporter = UsageReporter(tuning=tuning(duties=[Duty.USAGE], duty_rate=50.0))
         self.now = 102 * SECOND
-        self.part.step(self.now, WallClockRead((WINDOW + 1) * 5 * SECOND + 2 * SECOND))
-        self.part.step(self.now, StoreUpdated({"config": ((1, 1), {"callers": {}})}, (1, 1)))
-        self.part.step(self.now, MembershipChanged(tuple(member(name) for name in names)))
-        self.part.step(self.now, LeaseChanged(Duty.USAGE, TOKEN, None))
+        self.reporter.step(self.now, WallClockRead((WINDOW + 1) * 5 * SECOND + 2 * SECOND))
+        self.reporter.step(self.now, StoreUpdated({"config": ((1, 1), {"callers": {}})}, (1, 1)))
+        self.reporter.step(self.now, MembershipChanged(tuple(member(name) for name in names)))
+        self.reporter.step(self.now, LeaseChanged(Duty.USAGE, TOKEN, None))
 
-    def count(self, name, requests):
+    def report_counts(self, name, requests):
         body = WindowUsage("p1", TOKEN, WINDOW, (("ann", requests),)).encode()
-        return self.part.step(self.now, MessageReceived(name, body))
+        return self.reporter.step(self.now, MessageReceived(name, body))
 
-    def recorded(self, seconds):
-        """The operations that are asked for by then."""
+    def requested_records(self, seconds):
+        """Advance the clock; return the operations requested from the control store."""
         self.now += timedelta(seconds=seconds)
-        return [effect.event.operation for effect in self.part.step(self.now, TimerFired()) if hasattr(effect, "event")]
+        return [effect.event.operation for effect in self.reporter.step(self.now, TimerFired()) if hasattr(effect, "event")]
 
-    def may_act(self):
-        self.part.step(self.now, LeaseChanged(Duty.USAGE, TOKEN, self.now + 60 * SECOND))
+    def make_lease_usable(self):
+        self.reporter.step(self.now, LeaseChanged(Duty.USAGE, TOKEN, self.now + 60 * SECOND))
 
 
-# A holder that was killed and back at once recorded the window before as empty; what the daemons told it a moment later was lost.
-def test_nothing_is_recorded_before_the_lease_may_be_used():
+# Guards against: a restarted holder records the previous window as empty before the daemons have sent it their counts, which are lost.
+def test_nothing_is_recorded_before_the_lease_is_usable():
     successor = Successor()
-    assert successor.recorded(0.1) == []
-    successor.count("e0", 50)
-    assert successor.recorded(2.8) == []
-    successor.count("e1", 7)
-    successor.may_act()
-    assert [operation[2:] for operation in successor.recorded(0.1)] == [(WINDOW, (("ann", 57),))]
+    assert successor.requested_records(0.1) == []
+    successor.report_counts("e0", 50)
+    assert successor.requested_records(2.8) == []
+    successor.report_counts("e1", 7)
+    successor.make_lease_usable()
+    assert [operation[2:] for operation in successor.requested_records(0.1)] == [(WINDOW, (("ann", 57),))]
 
 
-def test_daemons_that_were_there_before_the_holder_are_waited_for():
+def test_a_new_holder_waits_for_daemons_that_were_live_before_it():
     successor = Successor()
-    successor.may_act()
-    successor.count("e0", 50)
-    assert successor.recorded(0.1) == []
-    successor.count("e1", 7)
-    assert [operation[2:] for operation in successor.recorded(0.1)] == [(WINDOW, (("ann", 57),))]
+    successor.make_lease_usable()
+    successor.report_counts("e0", 50)
+    assert successor.requested_records(0.1) == []
+    successor.report_counts("e1", 7)
+    assert [operation[2:] for operation in successor.requested_records(0.1)] == [(WINDOW, (("ann", 57),))]
 
 
-def test_one_that_tells_nothing_is_waited_for_half_of_the_time_only():
+def test_a_new_holder_waits_for_a_silent_daemon_half_of_the_allowed_lateness():
     successor = Successor()
-    successor.may_act()
-    successor.count("e0", 50)
-    assert successor.recorded(2.9) == []
-    assert [operation[2:] for operation in successor.recorded(0.2)] == [(WINDOW, (("ann", 50),))]
+    successor.make_lease_usable()
+    successor.report_counts("e0", 50)
+    assert successor.requested_records(2.9) == []
+    assert [operation[2:] for operation in successor.requested_records(0.2)] == [(WINDOW, (("ann", 50),))]
--- a/tests/support/duty_world.py
+++ b/tests/support/duty_world.py
@@ -1,6 +1,7 @@
-"""A simulated fleet whose cores hold duties, with a stand-in platform and an oracle of who called it with what (design 18).
+"""A simulated fleet whose cores hold duties, with a simulated platform and an oracle that checks the calls it receives (design 18).
 
-The daemons are the real ones (`DaemonMachine`) on the simulator's clock, network and disks; only the sockets of calls are played here.
+The daemons are real ones (`DaemonMachine`) on the simulator's clock, network and disks. Only the sockets of platform calls are
+simulated here.
 """
 
 import random
@@ -18,16 +19,16 @@
 
 SECOND = timedelta(seconds=1)
 WALL_START = timedelta(days=20000, seconds=3)
-WAY = milliseconds(40)
-THAW = milliseconds(300)
+NETWORK_DELAY = milliseconds(40)
+THAW_GRACE = milliseconds(300)
 WINDOW, LATE = 5 * SECOND, 10 * SECOND
 TENANTS = ("t1", "t2", "t3")
 
 
 class Arrival(NamedTuple):
-    """A call as the platform got it.
+    """A call as received by the platform.
 
-    :ivar excused: its sender was just thawed, or the way to the platform just healed, or the platform was in trouble.
+    :ivar excused: the sender had just been resumed, its connection to the platform had just been restored, or the platform was faulty.
     """
 
     at: timedelta
@@ -40,7 +41,7 @@
 
 
 class Call:
-    """A call on its way: bytes that a cut holds up arrive when it heals, unless the sender has reset the connection."""
+    """A call in progress. Bytes held up by a partition arrive once it heals, unless the sender has reset the connection."""
 
     def __init__(self, *, node, life, fields, started):
         self.node, self.life, self.fields, self.started = node, life, fields, started
@@ -48,20 +49,21 @@
 
 
 class DutyWorld(World):
-    """A world that carries out the effects of duties.
+    """A simulated world that carries out the effects of duties.
 
-    :ivar mode: of the platform: "ok", "slow", "down", "busy" (429), "error" (500) or "reset".
-    :ivar away: daemons whose way to the platform is cut.
-    :ivar unheard: daemons that get an error where the platform has taken their call.
-    :ivar on_call: called once, with the next call of each stage: "asked", "written" or "taken".
+    :ivar mode: state of the platform: "ok", "slow", "down", "busy" (429), "error" (500) or "reset".
+    :ivar platform_cuts: daemons that cannot reach the platform.
+    :ivar failing_answers: daemons that receive status 500 although the platform has processed their call.
+    :ivar on_stage: callbacks by stage ("requested", "written" or "processed"), each called once, for the next call that reaches it.
+    :ivar request_counts: the requests that really ran, by window and tenant.
     """
 
     def __init__(self, *, seed, fenced=False, town="navrang"):
         site = TOWNS[town]()
-        self.arrivals, self.fenced, self.highest, self.mode, self.away = [], fenced, Counter(), "ok", set()
-        self.leases, self.truth, self.thawed_at, self.healed_at = {}, {}, {}, {}
-        self.unheard, self.on_call = set(), {}
-        self.trouble_at, self.call_count, self.skews, self.counted = -SECOND, 0, {}, Counter()
+        self.arrivals, self.fenced, self.highest, self.mode, self.platform_cuts = [], fenced, Counter(), "ok", set()
+        self.leases, self.request_counts, self.thawed_at, self.healed_at = {}, {}, {}, {}
+        self.failing_answers, self.on_stage = set(), {}
+        self.platform_recovered_at, self.call_count, self.skews, self.counted = -SECOND, 0, {}, Counter()
         self.times = LeaseTimes.of(3 * SECOND)
         super().__init__(
             seed=seed,
@@ -77,100 +79,105 @@
         self.after(4 * SECOND, self.configure)
         self.after(16 * SECOND, self.request)
 
-    # operators and clients
+    # --- operators and clients
 
     def configure(self):
-        up = [n.name for n in self.nodes.values() if n.hub and n.frozen is None]
-        self.call(up[0], "config-put", ((0, 0), "first", self.config), self.configured)
+        running = [node.name for node in self.nodes.values() if node.hub and node.frozen is None]
+        self.call(running[0], "config-put", ((0, 0), "first", self.config), self.configured)
 
     def configured(self, code, _):
         if code in (503, 504, 705):
             self.after(SECOND / 2, self.configure)
 
     def request(self):
-        """A request begins to run somewhere."""
-        edges = [n for n in self.nodes.values() if not n.core and n.hub and n.frozen is None]
+        """Start a request at some daemon."""
+        edges = [node for node in self.nodes.values() if not node.core and node.hub and node.frozen is None]
         if edges:
-            n, tenant = self.faults.choice(edges), self.faults.choices(TENANTS, (8, 3, 1))[0]
-            n.hub.queue.append(("usage_counter", TenantRequestStarted(tenant)))
-            n.feed(("call-gone", "nobody"))
-            self.truth.setdefault((WALL_START + self.now) // WINDOW, Counter())[tenant] += 1
+            node, tenant = self.faults.choice(edges), self.faults.choices(TENANTS, (8, 3, 1))[0]
+            node.hub.queue.append(("usage_counter", TenantRequestStarted(tenant)))
+            node.feed(("call-gone", "nobody"))
+            self.request_counts.setdefault((WALL_START + self.now) // WINDOW, Counter())[tenant] += 1
         self.after(milliseconds(50), self.request)
 
-    # effects
+    # --- effects
 
-    def effect(self, n, e):
-        match e:
+    def effect(self, node, effect):
+        match effect:
             case ("wall",):
-                self.after(timedelta(0), self.tell_time, n, n.life)
+                self.after(timedelta(0), self.send_wall_clock, node, node.life)
             case ("lease", duty, token, until):
-                self.leases[n.name, n.life, duty] = (token, until)
+                self.leases[node.name, node.life, duty] = (token, until)
             case ("call-platform", *fields):
                 self.call_count += 1
-                call = Call(node=n, life=n.life, fields=fields, started=self.now)
-                self.stage("asked", call)
-                self.after(2 * WAY, self.connected, call)
+                call = Call(node=node, life=node.life, fields=fields, started=self.now)
+                self.stage("requested", call)
+                self.after(2 * NETWORK_DELAY, self.connected, call)
                 self.after(self.times.call_timeout, self.time_out, call)
             case _:
-                super().effect(n, e)
+                super().effect(node, effect)
 
     def stage(self, name, call):
-        """A call has come so far: whatever waits for that happens now."""
-        then = self.on_call.pop(name, None)
+        """Run the callback that waits for a call to reach this stage, if any."""
+        then = self.on_stage.pop(name, None)
         if then:
             self.after(timedelta(0), then, call.node.name)
 
-    def tell_time(self, n, life):
-        if n.life == life and n.hub:
-            n.feed(("wall", WALL_START + self.now + self.skews.get(n.name, timedelta(0))))
+    def send_wall_clock(self, node, life):
+        if node.life == life and node.hub:
+            node.feed(("wall", WALL_START + self.now + self.skews.get(node.name, timedelta(0))))
 
-    def may_write(self, n, duty, token):
-        held, until = self.leases.get((n.name, n.life, duty), (None, None))
-        return held == token and until is not None and self.now + n.skew < until
+    def may_write(self, node, duty, token):
+        held, until = self.leases.get((node.name, node.life, duty), (None, None))
+        return held == token and until is not None and self.now + node.skew < until
 
     def is_dead(self, call):
         return call.node.hub is None or call.node.life != call.life
 
     def connected(self, call):
-        """The connection is there: look at the lease, and write. A frozen sender goes on when it thaws."""
-        n, (_, duty, token, _, _) = call.node, call.fields
+        """Handle the open connection: check the lease and write the call. A frozen sender continues when it is resumed."""
+        node, (_, duty, token, _, _) = call.node, call.fields
         if call.is_over or self.is_dead(call):
             return None
-        if n.frozen is not None or n.name in self.away:
+        if node.frozen is not None or node.name in self.platform_cuts:
             return self.after(milliseconds(10), self.connected, call)
-        if not self.may_write(n, duty, token):
+        if not self.may_write(node, duty, token):
             return self.end(call, None)
         call.is_written = True
-        self.travel(call)
+        self.transmit(call)
         return self.stage("written", call)
 
-    def travel(self, call):
+    def transmit(self, call):
         if self.is_dead(call) and call.is_held or call.is_over:
             return
-        if call.node.name in self.away:
+        if call.node.name in self.platform_cuts:
             call.is_held = True
-            self.after(milliseconds(10), self.travel, call)
+            self.after(milliseconds(10), self.transmit, call)
         else:
-            self.after(WAY, self.arrive_call, call)
+            self.after(NETWORK_DELAY, self.receive_call, call)
 
-    def arrive_call(self, call):
-        if call.node.name in self.away:
-            return self.travel(call)
+    def receive_call(self, call):
+        if call.node.name in self.platform_cuts:
+            return self.transmit(call)
         if self.mode in ("down", "reset"):
             return self.end(call, None) if self.mode == "reset" else None
-        status = {"busy": 429, "error": 500}.get(self.mode) or self.take(call)
-        self.stage("taken", call)
-        if call.node.name in self.unheard:
+        status = {"busy": 429, "error": 500}.get(self.mode) or self.process_call(call)
+        self.stage("processed", call)
+        if call.node.name in self.failing_answers:
             status = 500
-        back = WAY + (2 * SECOND if self.mode == "slow" else timedelta(0))
+        back = NETWORK_DELAY + (2 * SECOND if self.mode == "slow" else timedelta(0))
         return self.after(back, self.end, call, status)
 
-    def take(self, call):
-        """The platform reads a call; returns the status."""
+    def process_call(self, call):
+        """Process a call at the platform; return the status."""
         _, duty, token, _, body = call.fields
         name = call.node.name
-        lately = max(self.thawed_at.get(name, -SECOND), self.healed_at.get(name, -SECOND))
-        excused = self.now - lately <= THAW + WAY or call.is_held or self.now - self.trouble_at < SECOND or self.mode != "ok"
+        recovered_at = max(self.thawed_at.get(name, -SECOND), self.healed_at.get(name, -SECOND))
+        excused = (
+            self.now - recovered_at <= THAW_GRACE + NETWORK_DELAY
+            or call.is_held
+            or self.now - self.platform_recovered_at < SECOND
+            or self.mode != "ok"
+        )
         accepted = not (self.fenced and token < self.highest[duty])
         self.arrivals.append(Arrival(self.now, duty, name, token, body, accepted, excused))
         self.highest[duty] = max(self.highest[duty], token)
@@ -180,7 +187,7 @@
         if call.node.frozen is not None and not self.is_dead(call):
             call.was_frozen = True
             return self.after(milliseconds(10), self.time_out, call)
-        if call.was_frozen:  # the worse order: what was ready to be written goes first
+        if call.was_frozen:  # the less favourable order: bytes that were ready to be written are sent before the timeout
             call.was_frozen = False
             return self.after(milliseconds(30), self.time_out, call)
         return self.end(call, None)
@@ -193,44 +200,44 @@
         call.is_over = True
         return call.node.feed(("platform-called", call.fields[0], status, b""))
 
-    # troubles
+    # --- faults
 
     def holder(self):
-        """The newest holder that any daemon knows of."""
-        rows = [n.store.get("duty/platform/usage") for n in self.nodes.values() if n.hub]
+        """Return the newest holder that any daemon knows of."""
+        rows = [node.store.get("duty/platform/usage") for node in self.nodes.values() if node.hub]
         return max((row for row in rows if row), default=((0, 0), (0, "", "")))[1][1]
 
     def freeze_for(self, name, seconds):
-        n = self.nodes[name]
-        if n.hub is None or n.frozen is not None:
+        node = self.nodes[name]
+        if node.hub is None or node.frozen is not None:
             return
-        n.freeze(True)
+        node.freeze(True)
 
-        def thaw(life=n.life):
-            if n.hub and n.life == life:
-                n.freeze(False)
+        def thaw(life=node.life):
+            if node.hub and node.life == life:
+                node.freeze(False)
                 self.thawed_at[name] = self.now
 
         self.after(timedelta(seconds=seconds), thaw)
 
     def kill_for(self, name, seconds):
-        n = self.nodes[name]
-        if n.hub is not None:
-            n.kill()
-            self.after(timedelta(seconds=seconds), n.boot)
+        node = self.nodes[name]
+        if node.hub is not None:
+            node.kill()
+            self.after(timedelta(seconds=seconds), node.boot)
 
     def cut_for(self, name, seconds, *, platform=True, fleet=True):
-        if self.cuts or self.away:
+        if self.cuts or self.platform_cuts:
             return
-        others = [n for n in self.nodes if n != name]
+        others = [other for other in self.nodes if other != name]
         if fleet:
             self.cut([name], others)
         if platform:
-            self.away.add(name)
+            self.platform_cuts.add(name)
 
         def heal():
             self.cuts.clear()
-            self.away.discard(name)
+            self.platform_cuts.discard(name)
             self.healed_at[name] = self.now
 
         self.after(timedelta(seconds=seconds), heal)
@@ -238,18 +245,18 @@
     def platform_for(self, mode, seconds):
         self.mode = mode
 
-        def well():
-            self.mode, self.trouble_at = "ok", self.now
+        def recover():
+            self.mode, self.platform_recovered_at = "ok", self.now
 
-        self.after(timedelta(seconds=seconds), well)
+        self.after(timedelta(seconds=seconds), recover)
 
-    def trouble(self):
-        """One trouble, mostly of the holder."""
-        pick, name = self.faults, self.holder()
-        if not name or pick.random() < 0.2:
-            name = pick.choice(sorted(self.nodes))
-        seconds = pick.choice((0.3, 0.8, 1.3, 2.0, 3.1, 4.5, 7.0))
-        kind = pick.choice(("kill", "freeze", "cut", "cut-fleet", "cut-platform", "platform"))
+    def inject_fault(self):
+        """Inject one fault, in most cases at the holder."""
+        rng, name = self.faults, self.holder()
+        if not name or rng.random() < 0.2:
+            name = rng.choice(sorted(self.nodes))
+        seconds = rng.choice((0.3, 0.8, 1.3, 2.0, 3.1, 4.5, 7.0))
+        kind = rng.choice(("kill", "freeze", "cut", "cut-fleet", "cut-platform", "platform"))
         self.note("duty-trouble", kind, name, seconds)
         match kind:
             case "kill":
@@ -263,67 +270,67 @@
             case "cut-platform":
                 self.cut_for(name, seconds, fleet=False)
             case "platform" if self.mode == "ok":
-                self.platform_for(pick.choice(("slow", "down", "busy", "error", "reset")), seconds)
+                self.platform_for(rng.choice(("slow", "down", "busy", "error", "reset")), seconds)
 
     def play(self, *, seconds=120, gap=(2, 9), until=None):
-        """Run a day with troubles; the last 20 seconds are calm."""
+        """Run a day with random faults; the last 20 seconds are free of new ones."""
         self.run(25)
         while self.now < timedelta(seconds=(until or seconds) - 20):
             self.run(self.faults.uniform(*gap))
-            self.trouble()
+            self.inject_fault()
         self.run(seconds - self.now / SECOND)
 
 
-def breaches(world):
-    """What the platform saw that breaks ONE, each as (rule, arrivals)."""
-    lower = () if world.fenced else falling_tokens(world.arrivals)
-    return [*two_contents(world.arrivals), *shared_tokens(world.arrivals), *turns(world), *lower]
+def violations(world):
+    """Return the violations of the rule that one daemon at a time makes the calls, each as (rule, arrivals...)."""
+    lower = () if world.fenced else decreasing_tokens(world.arrivals)
+    return [*conflicting_reports(world.arrivals), *shared_tokens(world.arrivals), *alternating_holders(world), *lower]
 
 
-def two_contents(arrivals):
-    """Two reports of one window with different counts, both accepted."""
+def conflicting_reports(arrivals):
+    """Yield pairs of accepted reports of the same window with different counts."""
     first = {}
     for arrival in arrivals:
         if arrival.duty == "usage" and arrival.accepted:
             held = first.setdefault(arrival.body["window"], arrival)
             if held.body["counts"] != arrival.body["counts"]:
-                yield "two contents", held, arrival
+                yield "conflicting reports", held, arrival
 
 
 def shared_tokens(arrivals):
-    """One fence of two holders."""
+    """Yield pairs of calls that carry the same token but come from different holders."""
     first = {}
     for arrival in arrivals:
         held = first.setdefault((arrival.duty, arrival.token), arrival)
         if held.holder != arrival.holder:
-            yield "shared fence", held, arrival
+            yield "shared token", held, arrival
 
 
-def falling_tokens(arrivals, *, strict=False):
-    """A lower fence after a higher one.
+def decreasing_tokens(arrivals, *, strict=False):
+    """Yield pairs of calls in which a lower token arrives after a higher one.
 
-    :param strict: also where the rule excuses it.
+    :param strict: also report calls that are excused.
     """
     highest = None
     for arrival in arrivals:
         if highest is not None and arrival.token < highest.token and (strict or not arrival.excused):
-            yield "lower fence", highest, arrival
+            yield "decreasing token", highest, arrival
         if highest is None or arrival.token > highest.token:
             highest = arrival
 
 
-def turns(world):
-    """Holders that act as A, B, A within the lease; refused calls do not count."""
+def alternating_holders(world):
+    """Yield calls of holders that act in the order A, B, A within one lease; refused calls do not count."""
     acts = [arrival for arrival in world.arrivals if arrival.accepted and not arrival.excused]
     for index, last in enumerate(acts):
         before = [act for act in acts[:index] if last.at - act.at < 3 * SECOND]
         for number, first in enumerate(before):
             if first.holder == last.holder and any(act.holder != last.holder for act in before[number:]):
-                yield "in turn", first, last
+                yield "alternating holders", first, last
 
 
-def reported(world):
-    """Window to (counts, how long after its end) of the first accepted report."""
+def first_reports(world):
+    """Return (counts, time after the end of the window) of the first accepted report, by window."""
     found = {}
     for arrival in world.arrivals:
         if arrival.accepted:
