--- a/silverglade/duties/usage_counter.py
+++ b/silverglade/duties/usage_counter.py
@@ -85,7 +85,7 @@
         self._has_tenants = False
         self._assignment: tuple[str, int] | None = None
         self._process_ids: dict[str, str] = {}
-        self._is_leaving = False
+        self._is_shutting_down = False
         self._next_partial_send_at = self._wake_at = ZERO
 
     def step(self, now: timedelta, event: Event) -> list[Effect]:
@@ -102,7 +102,7 @@
             case WallClockRead():
                 self._clock.update_offset(event.since_1970, now)
             case ShutdownStarted():
-                self._is_leaving = True
+                self._is_shutting_down = True
             case TimerFired():
                 return self._on_timer(now)
         return []
@@ -168,7 +168,7 @@
                 if window.acknowledged_by != holder and (window.sent_at is None or now - window.sent_at >= RESEND_INTERVAL):
                     window.sent_at = now
                     effects.append(Send(holder.name, WindowUsage(self._process_id, holder.token, number, window.counts).encode()))
-            if self._is_leaving and self._counts and self.window is not None and now >= self._next_partial_send_at:
+            if self._is_shutting_down and self._counts and self.window is not None and now >= self._next_partial_send_at:
                 self._next_partial_send_at = now + RESEND_INTERVAL  # this process may exit before the window ends
                 counts = tuple(sorted(self._counts.items()))
                 effects.append(Send(holder.name, WindowUsage(self._process_id, holder.token, self.window, counts).encode()))
@@ -185,6 +185,6 @@
             for window in self.finished.values()
             if window.acknowledged_by != holder and window.sent_at is not None
         ]
-        if self._is_leaving:
+        if self._is_shutting_down:
             waits.append(now + RESEND_INTERVAL)
         return max(min(waits), now)
--- a/silverglade/duties/usage_reporter.py
+++ b/silverglade/duties/usage_reporter.py
@@ -139,19 +139,19 @@
 
         Counts of a window that is already recorded are acknowledged too, so that they are not sent again.
         """
-        counted = WindowUsage.decode(event.body)
-        if counted is None or counted.token != self.lease.token or self._clock.offset is None:
+        usage = WindowUsage.decode(event.body)
+        if usage is None or usage.token != self.lease.token or self._clock.offset is None:
             return []
-        window = counted.window
+        window = usage.window
         if self.recorded is None or window > self.recorded.window:
-            is_held = sum(map(len, self.reports.values())) < MAX_HELD_REPORTS
-            if not is_held or not self._oldest_reportable_window(now) - 1 <= window <= self._clock.window_at(now) + 1:
+            has_capacity = sum(map(len, self.reports.values())) < MAX_HELD_REPORTS
+            if not has_capacity or not self._oldest_reportable_window(now) - 1 <= window <= self._clock.window_at(now) + 1:
                 return []
             reports = self.reports.setdefault(window, {})
-            process = CountingProcess(event.sender, counted.process_id)
-            if total_requests(counted.counts) >= total_requests(reports.get(process, ())):  # a process that shuts down sends partial counts
-                reports[process] = counted.counts
-        return [Send(event.sender, WindowUsageAck(counted.token, window).encode())]
+            process = CountingProcess(event.sender, usage.process_id)
+            if total_requests(usage.counts) >= total_requests(reports.get(process, ())):  # a process that shuts down sends partial counts
+                reports[process] = usage.counts
+        return [Send(event.sender, WindowUsageAck(usage.token, window).encode())]
 
     # --- recording and sending
 
@@ -208,10 +208,10 @@
     def _next_window_to_record(self, now: timedelta) -> int | None:
         """Return the oldest window that has ended, is not recorded and can still be reported on time; None if there is none."""
         reported = min((number for number in self.reports if self.recorded is None or number > self.recorded.window), default=None)
-        begins = [number for number in (reported, self._first_window if self._has_tenants else None) if number is not None]
-        if not begins:
+        candidates = [number for number in (reported, self._first_window if self._has_tenants else None) if number is not None]
+        if not candidates:
             return None
-        first = min(begins) if self.recorded is None else self.recorded.window + 1
+        first = min(candidates) if self.recorded is None else self.recorded.window + 1
         window = max(first, self._oldest_reportable_window(now))
         return window if self._clock.window_end(window) <= now else None
 
--- a/tests/autoscaling/test_replica_orders.py
+++ b/tests/autoscaling/test_replica_orders.py
@@ -1,7 +1,7 @@
-"""Decision how many replicas to order (design 16.5).
+"""Decisions on how many replicas to order (design 16.5).
 
-Each test fails if the rule that it checks is removed.
-A simulated platform follows the orders: added replicas are listed after the boot time, removed ones disappear at once.
+Each test fails if the rule that it checks is removed. A simulated platform follows the orders: added replicas are listed
+after the boot time, removed ones disappear at once.
 """
 
 from datetime import timedelta
@@ -33,11 +33,11 @@
     `changes`: (seconds, zone, old count, new count) of every order.
     """
 
-    def __init__(self, standing=None, *, scaling=SCALING, homes=()):
+    def __init__(self, initial=None, *, scaling=SCALING, homes=()):
         self.orders = ServiceOrders()
         self.scaling, self.homes = scaling, homes
         self.now = 0
-        self.held = dict(standing or dict.fromkeys(REGION_OF, 3))  # the accepted count by zone
+        self.held = dict(initial or dict.fromkeys(REGION_OF, 3))  # the accepted count by zone
         self.listed_times = {zone: [0] * count for zone, count in self.held.items()}  # zone -> when each replica is listed
         self.crashed = dict.fromkeys(self.held, 0)
         self.drained = set()
@@ -51,7 +51,7 @@
             for zone, listed_times in self.listed_times.items()
         }
 
-    def take(self, zone, count):
+    def accept(self, zone, count):
         assert self.scaling.min_replicas <= count <= self.scaling.max_replicas
         listed_times = self.listed_times[zone]
         listed_times.sort()
@@ -73,7 +73,7 @@
             if order.ordered != before[zone]:
                 self.changes.append((self.now, zone, before[zone], order.ordered))
             if order.is_pending and not self.is_unreachable:
-                self.take(zone, order.ordered)
+                self.accept(zone, order.ordered)
                 order.confirm(now)
         self.now += TICK_S
 
@@ -343,7 +343,7 @@
     simulation = Platform()
     simulation.run(20, a=8, b=5)
     simulation.orders.release()
-    simulation.take("a1", 7)
+    simulation.accept("a1", 7)
     simulation.run(BOOT_S + 10)
     assert simulation.ordered()["a1"] == 7
 
--- a/tests/duties/test_duties_at_platform.py
+++ b/tests/duties/test_duties_at_platform.py
@@ -108,7 +108,7 @@
 
 
 def override_lease_times(monkeypatch, **changed):
-    """Override lease times, and remove the backoff between calls, so that two holders are sure to overlap."""
+    """Override lease times, and shorten the backoff between calls, so that two holders are sure to overlap."""
     monkeypatch.setattr(usage_reporter, "INITIAL_BACKOFF", SECOND / 10)
     monkeypatch.setattr(usage_reporter, "MAX_BACKOFF", SECOND / 10)
     times = type("Times", (), {"of": staticmethod(lambda lease: LeaseTimes.of(lease)._replace(**changed))})
