--- a/silverglade/autoscaling/replica_orders.py
+++ b/silverglade/autoscaling/replica_orders.py
@@ -17,7 +17,7 @@
 """Replicas that a region has in addition to its requirement, so that it tolerates the loss of one."""
 
 LISTING_DELAY = timedelta(seconds=4)
-"""How long after it begins to serve a replica may be listed at the latest."""
+"""Longest time between a replica beginning to serve and its being listed."""
 
 ADOPTION_DELAY = timedelta(seconds=60)
 """Where the order is unknown, a lower listed count is adopted as the order after it has lasted this long."""
--- a/tests/duties/test_usage_reporter.py
+++ b/tests/duties/test_usage_reporter.py
@@ -57,7 +57,8 @@
     machine.step(now, StoreUpdated({**CONFIGURATION, "usage": ((1, 2), (window, counts))}, (1, 2)))
 
 
-# Guards against: repeated counts are added twice, or the counts of a restarted daemon replace those of its previous process.
+# Guards against: counts that are repeated, for example by a daemon that was frozen, are added twice; the counts of a restarted daemon
+# replace those of its previous process.
 def test_the_counts_of_each_process_are_added_once():
     machine = holder()
     for _ in range(2):
