--- a/silverglade/control/context.py
+++ b/silverglade/control/context.py
@@ -44,7 +44,7 @@
 
     def others(self) -> list[str]:
         """Return every other core: those of the settings, of the view, and those met, sorted."""
-        return sorted(({*self.settings.named, *disks(self.state.view)} | self.state.met) - {self.name})
+        return sorted(({*self.settings.named, *disks(self.state.view)} | self.state.known_cores) - {self.name})
 
     def led_view(self) -> View | None:
         """Return the view if this core is its primary, with the disk that the view names."""
@@ -87,7 +87,7 @@
     def write_whole_store(self, now: timedelta) -> None:
         """Write a primary's whole store to disk anew, since an earlier write of it may have failed."""
         self.state.store_on_disk = StoreOnDisk.WRITING
-        self.write(store.whole(self.state.store), WholeStoreWritten(self.epoch), now)
+        self.write(store.rewrite_all(self.state.store), WholeStoreWritten(self.epoch), now)
 
     def publish_view(self) -> None:
         """Let membership tell all daemons who holds control."""
--- a/silverglade/control/core.py
+++ b/silverglade/control/core.py
@@ -55,7 +55,7 @@
 )
 from .spread import Place, Tolerance
 from .state import CoreSettings, CoreState, initial_state, may_form_first_view
-from .values import copied, copied_chance, fingerprint
+from .values import copy_random, copy_state, fingerprint
 from .writes import (
     COMMITTED_TABLE,
     META_TABLE,
@@ -67,7 +67,7 @@
     EpochSealed,
     SendIfSynced,
     WholeStoreWritten,
-    keep,
+    meta_puts,
 )
 
 STAMP_ORIGIN_BITS = 48
@@ -97,9 +97,9 @@
         self.start_once(now)
         self.handle(event, now)
         replication.begin_next(self, now)
-        return self.taken_effects()
+        return self.take_effects()
 
-    def taken_effects(self) -> list[Effect]:
+    def take_effects(self) -> list[Effect]:
         """Return the effects of the step under way, and have none."""
         effects, self.effects = self.effects, []
         return effects
@@ -124,9 +124,9 @@
                 view_change.on_chosen(self, event.view, now)
             case TablePositionMoved():
                 self.state.table_position = event.position
-                serving.answer_held(self, now)
+                serving.answer_held_requests(self, now)
             case AssignRoles() | DropRoles():
-                replication.on_roles_wanted(self, event, now)
+                replication.on_role_operations(self, event, now)
 
     def start_once(self, now: timedelta) -> None:
         """Begin, at the first event of this process. After a blackout nobody else says who is primary."""
@@ -135,7 +135,7 @@
             return
         state.next_heartbeat = state.awake_since = state.listening_since = now
         if settings.may_form and state.view is None and not settings.formed_before:
-            self.write(keep(first=True), None, now)
+            self.write(meta_puts(first=True), None, now)
         self.publish_view()
 
     def on_timer(self, now: timedelta) -> None:
@@ -145,36 +145,36 @@
         if state.next_heartbeat is None or now >= state.next_heartbeat:
             state.next_heartbeat = now + self.settings.tuning["heartbeat"]
             liveness.send_regular_heartbeats(self, now)
-            self.lead(now)
+            self.resend_unconfirmed(now)
             view_change.look_for_better_view(self, now)
         view_change.start_or_stop_seeking(self, now)
-        self.release_if_free()
-        serving.answer_held(self, now)
+        self.allow_exit_when_replaced()
+        serving.answer_held_requests(self, now)
         view_change.seek(self, now)
 
-    def lead(self, now: timedelta) -> None:
+    def resend_unconfirmed(self, now: timedelta) -> None:
         """Send again, from time to time, what a primary waits for the backups to confirm."""
         view = self.led_view()
-        if view is None or not self.state.writes.is_able or self.state.sealed >= view.epoch:
+        if view is None or not self.state.writes.is_eligible or self.state.sealed >= view.epoch:
             return
         if self.state.open_epoch != view.epoch:
             snapshots.send_opening(self, view, now)
         else:
             replication.replicate_again(self, view, now)
 
-    def release_if_free(self) -> None:
+    def allow_exit_when_replaced(self) -> None:
         """Allow the exit of a core that leaves, once, when nothing rests on it.
 
         Not while it is a recruit, since the view that names it may be chosen by now; nor while this process has met no other core,
         since it does not know then which of them leave too.
         """
         state = self.state
-        if state.writes.leaving and not state.released and state.recruited <= self.epoch and state.met | state.leaving:
-            staying = state.met - state.leaving
-            state.released = plan.may_end(
+        if state.writes.leaving and not state.exit_allowed and state.recruited <= self.epoch and state.known_cores | state.leaving:
+            staying = state.known_cores - state.leaving
+            state.exit_allowed = plan.may_exit(
                 own_name=self.name, view=state.view, staying=staying, places=state.places, tolerance=self.settings.tolerance
             )
-            if state.released:
+            if state.exit_allowed:
                 self.effects.append(AllowExit())
 
     def on_message_received(self, event: MessageReceived, now: timedelta) -> None:
@@ -230,13 +230,13 @@
 
     def on_write_ended(self, number: int, succeeded: bool, now: timedelta) -> None:
         """Go on with what waited for a write; a primary may open its view."""
-        continuation, effects = self.state.writes.ended(number, succeeded)
+        continuation, effects = self.state.writes.complete(number, succeeded)
         self.effects.extend(effects)
         if continuation is not None:
-            self.follow(continuation, succeeded, now)
+            self.run_continuation(continuation, succeeded, now)
         snapshots.open_if_synced(self, now)
 
-    def follow(self, continuation: Continuation, succeeded: bool, now: timedelta) -> None:
+    def run_continuation(self, continuation: Continuation, succeeded: bool, now: timedelta) -> None:
         """Carry out what follows a write."""
         match continuation:
             case SendIfSynced():
@@ -257,8 +257,8 @@
         """Learn which cores live, which of them leave, and where they are."""
         state = self.state
         cores = [member for member in members_of(event.members) if member.is_core]
-        state.met = {member.name for member in cores} - {self.name}
-        state.leaving -= state.met
+        state.known_cores = {member.name for member in cores} - {self.name}
+        state.leaving -= state.known_cores
         state.leaving |= {member.name for member in cores if member.state == MemberState.LEAVING} - {self.name}
         state.places.update({member.name: (member.zone, member.region) for member in cores})
 
@@ -271,26 +271,26 @@
 
     def on_process_paused(self, now: timedelta) -> None:
         """Forget what was heard before this daemon stood still: it says nothing of now."""
-        self.log("proof-lost", shown=self.state.committed_version, age_ms=serving.proof_age(self, now))
-        self.state.proven_at, self.state.seeking_since = None, None
+        self.log("proof-lost", shown=self.state.committed_version, age_ms=serving.proof_age_ms(self, now))
+        self.state.proved_at, self.state.seeking_since = None, None
         self.state.awake_since = self.state.listening_since = now
         self.state.peers.clear()
         self.state.proofs.clear()
 
-    def fingerprint(self, *, with_chance: bool = True) -> bytes:
+    def fingerprint(self, *, include_random_state: bool = True) -> bytes:
         """Return sixteen bytes that are the same for equal states of the same core, in any process.
 
         :param with_chance: whether the state of the random numbers counts too.
         """
-        chance = self.rng.getstate() if with_chance else None
+        chance = self.rng.getstate() if include_random_state else None
         return fingerprint(self.settings.name, self.settings.disk, self.state, chance)
 
     def __deepcopy__(self, memo: dict[int, Any]) -> ControlCore:
         """Return a copy that shares what never changes: the settings, and the values of the store."""
-        return ControlCore(self.settings, copied(self.state), copied_chance(self.rng), list(self.effects))
+        return ControlCore(self.settings, copy_state(self.state), copy_random(self.rng), list(self.effects))
 
 
-class ControlPart(MachineComponent):
+class ControlComponent(MachineComponent):
     """A control core in the form that the daemon machine drives."""
 
     machine: ControlCore
@@ -298,7 +298,7 @@
     def handle(self, now: timedelta, event: Event | RawEvent) -> Iterable[Effect]:
         """Handle one event; the first of any kind starts the core, also one that it does not handle."""
         self.machine.start_once(now)
-        started = self.machine.taken_effects()
+        started = self.machine.take_effects()
         return (*started, *super().handle(now, event)) if started else super().handle(now, event)
 
     @property
@@ -318,7 +318,7 @@
     place: Place = ("", ""),
     tolerance: Tolerance = (1, 1, 1),
     first: bool = True,
-) -> ControlPart:
+) -> ControlComponent:
     """Return the control component of a core.
 
     :param name: the core's name.
@@ -349,4 +349,4 @@
         place=place,
         stamp_origin=rng.getrandbits(STAMP_ORIGIN_BITS),
     )
-    return ControlPart(ControlCore(settings, state, rng))
+    return ControlComponent(ControlCore(settings, state, rng))
--- a/silverglade/control/decisions.py
+++ b/silverglade/control/decisions.py
@@ -14,7 +14,7 @@
 from ..runtime.errors import SilvergladeError
 from ..transport import framing
 from . import outcomes
-from .judgements import AheadOfBase, Decision, Read, Take, Values
+from .judgements import Apply, Decision, FutureBase, Read, Values
 from .operation_results import Acknowledged, Refused, Result, SourceRead, Stale
 from .operations import (
     AssignRole,
@@ -53,7 +53,7 @@
     version_of,
 )
 
-MAX_FAULTS_TEXT = 2000
+MAX_FAULTS_CHARS = 2000
 """Characters of the faults of a configuration that its sender is told."""
 
 
@@ -76,46 +76,46 @@
     :param aged: the newest version whose outcomes were kept long enough.
     :returns: what the client is told, and the items that the store gets.
     """
-    known = outcomes.find(store, change_id)
+    known = outcomes.find_outcome(store, change_id)
     if known is not None:
-        return known_result(store, operation, change_id, digest, known), ()
+        return repeated_result(store, operation, change_id, digest, known), ()
     decision = decide(store, operation, version)
     match decision:
         case Read(source):
             return SourceRead(previous, source), ()
-        case Take(values):
+        case Apply(values):
             items = tuple((key, version, value) for key, value in values)
             if change_id:
                 number = operation.number if isinstance(operation, TableChange) else 0
-                items += (outcomes.item(change_id=change_id, digest=digest, version=version, number=number),)
-                items += outcomes.moved_horizon(store, version=version, aged=aged)
+                items += (outcomes.outcome_item(change_id=change_id, digest=digest, version=version, number=number),)
+                items += outcomes.advanced_horizon(store, version=version, aged=aged)
             return Acknowledged(version), items
-        case AheadOfBase():
-            return ahead_of_base(store, operation), refusal_items(store, change_id, digest, version, aged)
+        case FutureBase():
+            return refuse_future_base(store, operation), refusal_items(store, change_id, digest, version, aged)
         case Refused() | Stale():
             return decision, ()
 
 
-def known_result(store: StoreView, operation: ControlOperation, change_id: str, digest: str, known: outcomes.Outcome) -> Result:
+def repeated_result(store: StoreView, operation: ControlOperation, change_id: str, digest: str, known: outcomes.Outcome) -> Result:
     """Return the result of an operation whose change id has the outcome `known`."""
     if known.digest != digest:
         return Refused(result_codes.CHANGE_USED, change_id)
-    return Acknowledged(known.version) if known.version != INITIAL_VERSION else ahead_of_base(store, operation)
+    return Acknowledged(known.version) if known.version != INITIAL_VERSION else refuse_future_base(store, operation)
 
 
 def refusal_items(store: StoreView, change_id: str, digest: str, version: Version, aged: Version) -> Items:
     """Return the note that a change was refused for good: a late copy of it must not be taken once its base has come."""
     if not change_id:
         return ()
-    note = outcomes.item(change_id=change_id, digest=digest, version=version, number=0, taken=False)
-    return (note, *outcomes.moved_horizon(store, version=version, aged=aged))
+    note = outcomes.outcome_item(change_id=change_id, digest=digest, version=version, number=0, taken=False)
+    return (note, *outcomes.advanced_horizon(store, version=version, aged=aged))
 
 
-def ahead_of_base(store: StoreView, operation: ControlOperation) -> Refused:
+def refuse_future_base(store: StoreView, operation: ControlOperation) -> Refused:
     """Refuse an operation on a base that is still to come, and name the one in force."""
     if isinstance(operation, TableChange):
-        return not_in_force(configuration_number(store))
-    return not_in_force(version_text(version_of(store, CONFIGURATION_KEY)))
+        return base_conflict(configuration_number(store))
+    return base_conflict(version_text(version_of(store, CONFIGURATION_KEY)))
 
 
 def version_text(version: Version) -> str:
@@ -124,7 +124,7 @@
     return f"{epoch}.{number}"
 
 
-def not_in_force(in_force: int | str) -> Refused:
+def base_conflict(in_force: int | str) -> Refused:
     """Refuse an operation whose base is not the one in force."""
     return Refused(result_codes.CONFLICT, f"in force is {in_force}")
 
@@ -161,11 +161,11 @@
     held = version_of(store, CONFIGURATION_KEY)
     if operation.base != held:
         horizon, _ = outcomes.horizon(store)
-        return other_base(operation.base, held, horizon) or not_in_force(version_text(held))
+        return base_mismatch(operation.base, held, horizon) or base_conflict(version_text(held))
     configuration, faults = schema.parse_configuration(operation.raw)
     if faults:
-        return bad_configuration(faults)
-    return take_if_store_fits(store, version, ((CONFIGURATION_KEY, configuration),))
+        return refuse_invalid_configuration(faults)
+    return apply_if_store_fits(store, version, ((CONFIGURATION_KEY, configuration),))
 
 
 def decide_table(store: StoreView, operation: TableChange, version: Version) -> Decision:
@@ -173,39 +173,39 @@
     held = configuration_number(store)
     if operation.base != held:
         _, horizon = outcomes.horizon(store)
-        return other_base(operation.base, held, horizon) or not_in_force(held)
+        return base_mismatch(operation.base, held, horizon) or base_conflict(held)
     configuration, faults = schema.parse_configuration(operation.raw)
     if not faults and not operation.number == configuration["number"] > held:
         faults = (("number", f"wants to be above {held}"),)
     if faults:
-        return bad_configuration(faults)
-    return take_if_store_fits(store, version, ((CONFIGURATION_KEY, configuration), (SOURCE_KEY, operation.source)))
+        return refuse_invalid_configuration(faults)
+    return apply_if_store_fits(store, version, ((CONFIGURATION_KEY, configuration), (SOURCE_KEY, operation.source)))
 
 
-def other_base(base: Any, held: Any, horizon: Any) -> Stale | AheadOfBase | None:
+def base_mismatch(base: Any, held: Any, horizon: Any) -> Stale | FutureBase | None:
     """Judge a change on another base than the one held; None where it is surely refused.
 
     :param horizon: a change on a base below it may have been taken, with its outcome forgotten.
     """
     if base < horizon:
         return Stale()
-    return AheadOfBase() if base > held else None
+    return FutureBase() if base > held else None
 
 
-def bad_configuration(faults: Any) -> Refused:
+def refuse_invalid_configuration(faults: Any) -> Refused:
     """Refuse a configuration, with the path and the sentence of each fault."""
     text = "; ".join(f"{path}: {sentence}" for path, sentence in faults)
-    return Refused(result_codes.BAD_CONFIG, text[:MAX_FAULTS_TEXT])
+    return Refused(result_codes.BAD_CONFIG, text[:MAX_FAULTS_CHARS])
 
 
-def take_if_store_fits(store: StoreView, version: Version, values: Values) -> Decision:
+def apply_if_store_fits(store: StoreView, version: Version, values: Values) -> Decision:
     """Take a configuration only if the store with it fits a frame: it travels whole between members, and to daemons."""
     rows = {**store, **{key: (version, value) for key, value in values}}
     try:
         fits = framing.fits_in_frame(tuple((key, item_version, value) for key, (item_version, value) in rows.items()))
     except SilvergladeError as error:
         return Refused(result_codes.BAD_CONFIG, error.detail)
-    return Take(values) if fits else Refused(result_codes.CHANGE_TOO_LARGE, "")
+    return Apply(values) if fits else Refused(result_codes.CHANGE_TOO_LARGE, "")
 
 
 def fencing_token(store: StoreView, operation: FencedOperation) -> Version:
@@ -225,10 +225,10 @@
     if not configuration or operation.zone not in configuration["zones"]:
         return Refused(result_codes.UNKNOWN_ZONE, operation.zone)
     key = evacuation_key(operation.zone)
-    says_what_is_so = operation.base is not None and value_of(store, key, False) == operation.drained
-    if operation.base != fencing_token(store, operation) and not says_what_is_so:
+    is_unchanged = operation.base is not None and value_of(store, key, False) == operation.drained
+    if operation.base != fencing_token(store, operation) and not is_unchanged:
         return Stale()
-    return Take(((key, operation.drained),))
+    return Apply(((key, operation.drained),))
 
 
 def decide_assignment(store: StoreView, operation: AssignRole) -> Decision:
@@ -238,13 +238,13 @@
         return Refused(result_codes.CONFLICT, operation.name)
     floor = 0 if held else epoch_floor(store, operation.kind)
     assignment = RoleAssignment(max(operation.base_epoch, floor) + 1, operation.holder, operation.follower)
-    return Take(((role_key(operation.kind, operation.name), tuple(assignment)),))
+    return Apply(((role_key(operation.kind, operation.name), tuple(assignment)),))
 
 
 def decide_assignments(store: StoreView, operation: AssignRoles) -> Decision:
     """Take those of several assignments whose base stands."""
     decisions = [decide_assignment(store, assignment) for assignment in operation.assignments]
-    return Take(tuple(value for decision in decisions if isinstance(decision, Take) for value in decision.values))
+    return Apply(tuple(value for decision in decisions if isinstance(decision, Apply) for value in decision.values))
 
 
 def decide_drop(store: StoreView, operation: DropRoles) -> Decision:
@@ -252,10 +252,10 @@
     held = {name: role_assignment(store, operation.kind, name) for name in operation.names}
     epochs = {name: assignment.epoch for name, assignment in held.items() if assignment}
     if not epochs:
-        return Take(())
+        return Apply(())
     floor = max(epoch_floor(store, operation.kind), *epochs.values())
     dropped = tuple((role_key(operation.kind, name), None) for name in sorted(epochs))
-    return Take(((epoch_floor_key(operation.kind), floor), *dropped))
+    return Apply(((epoch_floor_key(operation.kind), floor), *dropped))
 
 
 def decide_reopening(store: StoreView, operation: ReopenShard) -> Decision:
@@ -265,7 +265,7 @@
         return Stale()
     if held is None:
         return Refused(result_codes.NOT_FOUND, operation.name)
-    return Take(((role_key(SHARD_ROLE, operation.name), tuple(RoleAssignment(held.epoch + 1, held.holder, ""))),))
+    return Apply(((role_key(SHARD_ROLE, operation.name), tuple(RoleAssignment(held.epoch + 1, held.holder, ""))),))
 
 
 def decide_usage(store: StoreView, operation: RecordUsage) -> Decision:
@@ -276,4 +276,4 @@
     recorded = usage_record(store)
     if recorded is not None and operation.window <= recorded.window:
         return Refused(result_codes.CONFLICT, f"recorded is {recorded.window}")
-    return Take(((USAGE_KEY, tuple(UsageRecord(operation.window, operation.counts))),))
+    return Apply(((USAGE_KEY, tuple(UsageRecord(operation.window, operation.counts))),))
--- a/silverglade/control/heartbeat.py
+++ b/silverglade/control/heartbeat.py
@@ -24,14 +24,14 @@
     :ivar unsteady_since: since when it has been heard without being steady (`Peers.is_steady`), or None.
     """
 
-    heard_at: timedelta
-    able: bool
+    received_at: timedelta
+    eligible: bool
     disk: str
     sealed: int
-    blank: bool
+    can_form: bool
     stamp: int
-    echoed: timedelta | None
-    unsteady_since: timedelta | None
+    last_echoed: timedelta | None
+    unhealthy_since: timedelta | None
 
 
 @dataclass(slots=True)
@@ -49,25 +49,30 @@
         """Forget all: after a pause of this process what it heard says nothing of now."""
         self.table.clear()
 
-    def heard(self, name: str, heartbeat: Heartbeat, now: timedelta) -> None:
+    def record_heartbeat(self, name: str, heartbeat: Heartbeat, now: timedelta) -> None:
         """Take in a heartbeat."""
         was = self.table.get(name)
         peer = Peer(
-            heard_at=now,
-            able=heartbeat.able,
+            received_at=now,
+            eligible=heartbeat.eligible,
             disk=heartbeat.disk,
             sealed=heartbeat.sealed,
-            blank=heartbeat.blank,
+            can_form=heartbeat.can_form,
             stamp=heartbeat.stamp,
-            echoed=milliseconds(heartbeat.echo) if heartbeat.echo >= 0 else None,
-            unsteady_since=was and was.unsteady_since or now,
+            last_echoed=milliseconds(heartbeat.echo) if heartbeat.echo >= 0 else None,
+            unhealthy_since=was and was.unhealthy_since or now,
         )
-        self.table[name] = replace(peer, unsteady_since=None) if self.is_steady(peer, now) else peer
+        self.table[name] = replace(peer, unhealthy_since=None) if self.is_healthy(peer, now) else peer
 
-    def is_steady(self, peer: Peer, now: timedelta) -> bool:
+    def is_healthy(self, peer: Peer, now: timedelta) -> bool:
         """Tell whether a core was heard lately, has heard this one lately, and has a disk that takes writes."""
         takeover, heartbeat = self.tuning["takeover"], self.tuning["heartbeat"]
-        return bool(peer.able and now - peer.heard_at <= takeover and peer.echoed is not None and now - peer.echoed <= takeover + heartbeat)
+        return bool(
+            peer.eligible
+            and now - peer.received_at <= takeover
+            and peer.last_echoed is not None
+            and now - peer.last_echoed <= takeover + heartbeat
+        )
 
     def get(self, name: str) -> Peer | None:
         """Return what a core said last; None if nothing was heard."""
@@ -83,27 +88,27 @@
         peer = self.table.get(name)
         return peer.sealed if peer else 0
 
-    def is_blank(self, name: str) -> bool:
+    def can_form_first_view(self, name: str) -> bool:
         """Tell whether a core said that its disk is empty and that it may form the first view."""
         peer = self.table.get(name)
-        return peer is not None and peer.blank
+        return peer is not None and peer.can_form
 
     def is_up(self, name: str, now: timedelta) -> bool:
         """Tell whether a core is heard and steady now."""
         peer = self.table.get(name)
-        return peer is not None and self.is_steady(peer, now)
+        return peer is not None and self.is_healthy(peer, now)
 
     def is_lost(self, name: str, now: timedelta, listening_since: timedelta) -> bool:
         """Tell whether a core has not been up for longer than `takeover`, counted only while it would have been heard."""
         peer, wait = self.table.get(name), self.tuning["takeover"]
-        if peer is None or now - peer.heard_at > wait:
+        if peer is None or now - peer.received_at > wait:
             return self.is_silent(name, now, listening_since, wait)
-        return peer.unsteady_since is not None and now - peer.unsteady_since > wait
+        return peer.unhealthy_since is not None and now - peer.unhealthy_since > wait
 
     def is_silent(self, name: str, now: timedelta, awake_since: timedelta, time: timedelta) -> bool:
         """Tell whether a core was not heard for this time, counted only while this process was awake."""
         peer = self.table.get(name)
-        return now - max(awake_since, peer.heard_at if peer else awake_since) > time
+        return now - max(awake_since, peer.received_at if peer else awake_since) > time
 
     def echo(self, name: str) -> int:
         """Return the newest stamp of a core, to be echoed to it; -1 for none."""
--- a/silverglade/control/judgements.py
+++ b/silverglade/control/judgements.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class Take:
+class Apply:
     """The operation is taken: the store gets these values."""
 
     values: Values
@@ -26,8 +26,8 @@
 
 
 @dataclass(slots=True)
-class AheadOfBase:
+class FutureBase:
     """The operation rests on a base that is still to come, so it is refused."""
 
 
-Decision = Take | Read | AheadOfBase | Refused | Stale
+Decision = Apply | Read | FutureBase | Refused | Stale
--- a/silverglade/control/liveness.py
+++ b/silverglade/control/liveness.py
@@ -21,13 +21,13 @@
         Heartbeat(
             epoch=core.epoch,
             committed=state.committed_version,
-            able=state.writes.is_able,
+            eligible=state.writes.is_eligible,
             disk=core.settings.disk,
             sealed=state.sealed,
-            blank=state.view is None and state.register.view is None and core.settings.may_form,
+            can_form=state.view is None and state.register.view is None and core.settings.may_form,
             stamp=state.stamp_origin + to_milliseconds(now),
             echo=state.peers.echo(to),
-            age=-1 if core.led_view() and not core.open_view() else serving.proof_age(core, now),
+            age=-1 if core.led_view() and not core.open_view() else serving.proof_age_ms(core, now),
         ),
     )
 
@@ -69,27 +69,27 @@
     state = core.state
     heartbeat = heartbeat._replace(echo=own_echo(core, heartbeat.echo, now))
     is_new, was_up = state.peers.disk(sender) != heartbeat.disk, state.peers.is_up(sender, now)
-    state.peers.heard(sender, heartbeat, now)
-    state.met.add(sender)
+    state.peers.record_heartbeat(sender, heartbeat, now)
+    state.known_cores.add(sender)
     if not was_up and state.peers.is_up(sender, now):
         view_change.look_for_better_view(core, now)
     if heartbeat.epoch < core.epoch:
         core.send(sender, ChosenView(state.view))
-    if is_new or wants_answer(core, sender, heartbeat, now):
+    if is_new or needs_reply(core, sender, heartbeat, now):
         send_heartbeat(core, sender, now)
     if state.view is None or heartbeat.epoch != state.view.epoch or heartbeat.echo < 0:
         return
     opened = core.open_view()
     if opened is not None and sender in opened.backups and heartbeat.sealed < heartbeat.epoch:
-        note_proof(core, opened, sender, heartbeat, now)
+        record_proof(core, opened, sender, heartbeat, now)
     if heartbeat.committed > state.committed_version:  # what any core of this view shows was acknowledged
         pull_committed_items(core, sender, now)
     elif heartbeat.age >= 0:
-        age = 0 if is_proof_itself(core, state.view, sender, heartbeat) else heartbeat.age
-        state.proven_at = max(state.proven_at or ZERO, milliseconds(heartbeat.echo - age))
+        age = 0 if is_sole_confirming_backup(core, state.view, sender, heartbeat) else heartbeat.age
+        state.proved_at = max(state.proved_at or ZERO, milliseconds(heartbeat.echo - age))
 
 
-def wants_answer(core: CoreContext, sender: str, heartbeat: Heartbeat, now: timedelta) -> bool:
+def needs_reply(core: CoreContext, sender: str, heartbeat: Heartbeat, now: timedelta) -> bool:
     """Tell whether a heartbeat is answered at once.
 
     That of the primary is, since the answer is the proof that it leads; so is that of a core which has not heard this process
@@ -102,12 +102,12 @@
     return bool(asks and now - core.state.heartbeat_sent.get(sender, -interval) >= interval / 2)
 
 
-def note_proof(core: CoreContext, view: View, backup: str, heartbeat: Heartbeat, now: timedelta) -> None:
+def record_proof(core: CoreContext, view: View, backup: str, heartbeat: Heartbeat, now: timedelta) -> None:
     """Note that a backup which has not sealed its epoch has heard the primary; when all have, tell the other cores."""
     state, interval = core.state, core.settings.tuning["heartbeat"]
     state.proofs[backup] = max(state.proofs.get(backup, ZERO), milliseconds(heartbeat.echo))
     if len(state.proofs) == len(view.backups):
-        state.proven_at = max(state.proven_at or ZERO, min(state.proofs.values()))
+        state.proved_at = max(state.proved_at or ZERO, min(state.proofs.values()))
         for name in core.others():
             if name not in view.backups and now - state.heartbeat_sent.get(name, ZERO) >= interval / 2:
                 send_heartbeat(core, name, now)
@@ -123,7 +123,7 @@
     state.pulled_at = state.pulled_at or now
 
 
-def is_proof_itself(core: CoreContext, view: View, sender: str, heartbeat: Heartbeat) -> bool:
+def is_sole_confirming_backup(core: CoreContext, view: View, sender: str, heartbeat: Heartbeat) -> bool:
     """Tell whether this core, as the only backup, is itself the proof that the primary led when it sent this heartbeat.
 
     Without this backup's seal no later view can have begun.
--- a/silverglade/control/messages.py
+++ b/silverglade/control/messages.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 from .replicated_state import Items, Version, is_item_list, is_version
-from .view import Ballot, View, ballot_of, is_ballot, is_view, is_view_or_none, plain, view_of
+from .view import Ballot, View, decode_ballot, decode_view, is_ballot, is_view, is_view_or_none, to_array
 
 
 class Heartbeat(NamedTuple):
@@ -29,10 +29,10 @@
 
     epoch: int
     committed: Version
-    able: bool
+    eligible: bool
     disk: str
     sealed: int
-    blank: bool
+    can_form: bool
     stamp: int
     echo: int
     age: int
@@ -192,15 +192,15 @@
 )
 
 
-def _is(kind: type) -> Callable[[Any], bool]:
+def _has_type(kind: type) -> Callable[[Any], bool]:
     return lambda value: type(value) is kind
 
 
-def _anything(value: Any) -> bool:
+def _any_value(value: Any) -> bool:
     return True
 
 
-INT, TEXT, FLAG, ARRAY = _is(int), _is(str), _is(bool), _is(tuple)
+INT, TEXT, FLAG, ARRAY = _has_type(int), _has_type(str), _has_type(bool), _has_type(tuple)
 VERSION, ITEMS = is_version, is_item_list
 
 Fields = tuple[Callable[[Any], bool], ...]
@@ -219,22 +219,22 @@
     "repd": (Replicated, (INT, INT)),
     "items": (CommittedItems, (INT, VERSION, VERSION, ITEMS)),
     "pull": (Pull, (VERSION,)),
-    "get": (UpdateRequest, (INT, VERSION, _anything)),
+    "get": (UpdateRequest, (INT, VERSION, _any_value)),
     "op": (Operation, (INT, TEXT, ARRAY, TEXT)),
     "fence": (Fence, (INT, ARRAY)),
     "fenced": (Fenced, (INT, VERSION)),
     "opr": (OperationResult, (INT, ARRAY)),
 }
 NAMES: dict[type, str] = {kind: name for name, (kind, _) in KINDS.items() if isinstance(kind, type)}
-TYPED: dict[Callable[[Any], bool], Callable[[Any], Any]] = {is_ballot: ballot_of, is_view: view_of, is_view_or_none: view_of}
-HOLD_VIEWS_OR_BALLOTS = frozenset(name for name, (_, fields) in KINDS.items() if not TYPED.keys().isdisjoint(fields))
+DECODERS: dict[Callable[[Any], bool], Callable[[Any], Any]] = {is_ballot: decode_ballot, is_view: decode_view, is_view_or_none: decode_view}
+KINDS_WITH_VIEWS_OR_BALLOTS = frozenset(name for name, (_, fields) in KINDS.items() if not DECODERS.keys().isdisjoint(fields))
 
 
 def encode(message: Message) -> tuple[Any, ...]:
     """Return the array that travels."""
     name = NAMES[type(message)]
-    if name in HOLD_VIEWS_OR_BALLOTS:
-        return (name, *[plain(field) for field in message])
+    if name in KINDS_WITH_VIEWS_OR_BALLOTS:
+        return (name, *[to_array(field) for field in message])
     return (name, *message)
 
 
@@ -250,6 +250,6 @@
     for check, field in zip(checks, fields):
         if not check(field):
             return None
-    if body[0] in HOLD_VIEWS_OR_BALLOTS:
-        return kind(*[TYPED[check](field) if check in TYPED else field for check, field in zip(checks, fields)])
+    if body[0] in KINDS_WITH_VIEWS_OR_BALLOTS:
+        return kind(*[DECODERS[check](field) if check in DECODERS else field for check, field in zip(checks, fields)])
     return kind(*fields)
--- a/silverglade/control/outcomes.py
+++ b/silverglade/control/outcomes.py
@@ -28,19 +28,19 @@
 INITIAL_VERSION: Version = (0, 0)
 """Before every other version."""
 
-PREFIX = "change/"
+OUTCOME_PREFIX = "change/"
 """Of the keys of outcomes; the change id follows."""
 
-HORIZON = "forgotten"
+HORIZON_KEY = "forgotten"
 """Key of the horizon."""
 
 MAX_OUTCOMES = 4096
 """Outcomes kept, of some 200 bytes at most."""
 
-FORGOTTEN_AT_ONCE = MAX_OUTCOMES // 4
+EVICTION_BATCH = MAX_OUTCOMES // 4
 """Outcomes that are forgotten at once when there are `MAX_OUTCOMES`."""
 
-AGE_STEPS = 8
+AGE_SAMPLES = 8
 """Steps in which the time for which outcomes are kept is counted."""
 
 CONFIGURATION_KEY = "config"
@@ -66,34 +66,34 @@
     number: int
 
 
-def private(key: str) -> bool:
+def is_private(key: str) -> bool:
     """Tell whether a key is for members alone, so that no daemon is told of it."""
-    return key.startswith(PREFIX) or key == HORIZON
+    return key.startswith(OUTCOME_PREFIX) or key == HORIZON_KEY
 
 
 def horizon(store: StoreView) -> Horizon:
     """Return the horizon; nothing is forgotten before the first is set."""
-    if HORIZON not in store:
+    if HORIZON_KEY not in store:
         return Horizon(INITIAL_VERSION, 0)
-    _, value = store[HORIZON]
+    _, value = store[HORIZON_KEY]
     return Horizon(*value)
 
 
-def find(store: StoreView, change_id: str) -> Outcome | None:
+def find_outcome(store: StoreView, change_id: str) -> Outcome | None:
     """Return the outcome of a change; None where there is none."""
-    if not change_id or PREFIX + change_id not in store:
+    if not change_id or OUTCOME_PREFIX + change_id not in store:
         return None
-    _, value = store[PREFIX + change_id]
+    _, value = store[OUTCOME_PREFIX + change_id]
     return Outcome(*value)
 
 
-def item(*, change_id: str, digest: str, version: Version, number: int, taken: bool = True) -> Item:
+def outcome_item(*, change_id: str, digest: str, version: Version, number: int, taken: bool = True) -> Item:
     """Return an outcome as an item of the change at `version`.
 
     :param taken: False where the change was refused for good.
     """
     outcome = Outcome(digest, version if taken else INITIAL_VERSION, number)
-    return (PREFIX + change_id, version, tuple(outcome))
+    return (OUTCOME_PREFIX + change_id, version, tuple(outcome))
 
 
 def version_in_force(store: StoreView) -> Version:
@@ -104,35 +104,37 @@
     return version
 
 
-def forgotten(store: StoreView) -> list[str]:
+def forgotten_keys(store: StoreView) -> list[str]:
     """Return the keys of outcomes behind the horizon. Every member drops the same, since the horizon is in the store."""
-    reach, in_force = horizon(store).version, version_in_force(store)
-    return [key for key, (version, _) in store.items() if version <= reach and key.startswith(PREFIX) and version != in_force]
+    forgotten_up_to, in_force = horizon(store).version, version_in_force(store)
+    return [
+        key for key, (version, _) in store.items() if version <= forgotten_up_to and key.startswith(OUTCOME_PREFIX) and version != in_force
+    ]
 
 
-def moved_horizon(store: StoreView, *, version: Version, aged: Version) -> tuple[Item, ...]:
+def advanced_horizon(store: StoreView, *, version: Version, aged: Version) -> tuple[Item, ...]:
     """Return the horizon as an item, if it is to move with the change at `version`.
 
     :param aged: the newest version whose outcomes were kept long enough.
     """
-    kept = sorted((at, value) for key, (at, value) in store.items() if key.startswith(PREFIX))
-    reach = max(aged, newest_surplus([at for at, _ in kept]))
+    kept = sorted((at, value) for key, (at, value) in store.items() if key.startswith(OUTCOME_PREFIX))
+    forgotten_up_to = max(aged, newest_evicted([at for at, _ in kept]))
     old = horizon(store)
-    behind = [Outcome(*value) for at, value in kept if old.version < at <= reach]
-    if not behind:
+    expired = [Outcome(*value) for at, value in kept if old.version < at <= forgotten_up_to]
+    if not expired:
         return ()
-    number = max(old.number, *(number_of(store, outcome) for outcome in behind))
-    return ((HORIZON, version, (reach, number)),)
+    number = max(old.number, *(operator_number(store, outcome) for outcome in expired))
+    return ((HORIZON_KEY, version, (forgotten_up_to, number)),)
 
 
-def newest_surplus(versions: list[Version]) -> Version:
+def newest_evicted(versions: list[Version]) -> Version:
     """Return the newest of the outcomes that go since there are too many, of all versions in their order."""
     if len(versions) < MAX_OUTCOMES:
         return INITIAL_VERSION
-    return versions[len(versions) - MAX_OUTCOMES + FORGOTTEN_AT_ONCE - 1]
+    return versions[len(versions) - MAX_OUTCOMES + EVICTION_BATCH - 1]
 
 
-def number_of(store: StoreView, outcome: Outcome) -> int:
+def operator_number(store: StoreView, outcome: Outcome) -> int:
     """Return the operator's number of an outcome; where an earlier program kept none, the one in force bounds it."""
     if outcome.number is not None:
         return outcome.number
@@ -144,28 +146,28 @@
 
 
 @dataclass(slots=True)
-class Ages:
+class VersionAges:
     """How old versions are, in the time that this primary was awake; a new primary begins anew.
 
     :ivar marks: (time, version that was the newest then), oldest first.
     :ivar aged: the newest version that is old enough to be forgotten.
     """
 
-    marks: list[tuple[timedelta, Version]] = field(default_factory=list)
+    samples: list[tuple[timedelta, Version]] = field(default_factory=list)
     aged: Version = INITIAL_VERSION
 
-    def newest_aged(self, now: timedelta, awake_since: timedelta, version: Version, keep: timedelta) -> Version:
+    def newest_aged(self, now: timedelta, awake_since: timedelta, version: Version, retention: timedelta) -> Version:
         """Return the newest version that is older than `keep`.
 
         :param awake_since: since when this process has not paused, nor the view changed.
         """
-        newest_mark = self.marks[-1][0] if self.marks else None
-        if newest_mark is None or now - newest_mark >= keep / AGE_STEPS:
-            self.marks.append((now, version))
-        while self.marks:
-            marked_at, marked_version = self.marks[0]
-            if now - max(marked_at, awake_since) < keep:
+        newest_sample = self.samples[-1][0] if self.samples else None
+        if newest_sample is None or now - newest_sample >= retention / AGE_SAMPLES:
+            self.samples.append((now, version))
+        while self.samples:
+            sampled_at, sampled_version = self.samples[0]
+            if now - max(sampled_at, awake_since) < retention:
                 break
-            self.marks.pop(0)
-            self.aged = max(self.aged, marked_version)
+            self.samples.pop(0)
+            self.aged = max(self.aged, sampled_version)
         return self.aged
--- a/silverglade/control/register.py
+++ b/silverglade/control/register.py
@@ -12,17 +12,17 @@
 from typing import Any, NamedTuple
 
 from .messages import Accept, Accepted, Prepare, Promise, Rejected
-from .view import NO_BALLOT, Ballot, View, ballot_of, disks, epoch, members, plain, view_of
+from .view import NO_BALLOT, Ballot, View, decode_ballot, decode_view, disks, epoch, members, to_array
 
 __all__ = [
-    "Behind",
+    "Superseded",
     "Chosen",
-    "Lost",
+    "Preempted",
     "Register",
     "Round",
     "View",
     "accept",
-    "based",
+    "with_base",
     "disks",
     "epoch",
     "majority",
@@ -52,10 +52,10 @@
     def stored(self) -> dict[str, Any]:
         """Return the register as it is stored on disk."""
         return {
-            "promised": plain(self.promised),
-            "base": plain(self.base),
-            "ballot": plain(self.accepted),
-            "view": plain(self.view),
+            "promised": to_array(self.promised),
+            "base": to_array(self.base),
+            "ballot": to_array(self.accepted),
+            "view": to_array(self.view),
         }
 
 
@@ -64,12 +64,12 @@
     stored = meta.get("reg")
     if not stored:
         return Register()
-    promised, accepted = ballot_of(stored["promised"]), ballot_of(stored["ballot"])
+    promised, accepted = decode_ballot(stored["promised"]), decode_ballot(stored["ballot"])
     if "base" in stored:
-        return Register(promised=promised, base=view_of(stored["base"]), accepted=accepted, view=view_of(stored["view"]))
+        return Register(promised=promised, base=decode_view(stored["base"]), accepted=accepted, view=decode_view(stored["view"]))
 
     def with_backups(view: Any) -> View | None:
-        return view_of(view and (*view[:2], (view[2],) if isinstance(view[2], str) else view[2], view[3]))
+        return decode_view(view and (*view[:2], (view[2],) if isinstance(view[2], str) else view[2], view[3]))
 
     base = with_backups((meta.get("view") or (NO_BALLOT, None))[1])
     view = with_backups(stored["view"])
@@ -78,7 +78,7 @@
     return Register(promised=promised, base=base, accepted=accepted, view=view)
 
 
-def based(register: Register, base: View | None) -> Register:
+def with_base(register: Register, base: View | None) -> Register:
     """Return the register of a witness that learns that `base` is chosen."""
     if epoch(base) <= epoch(register.base):
         return register
@@ -115,13 +115,13 @@
     view: View
 
 
-class Behind(NamedTuple):
+class Superseded(NamedTuple):
     """The end of a round: a later view was chosen meanwhile."""
 
     view: View
 
 
-class Lost(NamedTuple):
+class Preempted(NamedTuple):
     """The end of a round: a witness has promised a higher ballot."""
 
     promised: Ballot
@@ -152,7 +152,7 @@
         """Return what to ask the witnesses first."""
         return Prepare(self.ballot)
 
-    def answer(self, sender: str, message: Promise | Accepted | Rejected) -> Accept | Chosen | Behind | Lost | None:
+    def answer(self, sender: str, message: Promise | Accepted | Rejected) -> Accept | Chosen | Superseded | Preempted | None:
         """Take in a witness's answer.
 
         :returns: what to ask the witnesses now, or how the round ended; None while answers are missing.
@@ -161,27 +161,27 @@
             return None
         match message:
             case Rejected():
-                return Lost(message.promised)
+                return Preempted(message.promised)
             case Promise() if self.value is None:
                 return self.promised(sender, message)
             case Accepted() if self.value is not None:
                 return self.accepted(sender, message, self.value)
         return None
 
-    def promised(self, sender: str, promise: Promise) -> Accept | Behind | None:
+    def promised(self, sender: str, promise: Promise) -> Accept | Superseded | None:
         """Count a promise; with enough of them propose a value."""
         if promise.base is not None and epoch(promise.base) > epoch(self.base):
-            return Behind(promise.base)
+            return Superseded(promise.base)
         self.promises[sender] = promise
-        found = self.found()
-        voters = disks(self.base or found or self.want)
+        highest_accepted = self.highest_accepted()
+        voters = disks(self.base or highest_accepted or self.want)
         votes = sum(voters.get(name) == p.disk for name, p in self.promises.items())
-        if votes < (majority(len(voters)) if self.base or found else len(voters)):
+        if votes < (majority(len(voters)) if self.base or highest_accepted else len(voters)):
             return None
-        self.value = found or self.want
+        self.value = highest_accepted or self.want
         return Accept(self.ballot, self.base, self.value)
 
-    def found(self) -> View | None:
+    def highest_accepted(self) -> View | None:
         """Return the view accepted under the highest ballot to follow the base, among the promises; None if there is none."""
         follows = [p for p in self.promises.values() if epoch(p.view) == epoch(self.base) + 1]
         return max(follows, key=lambda p: p.accepted).view if follows else None
--- a/silverglade/control/replicated_state.py
+++ b/silverglade/control/replicated_state.py
@@ -131,12 +131,12 @@
 
 def items_since(store: StoreView, version: Version, *, for_core: bool = False) -> Items:
     """Return the items that an update brings to a daemon which holds `version`, sorted by key."""
-    untold = (SOURCE_KEY,) if for_core else (SOURCE_KEY, USAGE_KEY)
+    hidden_keys = (SOURCE_KEY,) if for_core else (SOURCE_KEY, USAGE_KEY)
     return tuple(
         sorted(
             (key, item_version, value)
             for key, (item_version, value) in store.items()
-            if item_version > version and not outcomes.private(key) and key not in untold
+            if item_version > version and not outcomes.is_private(key) and key not in hidden_keys
         )
     )
 
@@ -145,7 +145,7 @@
     """Return the keys that go: outcomes that are forgotten, and dropped roles beyond those kept. Every member gets the same."""
     dropped = sorted((version, key) for key, (version, value) in store.items() if value is None)
     surplus = dropped[: max(0, len(dropped) - MAX_DROPPED_ROLES)]
-    return (*outcomes.forgotten(store), *(key for _, key in surplus))
+    return (*outcomes.forgotten_keys(store), *(key for _, key in surplus))
 
 
 def role_assignment(store: StoreView, kind: str, name: str) -> RoleAssignment | None:
--- a/silverglade/control/replication.py
+++ b/silverglade/control/replication.py
@@ -28,7 +28,7 @@
         core.send(daemon, OperationResult(number, result.encode()))
 
 
-def abandon(core: CoreContext) -> None:
+def abandon_operations(core: CoreContext) -> None:
     """Answer all pending and queued operations by "unknown": a later view may have taken them or not."""
     state = core.state
     if state.pending:
@@ -46,7 +46,7 @@
     One that is sent again while it waits counts once. With a full queue there is no answer, so that the client asks again.
     """
     state, client = core.state, (sender, message.number)
-    if core.led_view() is None or not state.writes.is_able:
+    if core.led_view() is None or not state.writes.is_eligible:
         redirect(core, sender, message.number)
     elif len(state.queue) < MAX_QUEUED and not is_waiting(core, client):
         state.queue.append(QueuedOperation(client, message.change, decode_operation(message.operation), message.digest))
@@ -65,7 +65,7 @@
     stale, and none that is still to come can be told.
     """
     state, view = core.state, core.open_view()
-    if core.led_view() is None or not state.writes.is_able:
+    if core.led_view() is None or not state.writes.is_eligible:
         redirect(core, sender, message.number)
     elif view is not None and state.sealed < view.epoch:
         operation = decode_operation(message.operation)
@@ -80,24 +80,24 @@
     return in_flight or any(queued.client == client for queued in state.queue)
 
 
-def on_roles_wanted(core: CoreContext, event: AssignRoles | DropRoles, now: timedelta) -> None:
+def on_role_operations(core: CoreContext, event: AssignRoles | DropRoles, now: timedelta) -> None:
     """Queue what the role assigner wants."""
     match event:
         case AssignRoles():
             assignments = tuple([AssignRole(*assignment) for assignment in event.assignments])
-            queue_own(core, operations.AssignRoles(assignments), now)
+            queue_internal(core, operations.AssignRoles(assignments), now)
         case DropRoles():
-            queue_own(core, operations.DropRoles(event.kind, event.names), now)
+            queue_internal(core, operations.DropRoles(event.kind, event.names), now)
 
 
-def queue_own(core: CoreContext, operation: operations.AssignRoles | operations.DropRoles, now: timedelta) -> None:
+def queue_internal(core: CoreContext, operation: operations.AssignRoles | operations.DropRoles, now: timedelta) -> None:
     """Queue an operation of this primary itself; it is dropped while others wait, since the role assigner decides again.
 
     It is taken only in touch with the backups: a primary that is cut off knows too little of which daemons live.
     """
     state, takeover = core.state, core.settings.tuning["takeover"]
-    in_touch = state.proven_at is not None and now - state.proven_at <= takeover
-    if core.open_view() and in_touch and not state.queue and not state.pending:
+    is_leadership_recent = state.proved_at is not None and now - state.proved_at <= takeover
+    if core.open_view() and is_leadership_recent and not state.queue and not state.pending:
         state.queue.append(QueuedOperation(None, "", operation, ""))
 
 
@@ -121,7 +121,7 @@
     """
     state = core.state
     previous = newest_version(state.store)
-    answers, items, gone = settle_queue(core, view, now)
+    answers, items, pruned = settle_queue(core, view, now)
     if not answers:
         return
     state.pending = pending = PendingChange(
@@ -134,7 +134,7 @@
         sent=now,
     )
     if items:
-        core.write(store.changed(items, gone), ChangeWrittenByPrimary(pending.nonce), now)
+        core.write(store.change_operations(items, pruned), ChangeWrittenByPrimary(pending.nonce), now)
     else:
         replicate(core, view, pending)
 
@@ -158,7 +158,7 @@
             continue
         answers.append(Answer(operation.client, result))
         items.extend(new_items)
-        pruned.update(store.take(state.store, new_items))
+        pruned.update(store.apply(state.store, new_items))
         if any(key == CONFIGURATION_KEY for key, _, _ in new_items):
             break
     return tuple(answers), tuple(items), pruned - state.store.keys()
@@ -185,7 +185,7 @@
     return (view.epoch, number + 1 if epoch == view.epoch else 1)
 
 
-def note_change_written(core: CoreContext, succeeded: bool) -> None:
+def record_change_write(core: CoreContext, succeeded: bool) -> None:
     """Note a failed write of a change: the store on disk is incomplete until it is written whole."""
     if not succeeded and core.state.store_on_disk is StoreOnDisk.WHOLE:
         core.state.store_on_disk = StoreOnDisk.TORN
@@ -193,7 +193,7 @@
 
 def on_written_by_primary(core: CoreContext, written: ChangeWrittenByPrimary, succeeded: bool) -> None:
     """Send the change to the backups once the primary's own disk has synced it."""
-    note_change_written(core, succeeded)
+    record_change_write(core, succeeded)
     view, pending = core.state.view, core.state.pending
     if view is not None and pending is not None and pending.nonce == written.nonce:
         pending.synced_here = succeeded
@@ -230,13 +230,13 @@
     if not change.items:
         core.send_outgoing(confirmation)
         return
-    gone = store.take(state.store, change.items)
-    core.write(store.changed(change.items, gone), ChangeWrittenByBackup(confirmation), now)
+    pruned = store.apply(state.store, change.items)
+    core.write(store.change_operations(change.items, pruned), ChangeWrittenByBackup(confirmation), now)
 
 
 def on_written_by_backup(core: CoreContext, written: ChangeWrittenByBackup, succeeded: bool) -> None:
     """Confirm a change to the primary once this backup's disk has synced it."""
-    note_change_written(core, succeeded)
+    record_change_write(core, succeeded)
     if succeeded:
         core.send_outgoing(written.outgoing)
 
@@ -263,4 +263,4 @@
             core.send(name, CommittedItems(view.epoch, pending.previous, state.committed_version, items))
     for pending_answer in pending.answers:
         answer(core, pending_answer.client, pending_answer.result)
-    serving.answer_held(core, now)
+    serving.answer_held_requests(core, now)
--- a/silverglade/control/role_assigner.py
+++ b/silverglade/control/role_assigner.py
@@ -35,7 +35,7 @@
 ROLE_KINDS = (SHARD_ROLE, SLOT_LEASES_ROLE)
 """Kinds of roles that are dropped when nobody needs them."""
 
-NOBODY = RoleAssignment(0, "", "")
+UNASSIGNED = RoleAssignment(0, "", "")
 
 
 class WantedRole(NamedTuple):
@@ -111,11 +111,11 @@
         """Yield an assignment for each role whose holder does not live, or is in no zone where it should be."""
         ready = {member.name: member for member in self.members if member.is_ready}
         for role in self.wanted_roles():
-            held = role_assignment(self.store, role.kind, role.name) or NOBODY
+            held = role_assignment(self.store, role.kind, role.name) or UNASSIGNED
             candidates = self.candidates(role, ready)
             if held.holder in candidates or not candidates:
                 continue
-            candidates = apart_from_follower(candidates, held.follower, ready)
+            candidates = outside_follower_zone(candidates, held.follower, ready)
             holder = highest_ranked(f"{role.kind}/{role.name}", candidates)
             if holder is not None:
                 yield AssignRole(role.kind, role.name, held.epoch, holder, held.follower)
@@ -152,7 +152,7 @@
                 yield key.removeprefix(prefix)
 
 
-def apart_from_follower(candidates: Iterable[str], follower: str, ready: Mapping[str, MemberRecord]) -> list[str]:
+def outside_follower_zone(candidates: Iterable[str], follower: str, ready: Mapping[str, MemberRecord]) -> list[str]:
     """Return the candidates outside the zone of the follower, which keeps the claims' copy; all where none is."""
     every = list(candidates)
     if follower not in ready:
--- a/silverglade/control/seek.py
+++ b/silverglade/control/seek.py
@@ -15,16 +15,16 @@
 
 from ..runtime.effects import milliseconds
 from .messages import Accept, Accepted, Prepare, Promise, Rejected
-from .register import Behind, Chosen, Lost, Round
+from .register import Chosen, Preempted, Round, Superseded
 from .view import NO_BALLOT, Ballot, View, disks
 
-PAUSE = milliseconds(50)
+MIN_RETRY_DELAY = milliseconds(50)
 """The least wait after an attempt that failed."""
 
-LONGEST_COPY = 8
+COPY_TIMEOUT_TAKEOVERS = 8
 """For so many times `takeover` an attempt waits for recruits that are heard to sync their copy."""
 
-BALLOT_SPREAD_BITS = 20
+BALLOT_RANDOM_BITS = 20
 """Ballots rise by a random step: two processes of a core, of which the first left nothing on disk, must not use the same ballot,
 or a late acceptance of the first would count for the second."""
 
@@ -40,7 +40,7 @@
 class Step(Enum):
     """How far an attempt has come."""
 
-    REST = "rest"
+    IDLE = "rest"
     SEAL = "seal"
     COPY = "copy"
     ROUND = "round"
@@ -53,7 +53,7 @@
     nonce: int
 
 
-class CopyTo(NamedTuple):
+class SendSnapshot(NamedTuple):
     """Action: send the whole store to these recruits."""
 
     recruits: tuple[str, ...]
@@ -61,20 +61,20 @@
     nonce: int
 
 
-class Ask(NamedTuple):
+class AskWitnesses(NamedTuple):
     """Action: send this message to these witnesses."""
 
     witnesses: tuple[str, ...]
     message: Prepare | Accept
 
 
-class Learn(NamedTuple):
+class AdoptView(NamedTuple):
     """Action: take this view, which is chosen."""
 
     view: View
 
 
-Action = Seal | CopyTo | Ask | Learn
+Action = Seal | SendSnapshot | AskWitnesses | AdoptView
 
 
 @dataclass(slots=True)
@@ -92,9 +92,9 @@
     """
 
     next_attempt_at: timedelta
-    step: Step = Step.REST
+    step: Step = Step.IDLE
     goal: Goal | None = None
-    begun: timedelta | None = None
+    started_at: timedelta | None = None
     nonce: int = 0
     sealed: bool = False
     copied_at: timedelta | None = None
@@ -103,11 +103,11 @@
 
     def may_begin(self, now: timedelta) -> bool:
         """Tell whether a new attempt may begin."""
-        return self.step is Step.REST and now >= self.next_attempt_at
+        return self.step is Step.IDLE and now >= self.next_attempt_at
 
     def begin(self, goal: Goal, now: timedelta, rng: random.Random) -> list[Action]:
         """Begin an attempt; return what is to be done first."""
-        self.goal, self.begun, self.nonce, self.round, self.sealed = goal, now, rng.getrandbits(48), None, False
+        self.goal, self.started_at, self.nonce, self.round, self.sealed = goal, now, rng.getrandbits(48), None, False
         if not goal.recruits:
             self.step = Step.ROUND
             return []
@@ -137,7 +137,7 @@
         :param recruits_synced: (core, epoch, nonce) of each copy that was synced, and on which disk.
         :param is_up: whether a core is heard.
         """
-        if self.goal is None or self.begun is None:
+        if self.goal is None or self.started_at is None:
             return []
         actions: list[Action] = []
         if self.step is Step.SEAL and self.sealed:
@@ -145,13 +145,17 @@
         if self.step is Step.COPY:
             actions += self.copy(self.goal, now, recruits_synced, tuning)
         if self.step is Step.ROUND and self.round is None:
-            number = self.highest.number + 1 + rng.getrandbits(BALLOT_SPREAD_BITS)
-            self.begun = now
+            number = self.highest.number + 1 + rng.getrandbits(BALLOT_RANDOM_BITS)
+            self.started_at = now
             self.round = Round(ballot=Ballot(number, own_name), base=self.goal.base, want=self.goal.view)
             actions.append(self.ask(self.goal, self.round.begin()))
-        if self.step is Step.COPY and now - self.begun <= LONGEST_COPY * tuning["takeover"] and all(map(is_up, self.goal.recruits)):
+        if (
+            self.step is Step.COPY
+            and now - self.started_at <= COPY_TIMEOUT_TAKEOVERS * tuning["takeover"]
+            and all(map(is_up, self.goal.recruits))
+        ):
             return actions  # a large copy on a slow link: begun anew it would come no sooner
-        if self.step is not Step.REST and now - self.begun > tuning["takeover"]:
+        if self.step is not Step.IDLE and now - self.started_at > tuning["takeover"]:
             self.retry_later(now, tuning, rng)
         return actions
 
@@ -165,7 +169,7 @@
             self.step = Step.ROUND
         elif self.copied_at is None or now - self.copied_at >= tuning["takeover"] / 2:
             self.copied_at = now
-            return [CopyTo(missing, epoch, self.nonce)]
+            return [SendSnapshot(missing, epoch, self.nonce)]
         return []
 
     def answer(
@@ -179,18 +183,18 @@
         match self.round.answer(sender, message):
             case Accept() as accept:
                 return [self.ask(self.goal, accept)]
-            case Chosen(view) | Behind(view):
-                self.step, self.next_attempt_at = Step.REST, now + tuning["settle"]
-                return [Learn(view)]
-            case Lost():
+            case Chosen(view) | Superseded(view):
+                self.step, self.next_attempt_at = Step.IDLE, now + tuning["settle"]
+                return [AdoptView(view)]
+            case Preempted():
                 self.retry_later(now, tuning, rng)
         return []
 
     def retry_later(self, now: timedelta, tuning: Mapping[str, Any], rng: random.Random) -> None:
         """End the attempt and wait for a random time, so that two seekers do not overtake each other for ever."""
-        self.step, self.next_attempt_at = Step.REST, now + tuning["settle"] * rng.random() + PAUSE
+        self.step, self.next_attempt_at = Step.IDLE, now + tuning["settle"] * rng.random() + MIN_RETRY_DELAY
 
     @staticmethod
-    def ask(goal: Goal, message: Prepare | Accept) -> Ask:
+    def ask(goal: Goal, message: Prepare | Accept) -> AskWitnesses:
         """Return the action that asks the witnesses who decide: those of the base, or of the view itself where there is none."""
-        return Ask(tuple(sorted(disks(goal.base or goal.view))), message)
+        return AskWitnesses(tuple(sorted(disks(goal.base or goal.view))), message)
--- a/silverglade/control/serving.py
+++ b/silverglade/control/serving.py
@@ -12,7 +12,7 @@
 from .messages import CommittedItems, Pull, UpdateRequest
 from .replicated_state import Items, Version, items_since, newest_version
 from .state import HeldRequest
-from .writes import CommittedItemsWritten, DiskOperation, keep
+from .writes import CommittedItemsWritten, DiskOperation, meta_puts
 
 
 def commit(core: CoreContext, items: Items, version: Version, now: timedelta) -> None:
@@ -41,7 +41,7 @@
         return
     operations, state.committed_unwritten, state.committed_write_under_way = state.committed_unwritten, {}, True
     written = CommittedItemsWritten(state.committed_version, tuple(operations.values()))
-    core.write([*operations.values(), *keep(shown=state.committed_version)], written, now)
+    core.write([*operations.values(), *meta_puts(shown=state.committed_version)], written, now)
 
 
 def on_committed_items_written(core: CoreContext, written: CommittedItemsWritten, succeeded: bool, now: timedelta) -> None:
@@ -55,26 +55,26 @@
         write_committed(core, now)
 
 
-def proof_age(core: CoreContext, now: timedelta) -> int:
+def proof_age_ms(core: CoreContext, now: timedelta) -> int:
     """Return how old the last proof is that the primary was still primary, in ms; -1 for none."""
-    return -1 if core.state.proven_at is None else to_milliseconds(now - core.state.proven_at)
+    return -1 if core.state.proved_at is None else to_milliseconds(now - core.state.proved_at)
 
 
-def answer_held(core: CoreContext, now: timedelta) -> None:
+def answer_held_requests(core: CoreContext, now: timedelta) -> None:
     """Answer the held requests for which there is an update, or that have been held long enough (design 5.7)."""
     state = core.state
-    if not state.held:
+    if not state.held_requests:
         return
-    age = proof_age(core, now)
+    age = proof_age_ms(core, now)
     longest_wait = core.settings.tuning["ask_wait"]
     waiting = []
-    for request in state.held:
+    for request in state.held_requests:
         moved = state.table_position not in (None, request.position)
         if state.committed_version > request.version or now - request.received >= longest_wait or moved:
             answer_update(core, request, age, now)
         else:
             waiting.append(request)
-    state.held = waiting
+    state.held_requests = waiting
 
 
 def answer_update(core: CoreContext, request: HeldRequest, age: int, now: timedelta) -> None:
@@ -88,9 +88,9 @@
 
 def on_update_request(core: CoreContext, sender: str, request: UpdateRequest, now: timedelta) -> None:
     """Hold a daemon's request for updates until there is one."""
-    core.state.held.append(HeldRequest(now, sender, request.number, request.version, request.position))
+    core.state.held_requests.append(HeldRequest(now, sender, request.number, request.version, request.position))
     core.post(Component.CORE_TABLE, DaemonAskedHere(sender))
-    answer_held(core, now)
+    answer_held_requests(core, now)
 
 
 def on_committed_items(core: CoreContext, message: CommittedItems, now: timedelta) -> None:
@@ -99,10 +99,10 @@
     if state.view is None or message.epoch != state.view.epoch:
         return
     if not items and core.backed_view() and newest_version(state.store) == message.version:
-        items = store.rows(state.store, message.previous)  # a backup holds them already
+        items = store.newer_items(state.store, message.previous)  # a backup holds them already
     if items and state.committed_version >= message.previous:
         commit(core, items, message.version, now)
-        answer_held(core, now)
+        answer_held_requests(core, now)
 
 
 def on_pull(core: CoreContext, sender: str, pull: Pull) -> None:
@@ -110,5 +110,5 @@
     state = core.state
     if state.view is None or core.led_view() and not core.open_view():
         return
-    items = store.rows(state.committed_items, pull.version)
+    items = store.newer_items(state.committed_items, pull.version)
     core.send(sender, CommittedItems(state.view.epoch, pull.version, state.committed_version, items))
--- a/silverglade/control/snapshots.py
+++ b/silverglade/control/snapshots.py
@@ -10,7 +10,7 @@
 from .replicated_state import INITIAL_VERSION, newest_version
 from .state import OpeningSnapshot, StoreOnDisk
 from .view import View, disks, members
-from .writes import Outgoing, WholeStoreWritten, keep
+from .writes import Outgoing, WholeStoreWritten, meta_puts
 
 
 def send_opening(core: CoreContext, view: View, now: timedelta) -> None:
@@ -18,12 +18,12 @@
     state = core.state
     if state.store_on_disk is StoreOnDisk.TORN:
         core.write_whole_store(now)
-    if state.opening and now - state.opening.sent < core.settings.tuning["takeover"] / 2:
+    if state.opening_snapshot and now - state.opening_snapshot.sent < core.settings.tuning["takeover"] / 2:
         return
-    state.opening = OpeningSnapshot(state.opening.nonce if state.opening else core.rng.getrandbits(48), now)
+    state.opening_snapshot = OpeningSnapshot(state.opening_snapshot.nonce if state.opening_snapshot else core.rng.getrandbits(48), now)
     missing = [name for name in view.backups if name not in state.snapshot_synced_by]
     if missing:
-        snapshot = Snapshot(view.epoch, state.opening.nonce, view, store.rows(state.store))
+        snapshot = Snapshot(view.epoch, state.opening_snapshot.nonce, view, store.newer_items(state.store))
         for name in missing:
             core.send(name, snapshot)
 
@@ -37,12 +37,12 @@
         return
     state.open_epoch = view.epoch
     core.log("primary-open", epoch=view.epoch)
-    serving.commit(core, store.rows(state.store), newest_version(state.store), now)
+    serving.commit(core, store.newer_items(state.store), newest_version(state.store), now)
     if state.pending:  # now part of the synced store
         replication.commit(core, view, state.pending, now)
     for name in core.others():
         liveness.send_heartbeat(core, name, now)
-    serving.answer_held(core, now)
+    serving.answer_held_requests(core, now)
 
 
 def on_whole_store_written(core: CoreContext, written: WholeStoreWritten, succeeded: bool) -> None:
@@ -60,7 +60,7 @@
     else:
         accepted = accept_recruiting(core, snapshot)
     if accepted:
-        take_snapshot(core, sender, snapshot, now)
+        install_snapshot(core, sender, snapshot, now)
 
 
 def accept_opening(core: CoreContext, sender: str, snapshot: Snapshot, view: View, now: timedelta) -> bool:
@@ -90,18 +90,18 @@
         return False
     if core.name in members(state.view):
         state.sealed = max(state.sealed, core.epoch)
-    replication.abandon(core)
+    replication.abandon_operations(core)
     return True
 
 
-def take_snapshot(core: CoreContext, sender: str, snapshot: Snapshot, now: timedelta) -> None:
+def install_snapshot(core: CoreContext, sender: str, snapshot: Snapshot, now: timedelta) -> None:
     """Replace the store by a snapshot; its sender is told when it is on disk."""
     state = core.state
     state.recruited = max(state.recruited, snapshot.epoch)
     state.store = {key: (version, value) for key, version, value in snapshot.items}
-    kept = keep(recruited=state.recruited, served=state.served, sealed=state.sealed, reg=state.register.stored())
+    kept = meta_puts(recruited=state.recruited, served=state.served, sealed=state.sealed, reg=state.register.stored())
     synced = Outgoing(sender, SnapshotSynced(snapshot.epoch, snapshot.nonce, core.settings.disk))
-    core.write(store.whole(state.store) + kept, WholeStoreWritten(core.epoch, synced), now)
+    core.write(store.rewrite_all(state.store) + kept, WholeStoreWritten(core.epoch, synced), now)
 
 
 def on_snapshot_synced(core: CoreContext, sender: str, synced: SnapshotSynced, now: timedelta) -> None:
@@ -109,7 +109,7 @@
     state, led = core.state, core.led_view()
     if state.seeker is not None and state.seeker.awaits(synced.epoch, synced.nonce):
         state.recruits_synced[sender, synced.epoch, synced.nonce] = synced.disk
-    if led is None or state.opening is None or synced.nonce != state.opening.nonce or synced.epoch != led.epoch:
+    if led is None or state.opening_snapshot is None or synced.nonce != state.opening_snapshot.nonce or synced.epoch != led.epoch:
         return
     if sender in led.backups and synced.disk == disks(led)[sender]:
         state.snapshot_synced_by.add(sender)
--- a/silverglade/control/spread.py
+++ b/silverglade/control/spread.py
@@ -11,24 +11,24 @@
 from itertools import combinations
 
 from . import register
-from .view import LEAST_WITNESSES, MOST_WITNESSES
+from .view import MAX_WITNESSES, MIN_WITNESSES
 
 Place = tuple[str, str]
 Places = Mapping[str, Place]
 Tolerance = tuple[int, int, int]
 
-NOWHERE: Place = ("", "")
-MOST_POOL = MOST_WITNESSES + 3
+UNKNOWN_PLACE: Place = ("", "")
+MAX_CANDIDATES = MAX_WITNESSES + 3
 """Of so many cores at most the sets of witnesses are weighed."""
 
 
-def bears(names: Collection[str], *, need: int, places: Places, tolerance: Tolerance) -> tuple[int, int, int]:
+def losses_tolerated(names: Collection[str], *, need: int, places: Places, tolerance: Tolerance) -> tuple[int, int, int]:
     """Return how many machines, zones and regions may be lost, up to the tolerance, with `need` of the names left.
 
     -1 stands for too few even without a loss.
     """
 
-    def most(sizes: Sequence[int], top: int) -> int:
+    def max_losses(sizes: Sequence[int], top: int) -> int:
         left = len(names)
         for lost in range(top + 1):
             if left < need:
@@ -36,35 +36,39 @@
             left -= sizes[lost] if lost < len(sizes) else 0
         return top
 
-    zones, regions = (sorted(Counter(places.get(name, NOWHERE)[level:] for name in names).values(), reverse=True) for level in (0, 1))
-    return (most([1] * len(names), tolerance[0]), most(zones, tolerance[1]), most(regions, tolerance[2]))
+    zones, regions = (sorted(Counter(places.get(name, UNKNOWN_PLACE)[level:] for name in names).values(), reverse=True) for level in (0, 1))
+    return (max_losses([1] * len(names), tolerance[0]), max_losses(zones, tolerance[1]), max_losses(regions, tolerance[2]))
 
 
-def count(tolerance: Tolerance) -> int:
+def backup_count(tolerance: Tolerance) -> int:
     """Return how many backups are wanted: one member is left whatever of the tolerance is lost."""
     return max(1, *tolerance)
 
 
-def backups(*, own_name: str, names: Iterable[str], was: Collection[str], places: Places, tolerance: Tolerance) -> tuple[str, ...] | None:
+def choose_backups(
+    *, own_name: str, names: Iterable[str], current: Collection[str], places: Places, tolerance: Tolerance
+) -> tuple[str, ...] | None:
     """Return the best backups for primary `own_name`; None where there is no candidate.
 
     :param names: the live witnesses.
     :param was: the members there are, which are preferred.
     """
-    pool = sorted(set(names) - {own_name}, key=lambda name: (name not in was, name))
-    wanted = min(count(tolerance), len(pool))
+    pool = sorted(set(names) - {own_name}, key=lambda name: (name not in current, name))
+    wanted = min(backup_count(tolerance), len(pool))
     if not wanted:
         return None
 
-    def worth(chosen: tuple[str, ...]) -> tuple[int, int]:
-        return sum(bears((own_name, *chosen), need=1, places=places, tolerance=tolerance)), sum(name in was for name in chosen)
+    def score(chosen: tuple[str, ...]) -> tuple[int, int]:
+        return sum(losses_tolerated((own_name, *chosen), need=1, places=places, tolerance=tolerance)), sum(
+            name in current for name in chosen
+        )
 
-    return max(combinations(pool, wanted), key=worth)
+    return max(combinations(pool, wanted), key=score)
 
 
-def witnesses(
+def choose_witnesses(
     *,
-    was: tuple[str, ...],
+    current: tuple[str, ...],
     live: Collection[str],
     gone: Collection[str],
     leaving: Collection[str] = (),
@@ -78,13 +82,13 @@
     where the whole tolerance is not borne with it and all are live but those `leaving` and those in whose zone another is
     live, which may have come for them. Fewer changes go before more.
     """
-    known = tuple(sorted((name, places[name]) for name in {*was, *live} if name in places))
-    return best_witnesses(was, frozenset(live), frozenset(gone), frozenset(leaving), known, tolerance)
+    known = tuple(sorted((name, places[name]) for name in {*current, *live} if name in places))
+    return best_witnesses(current, frozenset(live), frozenset(gone), frozenset(leaving), known, tolerance)
 
 
 @lru_cache(maxsize=64)
 def best_witnesses(
-    was: tuple[str, ...],
+    current: tuple[str, ...],
     live: frozenset[str],
     gone: frozenset[str],
     leaving: frozenset[str],
@@ -94,24 +98,24 @@
     """Return what `witnesses` does; hundreds of sets are weighed, so the result is cached while nothing changes."""
     places = dict(known_places)
 
-    def borne(names: tuple[str, ...]) -> int:
-        here = [name for name in names if name in live]
-        return sum(bears(here, need=register.majority(len(names)), places=places, tolerance=tolerance))
+    def tolerated(names: tuple[str, ...]) -> int:
+        live_names = [name for name in names if name in live]
+        return sum(losses_tolerated(live_names, need=register.majority(len(names)), places=places, tolerance=tolerance))
 
-    def worth(names: tuple[str, ...]) -> tuple[int, int, int, int]:
-        return borne(names), sum(name in live for name in names), -len(names), sum(name in was for name in names)
+    def score(names: tuple[str, ...]) -> tuple[int, int, int, int]:
+        return tolerated(names), sum(name in live for name in names), -len(names), sum(name in current for name in names)
 
-    kept = [name for name in was if name not in gone]
+    kept = [name for name in current if name not in gone]
     enough_live = len([name for name in kept if name in live]) >= 2
-    least = max(LEAST_WITNESSES, len(kept)) if enough_live else len(was)
-    pool = sorted(set(kept) | set(live))[:MOST_POOL]
-    sizes = range(least, min(MOST_WITNESSES, len(pool)) + 1)
-    best = max((names for size in sizes for names in combinations(pool, size)), key=worth, default=None)
-    whole = sum(tolerance)
-    if borne(best or was) < whole:
+    min_size = max(MIN_WITNESSES, len(kept)) if enough_live else len(current)
+    pool = sorted(set(kept) | set(live))[:MAX_CANDIDATES]
+    sizes = range(min_size, min(MAX_WITNESSES, len(pool)) + 1)
+    best = max((names for size in sizes for names in combinations(pool, size)), key=score, default=None)
+    full_tolerance = sum(tolerance)
+    if tolerated(best or current) < full_tolerance:
         taken = {places[name] for name in live if name in places}
-        away = {name for name in was if name not in live and name not in leaving and places.get(name) not in taken}
+        away = {name for name in current if name not in live and name not in leaving and places.get(name) not in taken}
         staying = set(kept) & set(live) if away else set()
-        fewer = (names for size in range(LEAST_WITNESSES, least) for names in combinations([n for n in pool if n in live], size))
-        best = max((names for names in fewer if staying <= set(names) and borne(names) == whole), key=worth, default=best)
-    return best if best and worth(best) > worth(was) else was
+        fewer = (names for size in range(MIN_WITNESSES, min_size) for names in combinations([n for n in pool if n in live], size))
+        best = max((names for names in fewer if staying <= set(names) and tolerated(names) == full_tolerance), key=score, default=best)
+    return best if best and score(best) > score(current) else current
--- a/silverglade/control/state.py
+++ b/silverglade/control/state.py
@@ -12,7 +12,7 @@
 from .heartbeat import Peers
 from .operation_results import Result
 from .operations import ControlOperation
-from .outcomes import Ages
+from .outcomes import VersionAges
 from .register import Register
 from .register import read as read_register
 from .replicated_state import INITIAL_VERSION, Items, Version
@@ -167,7 +167,7 @@
     # of the committed items: what is not on disk yet, by key, and whether a write of some is under way
     committed_unwritten: dict[str, DiskOperation] = field(default_factory=dict)
     committed_write_under_way: bool = False
-    met: set[str] = field(default_factory=set)  # through membership, or by a heartbeat
+    known_cores: set[str] = field(default_factory=set)  # through membership, or by a heartbeat
     leaving: set[str] = field(default_factory=set)  # those that said that they leave, and are not back
     live: dict[str, str] = field(default_factory=dict)  # those that may be named in a view, and since when they are the same
     live_since: timedelta = ZERO
@@ -178,25 +178,25 @@
     awake_since: timedelta = ZERO
     seeking_since: timedelta | None = None
     listening_since: timedelta = ZERO
-    released: bool = False
+    exit_allowed: bool = False
     # primary: the epoch in which it is open, changes, the snapshot that opens the view, proofs that it still leads
     open_epoch: int = 0
     queue: list[QueuedOperation] = field(default_factory=list)
     pending: PendingChange | None = None
-    outcome_ages: Ages = field(default_factory=Ages)
-    opening: OpeningSnapshot | None = None
+    outcome_ages: VersionAges = field(default_factory=VersionAges)
+    opening_snapshot: OpeningSnapshot | None = None
     snapshot_synced_by: set[str] = field(default_factory=set)
     proofs: dict[str, timedelta] = field(default_factory=dict)
     # the newest time at which the primary was proved to be primary; when the last pull of committed items was sent
-    proven_at: timedelta | None = None
+    proved_at: timedelta | None = None
     pulled_at: timedelta | None = None
     # seeking a new view: the seeker; a better view; the epoch that this core sealed to seek the next; recruits' syncs
     seeker: Seeker | None = None
     better: BetterView | None = None
-    sealed_by_me: int = 0
+    sealed_by_self: int = 0
     recruits_synced: dict[tuple[str, int, int], str] = field(default_factory=dict)  # (core, epoch, nonce) -> disk
     # daemons that wait for news; where the table of soft state stands (design 4.3)
-    held: list[HeldRequest] = field(default_factory=list)
+    held_requests: list[HeldRequest] = field(default_factory=list)
     table_position: Any = None
 
 
--- a/silverglade/control/store.py
+++ b/silverglade/control/store.py
@@ -13,23 +13,23 @@
 """key -> (version, value); values are never changed in place."""
 
 
-def whole(store: Store) -> list[DiskOperation]:
+def rewrite_all(store: Store) -> list[DiskOperation]:
     """Return the disk operations that write the whole store anew."""
     return [("wipe", STORE_TABLE)] + [("put", STORE_TABLE, key, held) for key, held in store.items()]
 
 
-def changed(items: Items, pruned: Collection[str], table: str = STORE_TABLE) -> list[DiskOperation]:
+def change_operations(items: Items, pruned: Collection[str], table: str = STORE_TABLE) -> list[DiskOperation]:
     """Return the disk operations of a change: the items are put, the keys in `pruned` deleted."""
     puts: Iterable[DiskOperation] = (("put", table, key, (version, value)) for key, version, value in items)
     return [*puts, *(("del", table, key) for key in pruned)]
 
 
-def rows(store: Store, since: Version = INITIAL_VERSION) -> Items:
+def newer_items(store: Store, since: Version = INITIAL_VERSION) -> Items:
     """Return all that is newer than `since`, as it travels."""
     return tuple(sorted((key, version, value) for key, (version, value) in store.items() if version > since))
 
 
-def take(store: Store, items: Items) -> Collection[str]:
+def apply(store: Store, items: Items) -> Collection[str]:
     """Put items into the store; return the keys that were pruned, the same on primary and backup."""
     store.update({key: (version, value) for key, version, value in items})
     pruned: Collection[str] = pruned_keys(store)
@@ -41,6 +41,6 @@
 def commit(committed: Store, items: Items) -> list[DiskOperation]:
     """Put acknowledged items into the committed ones, where they are newer; return the disk operations for that."""
     new = tuple(
-        (key, version, value) for key, version, value in items if version > version_of(committed, key) and not outcomes.private(key)
+        (key, version, value) for key, version, value in items if version > version_of(committed, key) and not outcomes.is_private(key)
     )
-    return changed(new, take(committed, new), COMMITTED_TABLE) if new else []
+    return change_operations(new, apply(committed, new), COMMITTED_TABLE) if new else []
--- a/silverglade/control/values.py
+++ b/silverglade/control/values.py
@@ -12,50 +12,50 @@
 from datetime import timedelta
 from typing import Any
 
-PLAIN = frozenset((str, int, bool, bytes, float, timedelta, type(None)))
+PRIMITIVE_TYPES = frozenset((str, int, bool, bytes, float, timedelta, type(None)))
 """Types of which a value is its own canonical form."""
 
-COLLECTIONS = frozenset((dict, set, list))
+MUTABLE_COLLECTIONS = frozenset((dict, set, list))
 
-SHARED = "tuning"
+SHARED_FIELD = "tuning"
 """The field of settings that every record shares: no part of the state."""
 
 
 @functools.cache
 def field_names(kind: type) -> tuple[str, ...]:
     """Return the fields of a dataclass that are part of the state."""
-    return tuple(f.name for f in dataclasses.fields(kind) if f.name != SHARED)
+    return tuple(f.name for f in dataclasses.fields(kind) if f.name != SHARED_FIELD)
 
 
 @functools.cache
-def changed_fields(kind: type) -> tuple[str, ...]:
+def mutable_fields(kind: type) -> tuple[str, ...]:
     """Return the fields of a record that is changed in place; none of a value that is not."""
     if not dataclasses.is_dataclass(kind) or kind.__dataclass_params__.frozen:  # type: ignore[attr-defined]
         return ()
     return tuple(f.name for f in dataclasses.fields(kind))
 
 
-def copied(value: Any) -> Any:
+def copy_state(value: Any) -> Any:
     """Return a copy of a state, or of a field of one.
 
     Only maps, sets, lists and the records that hold them are changed in place: these are copied, all else is shared.
     """
     kind: type = type(value)
-    if kind in PLAIN:
+    if kind in PRIMITIVE_TYPES:
         return value
-    if kind in COLLECTIONS:
+    if kind in MUTABLE_COLLECTIONS:
         return value.copy()
-    names = changed_fields(kind)
+    names = mutable_fields(kind)
     if not names:
         return value
     twin: Any = object.__new__(kind)
     for name in names:
         held = getattr(value, name)
-        setattr(twin, name, held if name == SHARED else copied(held))
+        setattr(twin, name, held if name == SHARED_FIELD else copy_state(held))
     return twin
 
 
-def copied_chance(rng: random.Random) -> random.Random:
+def copy_random(rng: random.Random) -> random.Random:
     """Return a source of random numbers that goes on as this one does."""
     if type(rng) is not random.Random:
         return copy.deepcopy(rng)
@@ -64,22 +64,22 @@
     return twin
 
 
-def canonical(value: Any) -> Any:
+def canonical_form(value: Any) -> Any:
     """Return a value as nested tuples whose text is the same for equal values, whatever the order of sets and maps."""
     kind: type = type(value)
-    if kind in PLAIN:
+    if kind in PRIMITIVE_TYPES:
         return value
     if isinstance(value, tuple | list):
-        return (kind.__name__, *map(canonical, value))
+        return (kind.__name__, *map(canonical_form, value))
     if isinstance(value, Mapping):
-        return ("map", *sorted([(repr(canonical(k)), canonical(v)) for k, v in value.items()], key=operator.itemgetter(0)))
+        return ("map", *sorted([(repr(canonical_form(k)), canonical_form(v)) for k, v in value.items()], key=operator.itemgetter(0)))
     if isinstance(value, set | frozenset):
-        return ("set", *sorted([repr(canonical(x)) for x in value]))
+        return ("set", *sorted([repr(canonical_form(x)) for x in value]))
     if dataclasses.is_dataclass(value):
-        return (kind.__name__, *[canonical(getattr(value, name)) for name in field_names(kind)])
+        return (kind.__name__, *[canonical_form(getattr(value, name)) for name in field_names(kind)])
     return value
 
 
 def fingerprint(*values: Any) -> bytes:
     """Return sixteen bytes that are the same for equal values, in any process."""
-    return hashlib.blake2b(repr(canonical(values)).encode(), digest_size=16).digest()
+    return hashlib.blake2b(repr(canonical_form(values)).encode(), digest_size=16).digest()
--- a/silverglade/control/view.py
+++ b/silverglade/control/view.py
@@ -1,14 +1,14 @@
 """A view and a ballot as values, and the checks of those that come from outside (design 5.2).
 
-Both travel and are stored as plain arrays: `plain` makes them so, `view_of` and `ballot_of` take them in.
+Both travel and are stored as plain arrays: `plain` makes them so, `decode_view` and `decode_ballot` take them in.
 """
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple
 
-MOST_WITNESSES = 9
-LEAST_WITNESSES = 3
+MAX_WITNESSES = 9
+MIN_WITNESSES = 3
 
 Witness = tuple[str, str]
 """A core and the id of the disk with which it may vote."""
@@ -70,7 +70,7 @@
         type(number) is int
         and number > 0
         and isinstance(primary, str)
-        and is_text_tuple(backups, 1, MOST_WITNESSES - 1)
+        and is_text_tuple(backups, 1, MAX_WITNESSES - 1)
         and len({primary, *backups}) == 1 + len(backups)
         and is_witness_tuple(witnesses)
         and {primary, *backups} <= {name for name, _ in witnesses}
@@ -81,7 +81,7 @@
     """Tell whether a value is a tuple of three to nine witnesses, each named once."""
     return (
         isinstance(value, tuple)
-        and LEAST_WITNESSES <= len(value) <= MOST_WITNESSES
+        and MIN_WITNESSES <= len(value) <= MAX_WITNESSES
         and all(is_text_tuple(pair, 2, 2) for pair in value)
         and len(dict(value)) == len(value)
     )
@@ -92,16 +92,16 @@
     return value is None or is_view(value)
 
 
-def view_of(value: Any) -> View | None:
+def decode_view(value: Any) -> View | None:
     """Return the view of a checked array; None stays None."""
     return None if value is None else View(*value)
 
 
-def ballot_of(value: Any) -> Ballot:
+def decode_ballot(value: Any) -> Ballot:
     """Return the ballot of a checked array."""
     return Ballot(*value)
 
 
-def plain(value: Any) -> Any:
+def to_array(value: Any) -> Any:
     """Return a view or a ballot as the array that travels and is stored; anything else as it is."""
     return tuple(value) if isinstance(value, View | Ballot) else value
--- a/silverglade/control/view_change.py
+++ b/silverglade/control/view_change.py
@@ -11,10 +11,10 @@
 from . import plan, register, replication, store
 from .context import CoreContext
 from .messages import Accepted, ChosenView, Promise, Rejected, Snapshot
-from .seek import Action, Ask, CopyTo, Goal, Learn, Seal, Seeker
+from .seek import Action, AdoptView, AskWitnesses, Goal, Seal, Seeker, SendSnapshot
 from .state import BetterView, StoreOnDisk
 from .view import View, disks
-from .writes import EpochSealed, keep
+from .writes import EpochSealed, meta_puts
 
 
 def adopt(core: CoreContext, view: View | None, now: timedelta) -> None:
@@ -22,11 +22,11 @@
     state = core.state
     if view is None or view.epoch <= core.epoch:
         return
-    state.register, state.view = register.based(state.register, view), view
+    state.register, state.view = register.with_base(state.register, view), view
     core.log("view", epoch=view.epoch, primary=view.primary, backups=",".join(view.backups))
     core.publish_view()
-    core.write(keep(reg=state.register.stored()), None, now)
-    state.seeker, state.opening, state.open_epoch, state.better = None, None, 0, None
+    core.write(meta_puts(reg=state.register.stored()), None, now)
+    state.seeker, state.opening_snapshot, state.open_epoch, state.better = None, None, 0, None
     state.next_heartbeat = state.awake_since = now
     state.listening_since, state.seeking_since = state.seeking_since or now, None
     state.recruits_synced.clear()
@@ -35,7 +35,7 @@
     if core.led_view():
         core.write_whole_store(now)
     else:
-        replication.abandon(core)
+        replication.abandon_operations(core)
 
 
 def on_chosen(core: CoreContext, view: View, now: timedelta) -> None:
@@ -45,23 +45,23 @@
         core.send(name, ChosenView(view))
 
 
-def why_seek(core: CoreContext, now: timedelta) -> str | None:
+def reason_to_seek(core: CoreContext, now: timedelta) -> str | None:
     """Return why a member should seek a new view, or None (design 5.4)."""
     state, tuning = core.state, core.settings.tuning
-    wrong = plan.why(
+    problem = plan.view_problem(
         own_name=core.name,
         disk=core.settings.disk,
         view=state.view,
         peers=state.peers,
         sealed=state.sealed,
-        able=state.writes.is_able,
+        eligible=state.writes.is_eligible,
         torn=state.store_on_disk is StoreOnDisk.TORN and core.open_view() is not None,
-        fair=now - state.awake_since > tuning["takeover"],
+        grace_elapsed=now - state.awake_since > tuning["takeover"],
         now=now,
     )
-    if wrong is None and state.better and now - state.better.since >= tuning["settle"]:
+    if problem is None and state.better and now - state.better.since >= tuning["settle"]:
         return "better"
-    return wrong
+    return problem
 
 
 def listening_since(core: CoreContext, name: str) -> timedelta:
@@ -84,15 +84,15 @@
     """
     state, known = core.state, disks(core.state.view)
     names = [name for name in core.others() if name in state.places or name in known]
-    return plan.live(own_name=core.name, disk=core.settings.disk, peers=state.peers, now=now, names=names)
+    return plan.live_disks(own_name=core.name, disk=core.settings.disk, peers=state.peers, now=now, names=names)
 
 
-def wanted_witnesses(core: CoreContext, view: View, here: Mapping[str, str], now: timedelta) -> tuple[str, ...] | None:
+def wanted_witnesses(core: CoreContext, view: View, live: Mapping[str, str], now: timedelta) -> tuple[str, ...] | None:
     """Return the witnesses that the next view should have; None while one that is away may be back in a moment."""
     state, settings = core.state, core.settings
-    return plan.witnesses(
+    return plan.next_witnesses(
         view=view,
-        here=here,
+        live=live,
         peers=state.peers,
         places=state.places,
         tolerance=settings.tolerance,
@@ -106,27 +106,31 @@
 def look_for_better_view(core: CoreContext, now: timedelta) -> None:
     """Look, as the primary of a view that works, for one that bears more losses (design 5.9)."""
     state, view = core.state, core.open_view()
-    here = live_cores(core, now)
-    if here != state.live:
-        state.live, state.live_since = here, now
+    live = live_cores(core, now)
+    if live != state.live:
+        state.live, state.live_since = live, now
     new = None
-    if view is not None and state.writes.is_able:
-        wanted = wanted_witnesses(core, view, here, now)
-        new = plan.better(own_name=core.name, view=view, here=here, places=state.places, tolerance=core.settings.tolerance, wanted=wanted)
+    if view is not None and state.writes.is_eligible:
+        wanted = wanted_witnesses(core, view, live, now)
+        new = plan.better_view(
+            own_name=core.name, view=view, live=live, places=state.places, tolerance=core.settings.tolerance, wanted=wanted
+        )
     state.better = BetterView(state.live_since, new) if new else None
 
 
-def goal(core: CoreContext, now: timedelta) -> Goal | None:
+def next_goal(core: CoreContext, now: timedelta) -> Goal | None:
     """Return what should be sought now, or None."""
     state, settings = core.state, core.settings
     if state.view is None:
         return first_goal(core, now)
-    if state.better and why_seek(core, now) == "better":
+    if state.better and reason_to_seek(core, now) == "better":
         new: View | None = state.better.view
     else:
-        here = live_cores(core, now)
-        wanted = wanted_witnesses(core, state.view, here, now)
-        new = plan.after(own_name=core.name, view=state.view, places=state.places, tolerance=settings.tolerance, here=here, names=wanted)
+        live = live_cores(core, now)
+        wanted = wanted_witnesses(core, state.view, live, now)
+        new = plan.next_view(
+            own_name=core.name, view=state.view, places=state.places, tolerance=settings.tolerance, live=live, names=wanted
+        )
     return Goal(state.view, new, new.backups) if new else None
 
 
@@ -137,7 +141,7 @@
         return Goal(None, state.register.view, ())
     if not settings.may_form:
         return None
-    new = plan.first(
+    new = plan.first_view(
         own_name=core.name,
         disk=settings.disk,
         cores=settings.named,
@@ -151,24 +155,24 @@
 
 def start_or_stop_seeking(core: CoreContext, now: timedelta) -> None:
     """Begin to seek another view where this one does not work; stop where it works again."""
-    state, why = core.state, why_seek(core, now)
+    state, reason = core.state, reason_to_seek(core, now)
     if state.seeker is None:
-        if why or state.view is None:
+        if reason or state.view is None:
             state.next_heartbeat = now  # so that all are heard before a plan is made
             state.seeking_since = state.seeking_since or now
-            state.seeker = Seeker(next_attempt_at=now + core.settings.tuning["settle"] * patience(core, why))
-    elif state.view is not None and not why:
+            state.seeker = Seeker(next_attempt_at=now + core.settings.tuning["settle"] * first_attempt_delay(core, reason))
+    elif state.view is not None and not reason:
         state.seeker = state.seeking_since = None
 
 
-def patience(core: CoreContext, why: str | None) -> float:
+def first_attempt_delay(core: CoreContext, reason: str | None) -> float:
     """Return how long to wait before the first attempt, in times of `settle`.
 
     Where another member has sealed the epoch it seeks a view already, so this one waits longer.
     """
-    if why == "better":
+    if reason == "better":
         return 0
-    sealed_by_other = why == "sealed" and core.state.sealed_by_me != core.epoch
+    sealed_by_other = reason == "sealed" and core.state.sealed_by_self != core.epoch
     return core.rng.random() + sealed_by_other
 
 
@@ -179,11 +183,11 @@
         return
     seeker.highest = max(seeker.highest, state.register.promised)
     if seeker.may_begin(now):
-        wanted = goal(core, now)
+        wanted = next_goal(core, now)
         if wanted is None:
             seeker.next_attempt_at = now + core.settings.tuning["beat"]
             return
-        carry_out(core, seeker.begin(wanted, now, core.rng), now)
+        run_actions(core, seeker.begin(wanted, now, core.rng), now)
     actions = seeker.advance(
         own_name=core.name,
         now=now,
@@ -192,7 +196,7 @@
         tuning=core.settings.tuning,
         rng=core.rng,
     )
-    carry_out(core, actions, now)
+    run_actions(core, actions, now)
 
 
 def on_answer(core: CoreContext, sender: str, message: Promise | Accepted | Rejected, now: timedelta) -> None:
@@ -200,32 +204,32 @@
     seeker = core.state.seeker
     if seeker is not None:
         seeker.highest = max(seeker.highest, core.state.register.promised)
-        carry_out(core, seeker.answer(sender, message, now, core.settings.tuning, core.rng), now)
+        run_actions(core, seeker.answer(sender, message, now, core.settings.tuning, core.rng), now)
 
 
-def carry_out(core: CoreContext, actions: list[Action], now: timedelta) -> None:
+def run_actions(core: CoreContext, actions: list[Action], now: timedelta) -> None:
     """Carry out the actions of the seeker."""
     for action in actions:
         match action:
             case Seal(wanted, nonce):
                 core.log("seek", epoch=wanted.view.epoch, recruits=",".join(wanted.recruits))
                 seal(core, nonce, now)
-            case CopyTo(recruits, epoch, nonce):
-                snapshot = Snapshot(epoch, nonce, None, store.rows(core.state.store))
+            case SendSnapshot(recruits, epoch, nonce):
+                snapshot = Snapshot(epoch, nonce, None, store.newer_items(core.state.store))
                 for name in recruits:
                     core.send(name, snapshot)
-            case Ask(witnesses, message):
+            case AskWitnesses(witnesses, message):
                 for name in witnesses:
                     core.send(name, message)
-            case Learn(view):
+            case AdoptView(view):
                 core.post(Component.CONTROL, ViewChosen(view))
 
 
 def seal(core: CoreContext, nonce: int, now: timedelta) -> None:
     """Seal the epoch: take no more changes under it. The seeker goes on when that is on disk."""
     state = core.state
-    state.sealed = state.sealed_by_me = core.epoch
-    core.write(keep(sealed=state.sealed), EpochSealed(nonce), now)
+    state.sealed = state.sealed_by_self = core.epoch
+    core.write(meta_puts(sealed=state.sealed), EpochSealed(nonce), now)
 
 
 def on_sealed(core: CoreContext, written: EpochSealed, succeeded: bool) -> None:
--- a/silverglade/control/witness.py
+++ b/silverglade/control/witness.py
@@ -8,7 +8,7 @@
 from .context import CoreContext
 from .messages import Accept, Accepted, Prepare, Promise, Rejected
 from .register import Register
-from .writes import Outgoing, SendIfSynced, keep
+from .writes import Outgoing, SendIfSynced, meta_puts
 
 
 def on_prepare(core: CoreContext, sender: str, message: Prepare, now: timedelta) -> None:
@@ -30,4 +30,4 @@
         core.send(to, answer)
         return
     core.state.register = new_register
-    core.write(keep(reg=new_register.stored()), SendIfSynced(Outgoing(to, answer)), now)
+    core.write(meta_puts(reg=new_register.stored()), SendIfSynced(Outgoing(to, answer)), now)
--- a/silverglade/control/writes.py
+++ b/silverglade/control/writes.py
@@ -39,7 +39,7 @@
     "SendIfSynced",
     "WholeStoreWritten",
     "Writes",
-    "keep",
+    "meta_puts",
 ]
 
 
@@ -100,7 +100,7 @@
 class WriteUnderWay(NamedTuple):
     """When a write began, and what follows it."""
 
-    begun: timedelta
+    started_at: timedelta
     continuation: Continuation | None
 
 
@@ -119,44 +119,44 @@
 
     tuning: Mapping[str, Any]
     last: int = 0
-    under_way: dict[int, WriteUnderWay] = field(default_factory=dict)
-    disk_able: bool = True
+    in_progress: dict[int, WriteUnderWay] = field(default_factory=dict)
+    is_disk_writable: bool = True
     leaving: bool = False
-    tried_at: timedelta = ZERO
+    probed_at: timedelta = ZERO
 
     @property
-    def is_able(self) -> bool:
+    def is_eligible(self) -> bool:
         """Tell whether this core may be a member of a view: its disk takes writes, and it does not leave."""
-        return self.disk_able and not self.leaving
+        return self.is_disk_writable and not self.leaving
 
     def begin(self, operations: Iterable[DiskOperation], continuation: Continuation | None, now: timedelta) -> Effect:
         """Return the effect that starts a write."""
         self.last += 1
-        self.under_way[self.last] = WriteUnderWay(now, continuation)
+        self.in_progress[self.last] = WriteUnderWay(now, continuation)
         return WriteToDisk((Component.CONTROL.value, self.last), tuple(operations))
 
     def check(self, now: timedelta) -> list[Effect]:
         """Return a log line when a write has taken too long, and a trial write to a disk that took none."""
         stall = self.tuning["disk_stall"]
         effects: list[Effect] = []
-        if self.disk_able and any(now - write.begun > stall for write in self.under_way.values()):
-            self.disk_able = False
+        if self.is_disk_writable and any(now - write.started_at > stall for write in self.in_progress.values()):
+            self.is_disk_writable = False
             effects.append(log_record("disk-stalled"))
-        if not self.disk_able and not self.under_way and now - self.tried_at > stall:
-            self.tried_at = now
-            effects.append(self.begin(keep(alive=to_milliseconds(now)), None, now))
+        if not self.is_disk_writable and not self.in_progress and now - self.probed_at > stall:
+            self.probed_at = now
+            effects.append(self.begin(meta_puts(alive=to_milliseconds(now)), None, now))
         return effects
 
-    def ended(self, number: int, succeeded: bool) -> tuple[Continuation | None, list[Effect]]:
+    def complete(self, number: int, succeeded: bool) -> tuple[Continuation | None, list[Effect]]:
         """Take in the end of a write; return what follows it, and effects."""
-        write = self.under_way.pop(number, None)
+        write = self.in_progress.pop(number, None)
         continuation = write.continuation if write else None
-        if self.disk_able == succeeded or succeeded and self.under_way:
+        if self.is_disk_writable == succeeded or succeeded and self.in_progress:
             return continuation, []
-        self.disk_able = succeeded
+        self.is_disk_writable = succeeded
         return continuation, [log_record("disk-fit" if succeeded else "disk-fault")]
 
 
-def keep(**values: Any) -> list[DiskOperation]:
+def meta_puts(**values: Any) -> list[DiskOperation]:
     """Return the disk operations that keep these values of this core."""
     return [("put", META_TABLE, key, value) for key, value in values.items()]
--- a/silverglade/testbed/checkers/proof_oracle.py
+++ b/silverglade/testbed/checkers/proof_oracle.py
@@ -103,7 +103,7 @@
         clock = self._world.now + node.skew
         if node.core:
             core = node.control
-            self._check_store("core", node, core.committed_items, core.committed_version, core.proven_at)
+            self._check_store("core", node, core.committed_items, core.committed_version, core.proved_at)
         else:
             relay = node.hub.components["zone_relay"].machine
             self._check_store("relay", node, relay._store, relay._version, relay._proved_at)
--- a/silverglade/testbed/experiments/change_backlog.py
+++ b/silverglade/testbed/experiments/change_backlog.py
@@ -39,7 +39,7 @@
 def rows(x):
     """How much a core keeps: rows on its disk, and in the tables of its memory."""
     state = x.state
-    held = (state.store, state.committed_items, state.peers.table, state.heartbeat_sent, state.recruits_synced, state.writes.under_way)
+    held = (state.store, state.committed_items, state.peers.table, state.heartbeat_sent, state.recruits_synced, state.writes.in_progress)
     return sum(map(len, x.disk.data.values())) + sum(map(len, held))
 
 
--- a/silverglade/testbed/model_checker/machine.py
+++ b/silverglade/testbed/model_checker/machine.py
@@ -13,7 +13,7 @@
 import ormsgpack
 
 from ...control import core as control
-from ...control.values import SHARED, canonical, changed_fields
+from ...control.values import SHARED_FIELD, canonical_form, mutable_fields
 
 Event = tuple[Any, ...]
 Effects = tuple[Any, ...]
@@ -142,15 +142,15 @@
             return frozenset(value)
         if kind is list:
             return tuple(map(self.mark, value))
-        names = changed_fields(kind)
+        names = mutable_fields(kind)
         if names:
-            return tuple([self.mark(getattr(value, name)) for name in names if name != SHARED])
+            return tuple([self.mark(getattr(value, name)) for name in names if name != SHARED_FIELD])
         try:
             hash(value)
         except TypeError:  # it holds a dictionary; values are shared by all copies, so each is written out once
             held = self.texts.get(id(value))
             if held is None:
-                held = self.texts[id(value)] = value, repr(canonical(value))
+                held = self.texts[id(value)] = value, repr(canonical_form(value))
             return held[1]
         return value
 
@@ -159,7 +159,7 @@
         origin, held = self.parts[number]
         part, todo, out = copy.deepcopy(held), [event], []
         while todo:
-            for effect in control.ControlPart(part).send((now, todo.pop(0))):
+            for effect in control.ControlComponent(part).send((now, todo.pop(0))):
                 match effect:
                     case ("send", to, body) if to == origin.name:
                         todo.append(("msg", to, body))
@@ -190,7 +190,7 @@
         """The effects of an operator's read, asked of a copy, when every backup confirms it at once."""
         origin, held = self.parts[number]
         part, out = copy.deepcopy(held), []
-        shell = control.ControlPart(part)
+        shell = control.ControlComponent(part)
         questions = shell.send((now, event))
         for effect in questions:
             match effect:
--- a/silverglade/testbed/simulator/control_cluster.py
+++ b/silverglade/testbed/simulator/control_cluster.py
@@ -235,7 +235,7 @@
             and disks(v) == up
             and len(v[2]) == max(1, *self.tolerance)
             and self.cores[v[1]].state.open_epoch == v[0]
-            and all(x.gen and x.state.view == v and x.state.writes.is_able for x in self.cores.values())
+            and all(x.gen and x.state.view == v and x.state.writes.is_eligible for x in self.cores.values())
         )
 
     def bad(self, rule, *what):
@@ -378,7 +378,7 @@
         c.bad(
             "not-back",
             c.view(),
-            [(x.name, x.state.view, x.state.open_epoch, x.state.sealed, x.state.writes.is_able) for x in c.cores.values() if x.gen],
+            [(x.name, x.state.view, x.state.open_epoch, x.state.sealed, x.state.writes.is_eligible) for x in c.cores.values() if x.gen],
         )
     if changer:
         changer.open = False
--- a/tests/configuration/test_bad_input.py
+++ b/tests/configuration/test_bad_input.py
@@ -187,12 +187,12 @@
 
 def put(store, raw, text=""):
     got, items = change(store, "c", TableChange(0, 1, raw, text or json.dumps(raw)), number=1)
-    stores.take(store, items)
+    stores.apply(store, items)
     return got, items
 
 
 def frames(store, items):
-    rows = stores.rows(store)
+    rows = stores.newer_items(store)
     yield ("repl", 1, 1, (0, 0), (1, 1), items)
     yield ("snap", 1, 1, None, rows)
     yield ("items", 1, (0, 0), (1, 1), items)
--- a/tests/control/test_control_growth.py
+++ b/tests/control/test_control_growth.py
@@ -17,7 +17,7 @@
     """How much there is of each thing that a core holds, and of each table on its disk."""
     state = core.gen.state
     held = {f.name: getattr(state, f.name) for f in dataclasses.fields(state)}
-    held.update({"peers.table": state.peers.table, "writes": state.writes.under_way})
+    held.update({"peers.table": state.peers.table, "writes": state.writes.in_progress})
     return {name: len(x) for name, x in [*held.items(), *core.tables.items()] if isinstance(x, (dict, list, set))}
 
 
--- a/tests/control/test_control_guards.py
+++ b/tests/control/test_control_guards.py
@@ -53,8 +53,8 @@
         "a backup tells before its disk",
         safety.test_a_backup_says_nothing_before_its_disk,
         "replication",
-        "    gone = store.take(state.store, change.items)\n",
-        "    core.send_outgoing(confirmation)\n    gone = store.take(state.store, change.items)\n",
+        "    pruned = store.apply(state.store, change.items)\n",
+        "    core.send_outgoing(confirmation)\n    pruned = store.apply(state.store, change.items)\n",
         "on_replicate",
     ),
     (
@@ -95,7 +95,7 @@
         "replication",
         "    state.pending = None\n    state.queue.clear()\n",
         "",
-        "abandon",
+        "abandon_operations",
     ),
     (
         "the backups are asked before the primary's own disk",
@@ -133,7 +133,7 @@
 
 
 def test_without_its_random_step_a_ballot_is_used_twice(monkeypatch):
-    monkeypatch.setattr(seek, "BALLOT_SPREAD_BITS", 0)
+    monkeypatch.setattr(seek, "BALLOT_RANDOM_BITS", 0)
     with pytest.raises(AssertionError):
         safety.test_no_two_lives_of_a_core_use_one_ballot()
 
--- a/tests/control/test_core_leaves.py
+++ b/tests/control/test_core_leaves.py
@@ -22,15 +22,15 @@
     node.feed(("state", "leaving"))
     for _ in range(40):
         scene.w.run(0.1)
-        if node.control.released:
+        if node.control.exit_allowed:
             break
-    assert node.control.released and name not in rg.members(view(scene))
+    assert node.control.exit_allowed and name not in rg.members(view(scene))
     node.kill()
     scene.w.run(3)
     assert view(scene).epoch > was.epoch and scene.o.faults == []
 
 
 def test_one_that_is_released_too_early_is_seen(monkeypatch):
-    monkeypatch.setattr("silverglade.control.plan.may_end", lambda **_: True)
+    monkeypatch.setattr("silverglade.control.plan.may_exit", lambda **_: True)
     with pytest.raises(AssertionError):
         test_a_member_is_released_within_seconds_and_nothing_rests_on_it("primary", 0)
--- a/tests/control/test_core_state.py
+++ b/tests/control/test_core_state.py
@@ -11,7 +11,7 @@
 
 from silverglade.control import messages as control_messages
 from silverglade.control import values, writes
-from silverglade.control.core import ControlCore, ControlPart, control_component
+from silverglade.control.core import ControlComponent, ControlCore, control_component
 from silverglade.control.messages import decode, encode
 from silverglade.control.view import Ballot, View
 from silverglade.runtime import daemon_machine as hub
@@ -108,11 +108,11 @@
         before = self.machine.fingerprint()
         twin = copy.deepcopy(self.machine)
         assert twin.fingerprint() == before
-        effects = ControlPart(twin).send(value)
+        effects = ControlComponent(twin).send(value)
         assert self.machine.fingerprint() == before  # a step of the copy is not felt
         assert self.shell.send(value) == effects
         assert self.machine.fingerprint() == twin.fingerprint()
-        self.seen |= {type(w.continuation) for w in twin.state.writes.under_way.values()}
+        self.seen |= {type(w.continuation) for w in twin.state.writes.in_progress.values()}
         return effects
 
 
@@ -172,9 +172,9 @@
     a = machines(c)[0]
     b = copy.deepcopy(a)
     b.rng.random()
-    assert a.fingerprint() != b.fingerprint() and a.fingerprint(with_chance=False) == b.fingerprint(with_chance=False)
+    assert a.fingerprint() != b.fingerprint() and a.fingerprint(include_random_state=False) == b.fingerprint(include_random_state=False)
     b.state.sealed += 1
-    assert a.fingerprint(with_chance=False) != b.fingerprint(with_chance=False)
+    assert a.fingerprint(include_random_state=False) != b.fingerprint(include_random_state=False)
 
 
 def test_a_state_holds_values_alone():
@@ -182,7 +182,7 @@
     c = council.settled(seed=1, size=3, tolerance=(1, 1, 1))
     trials.primary_loses_power(c)
     c.run(2)
-    assert not any(" at 0x" in repr(values.canonical(m.state)) for m in machines(c))
+    assert not any(" at 0x" in repr(values.canonical_form(m.state)) for m in machines(c))
 
 
 def a_machine():
--- a/tests/control/test_grouped_operations.py
+++ b/tests/control/test_grouped_operations.py
@@ -85,7 +85,7 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_a_backup_comes_to_the_very_store_of_the_primary_whatever_the_groups(seed, monkeypatch):
     monkeypatch.setattr(outcomes, "MAX_OUTCOMES", 12)
-    monkeypatch.setattr(outcomes, "FORGOTTEN_AT_ONCE", 4)
+    monkeypatch.setattr(outcomes, "EVICTION_BATCH", 4)
     rng, machine, backup, number, n = random.Random(seed), settled()[1], {}, 0, 0
     view = machine.state.view
     assert isinstance(view, View)
@@ -103,7 +103,7 @@
         while machine.state.queue:
             _, items, gone = replication.settle_queue(machine, view, milliseconds(n))
             assert not gone & machine.state.store.keys()
-            store.take(backup, items)
+            store.apply(backup, items)
             assert backup == machine.state.store
         number = machine.state.store["config"][1]["number"]
-    assert outcomes.HORIZON in backup and sum(k.startswith(outcomes.PREFIX) for k in backup) <= 13
+    assert outcomes.HORIZON_KEY in backup and sum(k.startswith(outcomes.OUTCOME_PREFIX) for k in backup) <= 13
--- a/tests/control/test_outcomes.py
+++ b/tests/control/test_outcomes.py
@@ -44,12 +44,12 @@
 
 def small(monkeypatch, most=40):
     monkeypatch.setattr(outcomes, "MAX_OUTCOMES", most)
-    monkeypatch.setattr(outcomes, "FORGOTTEN_AT_ONCE", most // 4)
+    monkeypatch.setattr(outcomes, "EVICTION_BATCH", most // 4)
 
 
 def stores(s):
     _, primary, backups, _ = s.w.nodes["core-north"].control.view
-    return [{k: v for k, v in s.w.nodes[c].disk.data["book"].items() if outcomes.private(k)} for c in (primary, *backups)]
+    return [{k: v for k, v in s.w.nodes[c].disk.data["book"].items() if outcomes.is_private(k)} for c in (primary, *backups)]
 
 
 def test_what_is_forgotten_is_answered_as_unknown_alike_by_every_primary(monkeypatch):
@@ -60,7 +60,7 @@
         assert put(s, base, number) == [100]
     zones(s, 90)
     mine, *others = stores(s)
-    assert outcomes.HORIZON in mine and others == [mine] * len(others) and len(mine) <= 42
+    assert outcomes.HORIZON_KEY in mine and others == [mine] * len(others) and len(mine) <= 42
     assert put(s, numbers[-2], numbers[-1]) == [100]  # in force: always known
     for base, number in zip(numbers, numbers[1:-1]):
         assert put(s, base, number) == [503]
@@ -126,7 +126,7 @@
         )
         if items:
             self.n += 1
-            store.take(self.rows, items)
+            store.apply(self.rows, items)
         return result.encode()
 
     def table(self, base, number, tag=""):
@@ -150,7 +150,7 @@
             said.append((base, number, tag))
         if rng.random() < 0.5:
             assert s.zone(rng.choice(list(RAW["zones"])), rng.random() < 0.5, f"e{i}")[0] == "ok" or not held
-        refused = {r for r in refused if f"{outcomes.PREFIX}{r[0]}/{r[1]}{r[2]}" in s.rows}  # as long as its outcome is kept
+        refused = {r for r in refused if f"{outcomes.OUTCOME_PREFIX}{r[0]}/{r[1]}{r[2]}" in s.rows}  # as long as its outcome is kept
         was = s.n
         match s.table(base, number, tag), (base, number, tag):
             case ("ok", _), key:
@@ -166,7 +166,7 @@
                 assert s.n == was and base < held
             case other, _:
                 raise AssertionError(other)
-        kept = [k for k in s.rows if k.startswith(outcomes.PREFIX)]
+        kept = [k for k in s.rows if k.startswith(outcomes.OUTCOME_PREFIX)]
         assert len(kept) <= 13
         in_force = next((k for k in taken if k[1] == held), None)
         assert in_force is None or s.table(*in_force)[0] == "ok"  # with no other since: always acknowledged
@@ -175,7 +175,7 @@
 
 
 def test_outcomes_go_with_time_too_and_not_in_a_freeze():
-    ages, keep = outcomes.Ages(), 8 * SEC
+    ages, keep = outcomes.VersionAges(), 8 * SEC
     olds = [ages.newest_aged(i * SEC, 0 * SEC, (1, i), keep) for i in range(20)]
     assert olds[:8] == [(0, 0)] * 8 and olds[8:] == [(1, i) for i in range(12)]
     assert ages.newest_aged(100 * SEC, 99 * SEC, (1, 20), keep) == (1, 11)  # it stood still, or the view is new: counted anew
@@ -183,9 +183,9 @@
     s = Store()
     for i in range(10):
         s.table(i, i + 1)
-    assert sum(k.startswith(outcomes.PREFIX) for k in s.rows) == 10
+    assert sum(k.startswith(outcomes.OUTCOME_PREFIX) for k in s.rows) == 10
     s.say("e", ("evac", "north", True, fencing_token(s.rows, Evacuate("north", True))), aged=(1, 6))
-    assert sum(k.startswith(outcomes.PREFIX) for k in s.rows) == 5 and s.rows[outcomes.HORIZON][1] == ((1, 6), 6)
+    assert sum(k.startswith(outcomes.OUTCOME_PREFIX) for k in s.rows) == 5 and s.rows[outcomes.HORIZON_KEY][1] == ((1, 6), 6)
     assert s.table(5, 6) == ("stale",) and s.table(6, 7)[0] == "ok" and s.table(6, 8)[0] == "refuse"
 
 
@@ -212,12 +212,12 @@
     s.table(0, 1)
     key = "k" * 32
     for i in range(3 * outcomes.MAX_OUTCOMES):
-        s.rows.update({k: (v, x) for k, v, x in (outcomes.item(change_id=f"{i:0100d}", digest=key, version=(1, i + 2), number=1),)})
+        s.rows.update({k: (v, x) for k, v, x in (outcomes.outcome_item(change_id=f"{i:0100d}", digest=key, version=(1, i + 2), number=1),)})
         if i % 64 == 0:
-            s.rows.update({k: (v, x) for k, v, x in outcomes.moved_horizon(s.rows, version=(1, i + 2), aged=(0, 0))})
+            s.rows.update({k: (v, x) for k, v, x in outcomes.advanced_horizon(s.rows, version=(1, i + 2), aged=(0, 0))})
             for k in pruned_keys(s.rows):
                 del s.rows[k]
-    rows = [(k, *v) for k, v in s.rows.items() if outcomes.private(k)]
+    rows = [(k, *v) for k, v in s.rows.items() if outcomes.is_private(k)]
     frame = wire.encode_frame(sender="", process_id="", body=("snap", rows))
     assert len(rows) <= outcomes.MAX_OUTCOMES + 65 and len(frame) < wire.MAX_FRAME_BYTES / 10
     assert tuning()["outcome_keep"] == 600 * SEC
--- a/tests/control/test_view_register.py
+++ b/tests/control/test_view_register.py
@@ -4,7 +4,7 @@
 
 from silverglade.control import register as rg
 from silverglade.control.decisions import decide
-from silverglade.control.judgements import Take
+from silverglade.control.judgements import Apply
 from silverglade.control.messages import Accept, Accepted, Prepare, Rejected
 from silverglade.control.operation_results import Refused
 from silverglade.control.operations import AssignRole, ConfigurationChange, Evacuate
@@ -57,9 +57,9 @@
                 self.mail = self.mail[-40:] + [(b, c, msg) for c in self.rounds[b][1]]
             case rg.Chosen(view):
                 assert self.chosen.setdefault(view.epoch, view) == view, "two views of one epoch"
-            case rg.Behind(view):
+            case rg.Superseded(view):
                 assert self.chosen[view.epoch] == view, "a base that was not chosen"
-        if isinstance(msg, rg.Chosen | rg.Lost | rg.Behind):
+        if isinstance(msg, rg.Chosen | rg.Preempted | rg.Superseded):
             self.rounds.pop(b, None)
 
     def bare(self):
@@ -81,7 +81,7 @@
             return None
         if k < 0.04:  # someone tells what was chosen
             c, v = r.choice(NAMES), self.chosen[r.choice(sorted(self.chosen))]
-            self.reg[c] = rg.based(self.reg[c], v)
+            self.reg[c] = rg.with_base(self.reg[c], v)
         if not self.mail:
             return None
         i = r.randrange(len(self.mail))
@@ -224,7 +224,7 @@
 def test_the_store_takes_one_of_two_changes_over_the_same_version():
     raw = {"zones": {"z": {"region": "r"}}, "tenants": {}}
     first = decide({}, ConfigurationChange((0, 0), raw), (1, 1))
-    assert isinstance(first, Take)
+    assert isinstance(first, Apply)
     store = {key: ((1, 1), value) for key, value in first.values}
     assert refusal_code(decide(store, ConfigurationChange((0, 0), raw), (1, 2))) == 501
     assert refusal_code(decide(store, ConfigurationChange((1, 1), {"zones": 3}), (1, 2))) == 502
--- a/tests/duties/test_usage_record.py
+++ b/tests/duties/test_usage_record.py
@@ -3,7 +3,7 @@
 import pytest
 
 from silverglade.control import decisions
-from silverglade.control.judgements import Take
+from silverglade.control.judgements import Apply
 from silverglade.control.operation_results import Refused
 from silverglade.control.operations import RecordUsage, decode_operation
 from silverglade.control.replicated_state import items_since, usage_record
@@ -26,8 +26,8 @@
 
 
 def test_the_holder_records_a_window():
-    assert judged(store()) == Take((("usage", (7, COUNTS)),))
-    assert judged(store(recorded=6)) == Take((("usage", (7, COUNTS)),))
+    assert judged(store()) == Apply((("usage", (7, COUNTS)),))
+    assert judged(store(recorded=6)) == Apply((("usage", (7, COUNTS)),))
 
 
 # Guards against: two reports of one window with different counts, from a daemon that is holder no more and from its successor.
@@ -50,7 +50,7 @@
         ("False", "False"),
         "silverglade.control.decisions.decide_usage",
     )
-    assert isinstance(judged(store(epoch=5)), Take) and isinstance(judged(store(recorded=7)), Take)
+    assert isinstance(judged(store(epoch=5)), Apply) and isinstance(judged(store(recorded=7)), Apply)
 
 
 def test_cores_alone_are_told_of_it():
--- a/tests/golden/recorded_plays.py
+++ b/tests/golden/recorded_plays.py
@@ -6,7 +6,7 @@
 
 import functools
 
-from silverglade.control.core import ControlPart
+from silverglade.control.core import ControlComponent
 from silverglade.testbed.experiments import policy_day, policy_sites
 from silverglade.testbed.experiments import second_loss as repairs
 from silverglade.testbed.faults import control_faults as trials
@@ -56,7 +56,7 @@
 
 def control(monkeypatch, play, **settings):
     """The cores alone. Ends with what is on their disks."""
-    trace, send = EffectTrace(), ControlPart.send
+    trace, send = EffectTrace(), ControlComponent.send
 
     def recording_send(part, value):
         effects = send(part, value)
@@ -66,7 +66,7 @@
             trace.effects(value[0], name, part.machine.settings.disk, others)
         return effects
 
-    monkeypatch.setattr(ControlPart, "send", recording_send)
+    monkeypatch.setattr(ControlComponent, "send", recording_send)
     council, served_after = CONTROL_PLAYS[play](**settings)
     for name, core in sorted(council.cores.items()):
         trace.stored(council.now, name, core.disk.data)
--- a/tests/membership/test_growth.py
+++ b/tests/membership/test_growth.py
@@ -76,7 +76,7 @@
 
 def test_the_backups_book_is_pruned_as_the_primarys_is(monkeypatch):
     monkeypatch.setattr(outcomes, "MAX_OUTCOMES", 256)
-    monkeypatch.setattr(outcomes, "FORGOTTEN_AT_ONCE", 64)
+    monkeypatch.setattr(outcomes, "EVICTION_BATCH", 64)
     s = Scene(town="hamlet")
     s.settle()
     for i in range(296):
@@ -86,7 +86,7 @@
     books = [s.w.nodes[c].disk.data["book"] for c in (v[1], *v[2])]
     kept = [sorted(k for k in b if k.startswith("change/")) for b in books]
     assert all(k == kept[0] for k in kept) and 256 - 64 <= len(kept[0]) <= 256
-    assert all(b[outcomes.HORIZON] == books[0][outcomes.HORIZON] for b in books)
+    assert all(b[outcomes.HORIZON_KEY] == books[0][outcomes.HORIZON_KEY] for b in books)
 
 
 def test_a_replica_that_was_forgotten_may_return_in_the_same_life_and_a_leap_of_the_clock_forgets_nobody():
--- a/tests/membership/test_zone_relay_partitions.py
+++ b/tests/membership/test_zone_relay_partitions.py
@@ -143,7 +143,7 @@
     for _ in range(100):
         s.w.run(0.1)
         fresh = proxy.store_proved_at
-        assert fresh <= s.w.nodes[core].control.proven_at + milliseconds(1)  # a core tells whole milliseconds, not rounded up
+        assert fresh <= s.w.nodes[core].control.proved_at + milliseconds(1)  # a core tells whole milliseconds, not rounded up
         assert all(n.store_proved_at <= fresh for n in mates)
     s.w.cut([core, *(n.name for n in mates)], [n for n in s.w.nodes if n != core and s.w.nodes[n].zone != ZONE])
     s.w.run(1)  # what was on its way has come
--- a/tests/system/test_safety_rules.py
+++ b/tests/system/test_safety_rules.py
@@ -276,7 +276,7 @@
     (
         the_primary_and_an_owner_are_lost,
         "not-back",
-        [("silverglade.control.plan", "if fair:", "if False:", "silverglade.control.plan.why")],
+        [("silverglade.control.plan", "if grace_elapsed:", "if False:", "silverglade.control.plan.view_problem")],
     ),
 ]
 IDS = [c[0].__name__ for c in CASES]
--- a/tests/testbed/test_check_model.py
+++ b/tests/testbed/test_check_model.py
@@ -19,7 +19,7 @@
 PACKAGE = "silverglade.control."
 NUMBER_IN_FORCE = """    if operation.base != held:
         _, horizon = outcomes.horizon(store)
-        return other_base(operation.base, held, horizon) or not_in_force(held)
+        return base_mismatch(operation.base, held, horizon) or base_conflict(held)
     configuration, faults = schema.parse_configuration(operation.raw)
     if not faults and not operation.number == configuration["number"] > held:"""
 ANY_NUMBER = """    configuration, faults = schema.parse_configuration(operation.raw)
@@ -47,7 +47,7 @@
 
 
 def seal_is_not_kept(mp):
-    cut("view_change", "state.sealed = state.sealed_by_me = core.epoch\n", "state.sealed_by_me = core.epoch\n", "view_change.seal")(mp)
+    cut("view_change", "state.sealed = state.sealed_by_self = core.epoch\n", "state.sealed_by_self = core.epoch\n", "view_change.seal")(mp)
 
 
 def votes_count_whatever_the_disk(mp):
@@ -57,7 +57,7 @@
 
 def votes_count_under_an_older_base(mp):
     cut("register", " or epoch(base) < epoch(register.base)", "", "register.accept")(mp)
-    old = "        if promise.base is not None and epoch(promise.base) > epoch(self.base):\n            return Behind(promise.base)\n"
+    old = "        if promise.base is not None and epoch(promise.base) > epoch(self.base):\n            return Superseded(promise.base)\n"
     without_in_methods(mp, (old,), ("",), "promised")
 
 
@@ -117,8 +117,8 @@
         {"acknowledged-lost"},
         cut(
             "replication",
-            "    gone = store.take(state.store, change.items)\n",
-            "    core.send_outgoing(confirmation)\n    gone = store.take(state.store, change.items)\n",
+            "    gone = store.apply(state.store, change.items)\n",
+            "    core.send_outgoing(confirmation)\n    gone = store.apply(state.store, change.items)\n",
             "replication.on_replicate",
         ),
     ),
--- a/tests/testbed/test_control_cluster.py
+++ b/tests/testbed/test_control_cluster.py
@@ -131,8 +131,8 @@
         the_slower_backup_alone_is_left,
         {"both-won", "read-old"},
         REPLICATION,
-        ("    gone = store.take(state.store, change.items)", "    if succeeded:\n        core.send_outgoing(written.outgoing)"),
-        ("    core.send_outgoing(confirmation)\n    gone = store.take(state.store, change.items)", ""),
+        ("    gone = store.apply(state.store, change.items)", "    if succeeded:\n        core.send_outgoing(written.outgoing)"),
+        ("    core.send_outgoing(confirmation)\n    gone = store.apply(state.store, change.items)", ""),
         (REPLICATION + ".on_replicate", REPLICATION + ".on_written_by_backup"),
     ),
     (
@@ -171,7 +171,7 @@
         DECISIONS,
         """    if operation.base != held:
         _, horizon = outcomes.horizon(store)
-        return other_base(operation.base, held, horizon) or not_in_force(held)
+        return base_mismatch(operation.base, held, horizon) or base_conflict(held)
     configuration, faults = schema.parse_configuration(operation.raw)
     if not faults and not operation.number == configuration["number"] > held:""",
         """    configuration, faults = schema.parse_configuration(operation.raw)
@@ -192,9 +192,9 @@
         one(trials.primary_loses_power),
         {"not-back"},
         VIEW_CHANGE,
-        "    return wrong",
-        "    return None if wrong == 'silent' else wrong",
-        VIEW_CHANGE + ".why_seek",
+        "    return problem",
+        "    return None if problem == 'silent' else problem",
+        VIEW_CHANGE + ".reason_to_seek",
     ),
     (
         "nobody steps aside when it leaves",
@@ -228,7 +228,7 @@
 
 
 def score(names, need, places=PLACES, tolerance=(2, 1, 1)):
-    return spread.bears(names, need=need, places=places, tolerance=tolerance)
+    return spread.losses_tolerated(names, need=need, places=places, tolerance=tolerance)
 
 
 def test_a_set_of_cores_is_weighed_by_what_may_be_lost_of_it():
@@ -242,7 +242,7 @@
 
 def test_backups_are_spread_and_those_there_are_stay():
     def pick(me, names, was=(), tolerance=(2, 1, 1)):
-        return spread.backups(own_name=me, names=names, was=was, places=PLACES, tolerance=tolerance)
+        return spread.choose_backups(own_name=me, names=names, current=was, places=PLACES, tolerance=tolerance)
 
     assert set(pick("a", "abcde", was="bc")) == {"b", "c"}
     assert set(pick("a", "abde")) & {"b", "e"}  # never d alone, which is in its region
@@ -252,7 +252,7 @@
 
 def test_witnesses_grow_while_that_bears_no_less_and_shrink_only_with_time():
     def pick(was, live, gone=(), tolerance=(2, 1, 1), places=PLACES):
-        return "".join(sorted(spread.witnesses(was=tuple(was), live=live, gone=set(gone), places=places, tolerance=tolerance)))
+        return "".join(sorted(spread.choose_witnesses(current=tuple(was), live=live, gone=set(gone), places=places, tolerance=tolerance)))
 
     assert pick("abc", "abc") == "abc"
     assert pick("abc", "abcd") == "abc"  # four would not bear the region of a and d
--- a/tests/testbed/test_linearizability.py
+++ b/tests/testbed/test_linearizability.py
@@ -159,7 +159,7 @@
 
 def few_outcomes(monkeypatch):
     monkeypatch.setattr(outcomes, "MAX_OUTCOMES", 16)
-    monkeypatch.setattr(outcomes, "FORGOTTEN_AT_ONCE", 4)
+    monkeypatch.setattr(outcomes, "EVICTION_BATCH", 4)
 
 
 def test_where_few_outcomes_are_kept_operators_still_see_one_history(monkeypatch):
@@ -189,7 +189,7 @@
         "a change is taken on a version that stands no more",
         zone,
         DECISIONS,
-        "if operation.base != fencing_token(store, operation) and not says_what_is_so:",
+        "if operation.base != fencing_token(store, operation) and not is_unchanged:",
         "if False:",
         DECISIONS + ".decide_evacuation",
     ),
@@ -201,7 +201,7 @@
         ("if False:", ""),
         CALLS,
     ),
-    ("what was forgotten is judged anew", crowd, DECISIONS, "if base < horizon:", "if False:", DECISIONS + ".other_base"),
+    ("what was forgotten is judged anew", crowd, DECISIONS, "if base < horizon:", "if False:", DECISIONS + ".base_mismatch"),
     (
         "a read that nobody confirmed",
         a_cut_off_primary_is_read,
--- a/tests/testbed/test_second_loss.py
+++ b/tests/testbed/test_second_loss.py
@@ -70,21 +70,21 @@
         (repairs.replace, repairs.replace_planned),
         GROWN,
         {"gap", "not-whole"},
-        (SPREAD, "if borne(best or was) < whole:", "if False:", SPREAD + ".witnesses"),
+        (SPREAD, "if tolerated(best or current) < full_tolerance:", "if False:", SPREAD + ".choose_witnesses"),
     ),
     (
         "a member ends before another holds what it holds",
         (repairs.leave,),
         SMALL,
         {"left-its-view"},
-        (PLAN, "if own_name in members(view):\n        return False", "", PLAN + ".may_end"),
+        (PLAN, "if own_name in members(view):\n        return False", "", PLAN + ".may_exit"),
     ),
     (
         "a witness ends before another has its place",
         (repairs.replace_planned,),
         SMALL,
         {"gap"},
-        (PLAN, "    was = tuple(disks_of(view))\n    return own_name not in was or", "    return True or", PLAN + ".may_end"),
+        (PLAN, "    current = tuple(disks_of(view))\n    return own_name not in current or", "    return True or", PLAN + ".may_exit"),
     ),
     (
         "one that is away is waited for too long",
@@ -116,7 +116,7 @@
         return [fault[1] for seed in seeds for fault in repairs.replace_beside_a_full_disk(seed=seed)[0].faults]
 
     assert fell(range(8)) == []
-    guard = "return peer.unsteady_since is not None and"
+    guard = "return peer.unhealthy_since is not None and"
     without(monkeypatch, HEARTBEAT, guard, "return False and", "silverglade.control.state.Peers")
     assert "not-back" in fell(range(24))
 
@@ -130,7 +130,7 @@
         return [fault for fault in faults if fault[1] == "not-whole"]
 
     assert never_whole(range(4)) == []
-    monkeypatch.setattr("silverglade.control.seek.LONGEST_COPY", 0)
+    monkeypatch.setattr("silverglade.control.seek.COPY_TIMEOUT_TAKEOVERS", 0)
     assert never_whole(range(8))
 
 
@@ -147,27 +147,27 @@
 
 def test_a_recruit_that_leaves_stays_until_the_view_is_known_that_may_name_it():
     c = leaver(copied_first=True)
-    assert c.last("snapok") and not c.gen.state.released
+    assert c.last("snapok") and not c.gen.state.exit_allowed
     c.hear("a", "view", (4, "a", ("b",), (("a", "A"), ("b", "B"), ("d", "D"))))
     c.feed(("pulse",))
-    assert c.gen.state.released
+    assert c.gen.state.exit_allowed
     c = leaver(copied_first=False)
-    assert not c.last("snapok") and c.gen.state.released  # it is recruited no more
+    assert not c.last("snapok") and c.gen.state.exit_allowed  # it is recruited no more
 
 
 def test_a_member_that_has_met_nobody_yet_stays():
     b = safety.backup()
-    b.gen.state.met.clear()
+    b.gen.state.known_cores.clear()
     b.feed(("state", "leaving"))
     b.feed(("pulse",))
-    assert not b.gen.state.released
+    assert not b.gen.state.exit_allowed
     b.feed(("roll", tuple((n, "l", 1, 0, "z" + n, "r" + n, "", "", True, "leaving", (), ()) for n in "abc")))
     b.feed(("pulse",))
-    assert b.gen.state.released  # all leave: nobody waits for anybody
+    assert b.gen.state.exit_allowed  # all leave: nobody waits for anybody
 
 
 def wanted(was, live, *, gone=(), leaving=(), tolerance=(2, 1, 1)):
-    return "".join(spread.witnesses(was=tuple(was), live=live, gone=gone, leaving=leaving, places=PLACES, tolerance=tolerance))
+    return "".join(spread.choose_witnesses(current=tuple(was), live=live, gone=gone, leaving=leaving, places=PLACES, tolerance=tolerance))
 
 
 def test_a_silent_witness_goes_at_once_where_the_others_bear_all_without_it():
@@ -184,19 +184,19 @@
 def test_who_leaves_ends_when_nothing_rests_on_it():
     def may_end(me, staying, members="ab", names="abc"):
         view = View(1, members[0], tuple(members[1:]), tuple((n, "d" + n) for n in names))
-        return plan.may_end(own_name=me, view=view, staying=staying, places=PLACES, tolerance=(1, 1, 1))
+        return plan.may_exit(own_name=me, view=view, staying=staying, places=PLACES, tolerance=(1, 1, 1))
 
     assert not may_end("a", "bc") and not may_end("b", "ac") and not may_end("b", "c")  # members
     assert may_end("c", "ab")  # a witness whose place nobody can take
     assert not may_end("c", "abf")  # one whose place can be taken
-    assert may_end("f", "abc") and may_end("a", "") and plan.may_end(own_name="a", view=None, staying="b", places={}, tolerance=(1, 1, 1))
+    assert may_end("f", "abc") and may_end("a", "") and plan.may_exit(own_name="a", view=None, staying="b", places={}, tolerance=(1, 1, 1))
 
 
 @pytest.mark.parametrize(
     "module,old,target",
     [
         ("core", " and state.recruited <= self.epoch", "tests.control.test_control_safety.control_component"),
-        ("core", " and state.met | state.leaving", "tests.control.test_control_safety.control_component"),
+        ("core", " and state.known_cores | state.leaving", "tests.control.test_control_safety.control_component"),
         ("snapshots", "    if state.writes.leaving:\n        return False\n", "silverglade.control.snapshots.accept_recruiting"),
     ],
 )
