--- a/silverglade/control/context.py
+++ b/silverglade/control/context.py
@@ -1,4 +1,4 @@
-"""What all transitions of a core work on: its settings, its state, random numbers, and the effects of the step under way."""
+"""The context of all transitions of a core: its settings, state, random number generator, and the effects of the current step."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 class CoreContext:
     """The base of a core's state machine.
 
-    :ivar rng: the source of random numbers.
-    :ivar effects: those of the step under way; empty between steps.
+    :ivar rng: the random number generator.
+    :ivar effects: the effects of the current step; empty between steps.
     """
 
     settings: CoreSettings
@@ -39,29 +39,29 @@
 
     @property
     def epoch(self) -> int:
-        """The epoch of the newest view known to be chosen; 0 before the first."""
+        """The epoch of the newest view known to be chosen; 0 if there is none yet."""
         return epoch_of(self.state.view)
 
     def others(self) -> list[str]:
-        """Return every other core: those of the settings, of the view, and those met, sorted."""
+        """Return all other cores, sorted: those of the settings, those of the view, and the known ones."""
         return sorted(({*self.settings.named, *disks(self.state.view)} | self.state.known_cores) - {self.name})
 
     def led_view(self) -> View | None:
-        """Return the view if this core is its primary, with the disk that the view names."""
+        """Return the view if this core is its primary and still has the disk that the view names, else None."""
         view = self.state.view
         return view if view is not None and view.primary == self.settings.name and self.is_named_in(view) else None
 
     def open_view(self) -> View | None:
-        """Return the view if this core is its primary and has opened it."""
+        """Return the view if this core is its primary and has opened it, else None."""
         return self.led_view() if self.state.open_epoch and self.state.open_epoch == self.epoch else None
 
     def backed_view(self) -> View | None:
-        """Return the view if this core is one of its backups, with the disk that the view names."""
+        """Return the view if this core is one of its backups and still has the disk that the view names, else None."""
         view = self.state.view
         return view if view is not None and self.name in view.backups and self.is_named_in(view) else None
 
     def is_named_in(self, view: View) -> bool:
-        """Tell whether the view names this core with the disk that it has."""
+        """Return whether the view names this core with its present disk."""
         return (self.settings.name, self.settings.disk) in view.witnesses
 
     def send(self, to: str, message: Message) -> None:
@@ -69,28 +69,28 @@
         self.effects.append(Send(to, encode(message)))
 
     def send_outgoing(self, outgoing: Outgoing) -> None:
-        """Send a message that waited for a write."""
+        """Send a message that was deferred until a write completed."""
         self.send(outgoing.to, outgoing.message)
 
     def post(self, component: Component, event: Event) -> None:
-        """Hand an event to a component of this daemon."""
+        """Post an event to a component of this daemon."""
         self.effects.append(Post(component, event))
 
     def log(self, event: str, **pairs: Any) -> None:
-        """Write a line of the log."""
+        """Write a log record."""
         self.effects.append(log_record(event, **pairs))
 
     def write(self, operations: Iterable[DiskOperation], continuation: Continuation | None, now: timedelta) -> None:
-        """Begin a write to disk; `continuation` says what follows when it has ended."""
+        """Start a write to disk; `continuation` runs when it completes or fails."""
         self.effects.append(self.state.writes.begin(operations, continuation, now))
 
     def write_whole_store(self, now: timedelta) -> None:
-        """Write a primary's whole store to disk anew, since an earlier write of it may have failed."""
+        """Rewrite a primary's whole store on disk, since an earlier write may have failed."""
         self.state.store_on_disk = StoreOnDisk.WRITING
         self.write(store.rewrite_all(self.state.store), WholeStoreWritten(self.epoch), now)
 
     def publish_view(self) -> None:
-        """Let membership tell all daemons who holds control."""
+        """Publish the epoch and the members of the view to all daemons through membership."""
         view = self.state.view
         if view is not None:
             self.post(Component.MEMBERSHIP, AttributeSet("view", (view.epoch, *members(view))))
--- a/silverglade/control/core.py
+++ b/silverglade/control/core.py
@@ -1,11 +1,14 @@
 """The control component of a core (design 5): witness, primary or backup.
 
-Safety rests on four rules: a change is answered only when all members of the view have synced it; a member seals its epoch on
-disk before it copies its store for a new view; the register lets one proposal of an epoch win; a new primary opens only after
-its backups have synced the whole store under the new epoch.
+Safety rests on four rules:
 
-This module only dispatches: an event to the transition that it causes, the end of a write to what follows it. The transitions
-are functions of the modules beside it, each over the one typed state (state.py).
+- a change is acknowledged only after all members of the view have synced it;
+- a member seals its epoch on disk before it copies its store for a new view;
+- the register lets only one proposal win in each epoch;
+- a new primary opens its view only after its backups have synced the whole store under the new epoch.
+
+This module only dispatches events to transitions, and completed writes to their continuations. The transitions are functions in
+the neighbouring modules; all operate on one typed state (state.py).
 """
 
 from __future__ import annotations
@@ -71,11 +74,11 @@
 )
 
 STAMP_ORIGIN_BITS = 48
-"""Of the random number from which a process counts its stamps: two processes hardly ever meet."""
+"""Size of the random offset of a process's stamps; it makes it very unlikely that the stamps of two processes overlap."""
 
 
 class ControlCore(CoreContext):
-    """A core as a state machine without I/O. Copies (`copy.deepcopy`) share no state that changes."""
+    """A core as a state machine without I/O. Copies (`copy.deepcopy`) share no mutable state."""
 
     __slots__ = ()
 
@@ -93,19 +96,19 @@
     )
 
     def step(self, now: timedelta, event: Event) -> list[Effect]:
-        """Handle one event; return its effects in the order in which they are to be carried out."""
+        """Handle one event; return its effects in the order in which they must be performed."""
         self.start_once(now)
         self.handle(event, now)
         replication.begin_next(self, now)
         return self.take_effects()
 
     def take_effects(self) -> list[Effect]:
-        """Return the effects of the step under way, and have none."""
+        """Return the effects of the current step and clear them."""
         effects, self.effects = self.effects, []
         return effects
 
     def handle(self, event: Event, now: timedelta) -> None:
-        """Dispatch an event by its class."""
+        """Dispatch an event by its type."""
         match event:
             case TimerFired():
                 self.on_timer(now)
@@ -129,7 +132,10 @@
                 replication.on_role_operations(self, event, now)
 
     def start_once(self, now: timedelta) -> None:
-        """Begin, at the first event of this process. After a blackout nobody else says who is primary."""
+        """Initialise at the first event of this process, and publish the stored view.
+
+        After a power failure of all cores no other process publishes who is primary.
+        """
         state, settings = self.state, self.settings
         if state.next_heartbeat is not None:
             return
@@ -139,7 +145,7 @@
         self.publish_view()
 
     def on_timer(self, now: timedelta) -> None:
-        """Do what is due by now."""
+        """Run the periodic work that is due."""
         state = self.state
         self.effects.extend(state.writes.check(now))
         if state.next_heartbeat is None or now >= state.next_heartbeat:
@@ -153,7 +159,7 @@
         view_change.seek(self, now)
 
     def resend_unconfirmed(self, now: timedelta) -> None:
-        """Send again, from time to time, what a primary waits for the backups to confirm."""
+        """As primary, periodically resend the opening snapshot or the change in flight to backups that have not confirmed it."""
         view = self.led_view()
         if view is None or not self.state.writes.is_eligible or self.state.sealed >= view.epoch:
             return
@@ -163,10 +169,10 @@
             replication.replicate_again(self, view, now)
 
     def allow_exit_when_replaced(self) -> None:
-        """Allow the exit of a core that leaves, once, when nothing rests on it.
+        """Allow the exit of a leaving core, once, as soon as no view depends on it.
 
-        Not while it is a recruit, since the view that names it may be chosen by now; nor while this process has met no other core,
-        since it does not know then which of them leave too.
+        It may not exit while it is a recruit, since the view that names it may already be chosen, nor before this process knows any
+        other core, since it then cannot tell which of them are leaving too.
         """
         state = self.state
         if state.writes.leaving and not state.exit_allowed and state.recruited <= self.epoch and state.known_cores | state.leaving:
@@ -178,7 +184,7 @@
                 self.effects.append(AllowExit())
 
     def on_message_received(self, event: MessageReceived, now: timedelta) -> None:
-        """Dispatch a message, of another daemon or of this one, by what it concerns; one that is not well formed is dropped."""
+        """Dispatch a message from another daemon or from this one by its type; malformed messages are dropped."""
         sender, message = event.sender, decode(event.body)
         match message:
             case Heartbeat() if sender != self.name:
@@ -195,7 +201,7 @@
                 self.on_view_message(sender, message, now)
 
     def on_serving_message(self, sender: str, message: UpdateRequest | CommittedItems | Pull, now: timedelta) -> None:
-        """Dispatch a message about committed items."""
+        """Dispatch a message about committed items or updates."""
         match message:
             case UpdateRequest():
                 serving.on_update_request(self, sender, message, now)
@@ -205,7 +211,7 @@
                 serving.on_pull(self, sender, message)
 
     def on_replication_message(self, sender: str, message: Operation | Fence | Replicate | Replicated, now: timedelta) -> None:
-        """Dispatch a message about a change."""
+        """Dispatch a message about operations and their replication."""
         match message:
             case Operation():
                 replication.on_operation(self, sender, message)
@@ -217,7 +223,7 @@
                 replication.on_replicated(self, sender, message, now)
 
     def on_view_message(self, sender: str, message: ChosenView | Prepare | Accept | Promise | Accepted | Rejected, now: timedelta) -> None:
-        """Dispatch a message about which view follows which."""
+        """Dispatch a message about the choice of views."""
         match message:
             case ChosenView():
                 view_change.adopt(self, message.view, now)
@@ -229,7 +235,7 @@
                 view_change.on_answer(self, sender, message, now)
 
     def on_write_ended(self, number: int, succeeded: bool, now: timedelta) -> None:
-        """Go on with what waited for a write; a primary may open its view."""
+        """Run the continuation of a completed or failed write; a primary may then open its view."""
         continuation, effects = self.state.writes.complete(number, succeeded)
         self.effects.extend(effects)
         if continuation is not None:
@@ -237,7 +243,7 @@
         snapshots.open_if_synced(self, now)
 
     def run_continuation(self, continuation: Continuation, succeeded: bool, now: timedelta) -> None:
-        """Carry out what follows a write."""
+        """Run the continuation of a write."""
         match continuation:
             case SendIfSynced():
                 if succeeded:
@@ -254,7 +260,7 @@
                 serving.on_committed_items_written(self, continuation, succeeded, now)
 
     def on_membership_changed(self, event: MembershipChanged) -> None:
-        """Learn which cores live, which of them leave, and where they are."""
+        """Update the known cores, those that are leaving, and their places."""
         state = self.state
         cores = [member for member in members_of(event.members) if member.is_core]
         state.known_cores = {member.name for member in cores} - {self.name}
@@ -263,14 +269,14 @@
         state.places.update({member.name: (member.zone, member.region) for member in cores})
 
     def on_daemon_state_changed(self, event: DaemonStateChanged, now: timedelta) -> None:
-        """Tell the other cores at once that this daemon is ready or leaves, so that its places are taken."""
+        """Notify the other cores at once that this daemon is ready or leaving, so that a leaving core is replaced."""
         self.state.writes.leaving = event.state != MemberState.READY
         self.state.next_heartbeat = now
         for name in self.others():
             liveness.send_heartbeat(self, name, now)
 
     def on_process_paused(self, now: timedelta) -> None:
-        """Forget what was heard before this daemon stood still: it says nothing of now."""
+        """Discard heartbeats and proofs from before a pause of this process: they are no evidence of the present state."""
         self.log("proof-lost", shown=self.state.committed_version, age_ms=serving.proof_age_ms(self, now))
         self.state.proved_at, self.state.seeking_since = None, None
         self.state.awake_since = self.state.listening_since = now
@@ -278,32 +284,32 @@
         self.state.proofs.clear()
 
     def fingerprint(self, *, include_random_state: bool = True) -> bytes:
-        """Return sixteen bytes that are the same for equal states of the same core, in any process.
+        """Return a 16-byte digest that is the same for equal states of the same core, in any process.
 
-        :param with_chance: whether the state of the random numbers counts too.
+        :param include_random_state: whether the state of the random number generator is included.
         """
         chance = self.rng.getstate() if include_random_state else None
         return fingerprint(self.settings.name, self.settings.disk, self.state, chance)
 
     def __deepcopy__(self, memo: dict[int, Any]) -> ControlCore:
-        """Return a copy that shares what never changes: the settings, and the values of the store."""
+        """Return a copy that shares only immutable objects: the settings, and the values of the store."""
         return ControlCore(self.settings, copy_state(self.state), copy_random(self.rng), list(self.effects))
 
 
 class ControlComponent(MachineComponent):
-    """A control core in the form that the daemon machine drives."""
+    """Adapts a control core to the component interface of the daemon machine."""
 
     machine: ControlCore
 
     def handle(self, now: timedelta, event: Event | RawEvent) -> Iterable[Effect]:
-        """Handle one event; the first of any kind starts the core, also one that it does not handle."""
+        """Handle one event. The first event of any type starts the core, even if the core does not handle that type."""
         self.machine.start_once(now)
         started = self.machine.take_effects()
         return (*started, *super().handle(now, event)) if started else super().handle(now, event)
 
     @property
     def state(self) -> CoreState:
-        """The whole state, for figures, fault injection and tests; read only."""
+        """The complete state, read-only, for statistics, fault injection and tests."""
         return self.machine.state
 
 
@@ -323,8 +329,8 @@
 
     :param name: the core's name.
     :param disk: the random id of its disk.
-    :param cores: those that form the first view; others are met through membership and their heartbeats.
-    :param saved: the tables on disk as last synced.
+    :param cores: the cores that form the first view; others are learnt from membership and heartbeats.
+    :param saved: the contents of the tables on disk as last synced, by table name.
     :param tuning: time settings and limits, shared by all components.
     :param place: the core's zone and region.
     :param tolerance: how many machines, zones and regions may be lost at once.
--- a/silverglade/control/decisions.py
+++ b/silverglade/control/decisions.py
@@ -1,7 +1,7 @@
-"""What the primary makes of an operation on the store as it stands (design 5.3, 5.4).
+"""The primary's evaluation of operations against the current store (design 5.3, 5.4).
 
-`decide` judges one operation alone; `settle` also knows operations that come again by their change id, and notes outcomes. Both
-are pure: they return the items to write, and change nothing.
+`decide` evaluates a single operation. `settle` also recognises repeated operations by their change id and records outcomes. Both
+are pure: they return the items to write and change nothing.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 )
 
 MAX_FAULTS_CHARS = 2000
-"""Characters of the faults of a configuration that its sender is told."""
+"""Maximum length, in characters, of the list of faults returned to the sender of an invalid configuration."""
 
 
 def settle(
@@ -67,14 +67,14 @@
     previous: Version,
     aged: Version = INITIAL_VERSION,
 ) -> tuple[Result, Items]:
-    """Judge an operation, or find the outcome of one whose change id was settled before.
-
-    :param change_id: the operator's own name of the change; "" for none.
-    :param digest: of the operation's text: one change id stands for one text.
-    :param version: the one that the change will carry if it is taken.
-    :param previous: the version of the store now.
-    :param aged: the newest version whose outcomes were kept long enough.
-    :returns: what the client is told, and the items that the store gets.
+    """Evaluate an operation, or return the recorded outcome if its change id was settled before.
+
+    :param change_id: the change id given by the operator, an idempotency key; "" for none.
+    :param digest: digest of the operation's text; a change id belongs to one text.
+    :param version: the version that the change gets if it is accepted.
+    :param previous: the current version of the store.
+    :param aged: the newest version whose outcomes have been kept for the retention time.
+    :returns: the result for the client, and the items to write to the store.
     """
     known = outcomes.find_outcome(store, change_id)
     if known is not None:
@@ -97,14 +97,14 @@
 
 
 def repeated_result(store: StoreView, operation: ControlOperation, change_id: str, digest: str, known: outcomes.Outcome) -> Result:
-    """Return the result of an operation whose change id has the outcome `known`."""
+    """Return the result of a repeated operation whose change id has the recorded outcome `known`."""
     if known.digest != digest:
         return Refused(result_codes.CHANGE_USED, change_id)
     return Acknowledged(known.version) if known.version != INITIAL_VERSION else refuse_future_base(store, operation)
 
 
 def refusal_items(store: StoreView, change_id: str, digest: str, version: Version, aged: Version) -> Items:
-    """Return the note that a change was refused for good: a late copy of it must not be taken once its base has come."""
+    """Return items that record a final refusal: a late duplicate of the change must not be accepted once its base exists."""
     if not change_id:
         return ()
     note = outcomes.outcome_item(change_id=change_id, digest=digest, version=version, number=0, taken=False)
@@ -112,27 +112,27 @@
 
 
 def refuse_future_base(store: StoreView, operation: ControlOperation) -> Refused:
-    """Refuse an operation on a base that is still to come, and name the one in force."""
+    """Refuse an operation whose base does not exist yet, and name the version or number in force."""
     if isinstance(operation, TableChange):
         return base_conflict(configuration_number(store))
     return base_conflict(version_text(version_of(store, CONFIGURATION_KEY)))
 
 
 def version_text(version: Version) -> str:
-    """Return a version as operators read it."""
+    """Return a version in the form shown to operators."""
     epoch, number = version
     return f"{epoch}.{number}"
 
 
 def base_conflict(in_force: int | str) -> Refused:
-    """Refuse an operation whose base is not the one in force."""
+    """Refuse an operation because its base is not the one in force."""
     return Refused(result_codes.CONFLICT, f"in force is {in_force}")
 
 
 def decide(store: StoreView, operation: ControlOperation, version: Version) -> Decision:
-    """Judge one operation. The primary alone calls this.
+    """Evaluate one operation. Only the primary calls this.
 
-    :param version: the one that the change will carry if it is taken.
+    :param version: the version that the change gets if it is accepted.
     """
     match operation:
         case ConfigurationChange():
@@ -157,7 +157,7 @@
 
 
 def decide_configuration(store: StoreView, operation: ConfigurationChange, version: Version) -> Decision:
-    """Judge a configuration that names the version which it replaces."""
+    """Evaluate a configuration change whose base is the version that it replaces."""
     held = version_of(store, CONFIGURATION_KEY)
     if operation.base != held:
         horizon, _ = outcomes.horizon(store)
@@ -169,7 +169,7 @@
 
 
 def decide_table(store: StoreView, operation: TableChange, version: Version) -> Decision:
-    """Judge a configuration that is told apart by the operator's own numbers (design 15.2)."""
+    """Evaluate a configuration change whose versions the operator numbers (design 15.2)."""
     held = configuration_number(store)
     if operation.base != held:
         _, horizon = outcomes.horizon(store)
@@ -183,9 +183,9 @@
 
 
 def base_mismatch(base: Any, held: Any, horizon: Any) -> Stale | FutureBase | None:
-    """Judge a change on another base than the one held; None where it is surely refused.
+    """Return the decision on a change whose base is not the current one; None for an ordinary refusal.
 
-    :param horizon: a change on a base below it may have been taken, with its outcome forgotten.
+    :param horizon: a change with a base below it may have been accepted earlier and its outcome since forgotten, so it is stale.
     """
     if base < horizon:
         return Stale()
@@ -193,13 +193,13 @@
 
 
 def refuse_invalid_configuration(faults: Any) -> Refused:
-    """Refuse a configuration, with the path and the sentence of each fault."""
+    """Refuse a configuration; the detail lists the path and the description of each fault."""
     text = "; ".join(f"{path}: {sentence}" for path, sentence in faults)
     return Refused(result_codes.BAD_CONFIG, text[:MAX_FAULTS_CHARS])
 
 
 def apply_if_store_fits(store: StoreView, version: Version, values: Values) -> Decision:
-    """Take a configuration only if the store with it fits a frame: it travels whole between members, and to daemons."""
+    """Accept a configuration only if the resulting store fits in one frame, since the store is sent whole to members and daemons."""
     rows = {**store, **{key: (version, value) for key, value in values}}
     try:
         fits = framing.fits_in_frame(tuple((key, item_version, value) for key, (item_version, value) in rows.items()))
@@ -209,10 +209,10 @@
 
 
 def fencing_token(store: StoreView, operation: FencedOperation) -> Version:
-    """Return the version on which an operation without a base of its own rests (design 5.4).
+    """Return the fencing token of an operation that has no base of its own: the version it depends on (design 5.4).
 
-    Every change of what the operation concerns makes a new one, above all before it; so does one of the configuration for an
-    evacuation, since the configuration decides whether the zone is known.
+    Every change to the item that the operation concerns yields a new, higher token. For an evacuation so does a change of the
+    configuration, which determines whether the zone is known.
     """
     if isinstance(operation, Evacuate):
         return fencing_token_of(store, (evacuation_key(operation.zone), CONFIGURATION_KEY))
@@ -220,7 +220,7 @@
 
 
 def decide_evacuation(store: StoreView, operation: Evacuate) -> Decision:
-    """Judge an evacuation. What is so already may be said again: it makes a new version, and so fences others out."""
+    """Evaluate an evacuation. Setting the current value again is accepted; it makes a new version and so fences out other operations."""
     configuration = value_of(store, CONFIGURATION_KEY)
     if not configuration or operation.zone not in configuration["zones"]:
         return Refused(result_codes.UNKNOWN_ZONE, operation.zone)
@@ -232,7 +232,7 @@
 
 
 def decide_assignment(store: StoreView, operation: AssignRole) -> Decision:
-    """Judge the naming of a role's holder, which rests on the role's epoch."""
+    """Evaluate the assignment of a role, which is conditional on the role's epoch."""
     held = role_assignment(store, operation.kind, operation.name)
     if (held.epoch if held else 0) != operation.base_epoch:
         return Refused(result_codes.CONFLICT, operation.name)
@@ -242,13 +242,13 @@
 
 
 def decide_assignments(store: StoreView, operation: AssignRoles) -> Decision:
-    """Take those of several assignments whose base stands."""
+    """Accept those of several assignments whose base epoch is still current."""
     decisions = [decide_assignment(store, assignment) for assignment in operation.assignments]
     return Apply(tuple(value for decision in decisions if isinstance(decision, Apply) for value in decision.values))
 
 
 def decide_drop(store: StoreView, operation: DropRoles) -> Decision:
-    """Drop the roles that there are, and raise the floor of their kind to the highest epoch among them."""
+    """Drop those of the named roles that exist, and raise the epoch floor of their kind to the highest epoch among them."""
     held = {name: role_assignment(store, operation.kind, name) for name in operation.names}
     epochs = {name: assignment.epoch for name, assignment in held.items() if assignment}
     if not epochs:
@@ -259,7 +259,7 @@
 
 
 def decide_reopening(store: StoreView, operation: ReopenShard) -> Decision:
-    """Judge the reopening of a shard without its follower: an operator accepts that claims are lost (design 6.4)."""
+    """Evaluate the reopening of a shard without its follower, by which an operator accepts the loss of claims (design 6.4)."""
     held = role_assignment(store, SHARD_ROLE, operation.name)
     if operation.base != fencing_token(store, operation):
         return Stale()
@@ -269,7 +269,10 @@
 
 
 def decide_usage(store: StoreView, operation: RecordUsage) -> Decision:
-    """Judge a usage report: only the holder's, and each window once, so that no window is ever sent with two contents (design 18.2)."""
+    """Evaluate a usage report (design 18.2).
+
+    Only the holder of the duty may record one, and each window once, so that no window is ever sent with two contents.
+    """
     held = role_assignment(store, DUTY_ROLE, Duty.USAGE)
     if held is None or held.epoch != operation.base_epoch:
         return Refused(result_codes.CONFLICT, Duty.USAGE)
--- a/silverglade/control/judgements.py
+++ b/silverglade/control/judgements.py
@@ -1,4 +1,4 @@
-"""What `decisions.decide` makes of one operation; a refusal or a stale operation is a result of its own (operation_results.py)."""
+"""The decisions that `decisions.decide` returns for one operation, besides the results `Refused` and `Stale` (operation_results.py)."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 from .operation_results import Refused, Stale
 
 Values = tuple[tuple[str, Any], ...]
-"""Keys and the values that they get."""
+"""(key, new value) pairs."""
 
 
 @dataclass(slots=True)
 class Apply:
-    """The operation is taken: the store gets these values."""
+    """The operation is accepted: these values are written to the store."""
 
     values: Values
 
 
 @dataclass(slots=True)
 class Read:
-    """The operation reads: its client is told this text, once the backups have confirmed the view."""
+    """The operation is a read: the client gets this text once the backups have confirmed the view."""
 
     source: Any
 
 
 @dataclass(slots=True)
 class FutureBase:
-    """The operation rests on a base that is still to come, so it is refused."""
+    """The operation names a base that does not exist yet, so it is refused."""
 
 
 Decision = Apply | Read | FutureBase | Refused | Stale
--- a/silverglade/control/liveness.py
+++ b/silverglade/control/liveness.py
@@ -1,4 +1,4 @@
-"""Heartbeats between cores, and the proof that the primary is still primary (design 5.10, 5.7)."""
+"""Heartbeats between cores, and the proof that the primary still leads (design 5.10, 5.7)."""
 
 from __future__ import annotations
 
@@ -33,18 +33,19 @@
 
 
 def own_echo(core: CoreContext, echo: int, now: timedelta) -> int:
-    """Return when this process sent the stamp that came back, in ms of its clock; -1 where it did not send it.
+    """Return when this process sent an echoed stamp, in ms of its clock; -1 if it did not send it.
 
-    It may be a stamp of an earlier process, whose clock stood elsewhere, or of another core that had this address before.
+    The stamp may be from an earlier process with a different clock, or from another core that had this address before.
     """
     sent = echo - core.state.stamp_origin
     return sent if 0 <= sent <= to_milliseconds(now) else -1
 
 
 def gets_regular_heartbeats(core: CoreContext, name: str, now: timedelta) -> bool:
-    """Tell whether this core sends heartbeats to that one regularly (design 5.10).
+    """Return whether this core sends regular heartbeats to the core `name` (design 5.10).
 
-    The primary does to all, all do to the primary; one that misses the primary, or seeks a view, does to all.
+    The primary sends them to all cores, and every core sends them to the primary. A core that does not receive the primary's
+    heartbeats, or that seeks a view, sends them to all.
     """
     state, view = core.state, core.state.view
     if view is None or state.seeker is not None:
@@ -57,7 +58,7 @@
     interval, sent = core.settings.tuning["heartbeat"], core.state.heartbeat_sent
     backed, opened = core.backed_view(), core.open_view()
     for name in core.others():
-        # a backup answers its primary at once; the primary tells the rest when its proof is new
+        # a backup answers its primary's heartbeats at once; the primary sends to the other cores when it has a new proof
         sent_anyway = backed is not None and name == backed.primary or opened is not None and name not in opened.backups
         wait = interval * (0.5 + sent_anyway)
         if gets_regular_heartbeats(core, name, now) and now - sent.get(name, -2 * interval) >= wait:
@@ -65,7 +66,7 @@
 
 
 def on_heartbeat(core: CoreContext, sender: str, heartbeat: Heartbeat, now: timedelta) -> None:
-    """Take in the heartbeat of another core; answer it, and draw the proof from it, where that applies."""
+    """Handle a heartbeat of another core: answer it if needed, and update the proof that the primary leads."""
     state = core.state
     heartbeat = heartbeat._replace(echo=own_echo(core, heartbeat.echo, now))
     is_new, was_up = state.peers.disk(sender) != heartbeat.disk, state.peers.is_up(sender, now)
@@ -82,7 +83,7 @@
     opened = core.open_view()
     if opened is not None and sender in opened.backups and heartbeat.sealed < heartbeat.epoch:
         record_proof(core, opened, sender, heartbeat, now)
-    if heartbeat.committed > state.committed_version:  # what any core of this view shows was acknowledged
+    if heartbeat.committed > state.committed_version:  # any core of this view reports only what was acknowledged
         pull_committed_items(core, sender, now)
     elif heartbeat.age >= 0:
         age = 0 if is_sole_confirming_backup(core, state.view, sender, heartbeat) else heartbeat.age
@@ -90,10 +91,10 @@
 
 
 def needs_reply(core: CoreContext, sender: str, heartbeat: Heartbeat, now: timedelta) -> bool:
-    """Tell whether a heartbeat is answered at once.
+    """Return whether a heartbeat must be answered at once.
 
-    That of the primary is, since the answer is the proof that it leads; so is that of a core which has not heard this process
-    yet. One that expects an answer for another reason gets it, but not too often.
+    A backup always answers the primary, since the answer is the proof that the primary leads. A core that has not yet received a
+    heartbeat of this process always gets an answer too. In other cases answers are rate-limited.
     """
     backed, interval = core.backed_view(), core.settings.tuning["heartbeat"]
     if backed is not None and sender == backed.primary or heartbeat.echo < 0:
@@ -103,7 +104,10 @@
 
 
 def record_proof(core: CoreContext, view: View, backup: str, heartbeat: Heartbeat, now: timedelta) -> None:
-    """Note that a backup which has not sealed its epoch has heard the primary; when all have, tell the other cores."""
+    """Record that a backup which has not sealed its epoch has received the primary's heartbeat.
+
+    Once every backup has confirmed, send the new proof to the other cores.
+    """
     state, interval = core.state, core.settings.tuning["heartbeat"]
     state.proofs[backup] = max(state.proofs.get(backup, ZERO), milliseconds(heartbeat.echo))
     if len(state.proofs) == len(view.backups):
@@ -114,7 +118,7 @@
 
 
 def pull_committed_items(core: CoreContext, sender: str, now: timedelta) -> None:
-    """Ask the sender for committed items that this core lacks; not at once, since they may be on their way."""
+    """Request missing committed items from the sender, after a short wait since they may already be in transit."""
     state, interval = core.state, core.settings.tuning["heartbeat"]
     late = state.pulled_at is not None and now - state.pulled_at >= interval / 2
     if state.committed_version == INITIAL_VERSION or late:
@@ -124,9 +128,9 @@
 
 
 def is_sole_confirming_backup(core: CoreContext, view: View, sender: str, heartbeat: Heartbeat) -> bool:
-    """Tell whether this core, as the only backup, is itself the proof that the primary led when it sent this heartbeat.
+    """Return whether this core, as the only backup, proves by itself that the primary led when it sent this heartbeat.
 
-    Without this backup's seal no later view can have begun.
+    No later view can have started without this backup's seal.
     """
     unsealed = max(heartbeat.sealed, core.state.sealed) < heartbeat.epoch
     return sender == view.primary and view.backups == (core.name,) and core.backed_view() is not None and unsealed
--- a/silverglade/control/messages.py
+++ b/silverglade/control/messages.py
@@ -1,8 +1,8 @@
-"""The messages between cores, one class a kind (design 5).
+"""The messages of control, one class per kind (design 5).
 
-On the wire each is an array of its kind and its fields in the order given here (transport/message_schemas.py checks the shapes of
-all kinds before any component sees them; transport/framing.py packs them). `decode` checks a body once, where it enters
-control; from there on messages are matched by class.
+On the wire a message is an array of its kind and its fields, in the order given here. transport/message_schemas.py checks the
+shapes of all kinds before any component sees them, and transport/framing.py packs them. `decode` validates a body once, where it
+enters control; from there on messages are matched by class.
 """
 
 from __future__ import annotations
@@ -15,16 +15,17 @@
 
 
 class Heartbeat(NamedTuple):
-    """What a core says of itself.
+    """The status of a core.
 
-    :ivar committed: the newest version that it may tell to others.
-    :ivar able: whether its disk takes writes, and it does not leave.
+    :ivar epoch: the epoch of the newest view that it knows to be chosen.
+    :ivar committed: the newest version that it has committed.
+    :ivar eligible: whether it may be a member of a view: its disk is writable and it is not leaving.
     :ivar disk: the id of its disk.
     :ivar sealed: the newest epoch that it sealed.
-    :ivar blank: whether its disk is empty and it may form the first view.
-    :ivar stamp: its clock, in ms.
+    :ivar can_form: whether its disk is empty and it may form the first view.
+    :ivar stamp: its clock, in ms, plus a random offset of its process.
     :ivar echo: the newest stamp of the receiver that it has seen; -1 for none.
-    :ivar age: of its proof that the primary is still primary, in ms; -1 for none.
+    :ivar age: the age of its proof that the primary leads, in ms; -1 for none.
     """
 
     epoch: int
@@ -45,13 +46,13 @@
 
 
 class Prepare(NamedTuple):
-    """A proposer asks a witness to promise its ballot."""
+    """A proposer asks a witness to promise to reject lower ballots than this one."""
 
     ballot: Ballot
 
 
 class Accept(NamedTuple):
-    """A proposer asks a witness to accept `view` as the one that follows `base`."""
+    """A proposer asks a witness to accept `view` as the successor of `base`."""
 
     ballot: Ballot
     base: View | None
@@ -59,7 +60,7 @@
 
 
 class Promise(NamedTuple):
-    """A witness will take no lower ballot; what it accepted so far, and the newest view it knows to be chosen."""
+    """A witness promises to reject lower ballots; with the view it has accepted so far, and the newest one it knows to be chosen."""
 
     ballot: Ballot
     disk: str
@@ -69,14 +70,14 @@
 
 
 class Accepted(NamedTuple):
-    """A witness accepted the view of this ballot."""
+    """A witness has accepted the view proposed under this ballot."""
 
     ballot: Ballot
     disk: str
 
 
 class Rejected(NamedTuple):
-    """A witness has promised a higher ballot, or knows a later base."""
+    """A witness rejects a ballot: it has promised a higher one, or knows a later base."""
 
     ballot: Ballot
     disk: str
@@ -84,7 +85,7 @@
 
 
 class Snapshot(NamedTuple):
-    """A whole store: for a recruit of the view with that epoch (`view` is None), or to open `view`."""
+    """A whole store, sent to recruit a core for the view of that epoch (`view` is None) or to open `view`."""
 
     epoch: int
     nonce: int
@@ -93,7 +94,7 @@
 
 
 class SnapshotSynced(NamedTuple):
-    """A member has synced the snapshot; on which disk."""
+    """A core has synced the snapshot to its disk, whose id is `disk`."""
 
     epoch: int
     nonce: int
@@ -101,7 +102,7 @@
 
 
 class Replicate(NamedTuple):
-    """A change for a backup to sync; without items it only asks whether the view still holds."""
+    """A change for a backup to sync; without items, a request to confirm that the view still holds."""
 
     epoch: int
     nonce: int
@@ -111,14 +112,14 @@
 
 
 class Replicated(NamedTuple):
-    """A backup has synced the change, or confirms the view."""
+    """A backup has synced the change, or confirms that the view still holds."""
 
     epoch: int
     nonce: int
 
 
 class CommittedItems(NamedTuple):
-    """The items acknowledged after `previous`, up to `version`; none are sent to a backup, which holds them already."""
+    """The items acknowledged after `previous`, up to `version`; empty for a backup, which already has them."""
 
     epoch: int
     previous: Version
@@ -127,13 +128,13 @@
 
 
 class Pull(NamedTuple):
-    """A core asks for what was acknowledged after a version."""
+    """A core requests the items acknowledged after a version."""
 
     version: Version
 
 
 class UpdateRequest(NamedTuple):
-    """A daemon asks for an update after a version; `position` is where its table of soft state stands."""
+    """A daemon requests an update after a version; `position` is the position of its table of soft state."""
 
     number: int
     version: Version
@@ -141,7 +142,7 @@
 
 
 class Operation(NamedTuple):
-    """A client's operation; `change` is its id for repeats, `digest` that of its text."""
+    """A client's operation; `change` is its change id, an idempotency key, and `digest` the digest of its text."""
 
     number: int
     change: str
@@ -150,21 +151,21 @@
 
 
 class Fence(NamedTuple):
-    """A client asks on which version an operation without a base of its own would rest now (configuration/operator_calls.py)."""
+    """A client requests the fencing token of an operation without a base of its own (configuration/operator_calls.py)."""
 
     number: int
     operation: tuple[Any, ...]
 
 
 class Fenced(NamedTuple):
-    """The answer: the operation is taken only while that version stands."""
+    """The answer to `Fence`: the operation is accepted only while `version` is current."""
 
     number: int
     version: Version
 
 
 class OperationResult(NamedTuple):
-    """The answer to a client's operation; `result` is the array of one of operation_results.py."""
+    """The answer to a client's operation; `result` is the encoded form of a class in operation_results.py."""
 
     number: int
     result: tuple[Any, ...]
@@ -231,7 +232,7 @@
 
 
 def encode(message: Message) -> tuple[Any, ...]:
-    """Return the array that travels."""
+    """Return the array sent on the wire."""
     name = NAMES[type(message)]
     if name in KINDS_WITH_VIEWS_OR_BALLOTS:
         return (name, *[to_array(field) for field in message])
@@ -239,7 +240,7 @@
 
 
 def decode(body: tuple[Any, ...]) -> Message | None:
-    """Return the message of a body; None for a kind that control does not handle, or one that is not well formed."""
+    """Decode a message body; return None for a kind that control does not handle, or for a malformed body."""
     known = KINDS.get(body[0])
     if known is None:
         return None
--- a/silverglade/control/operation_results.py
+++ b/silverglade/control/operation_results.py
@@ -1,6 +1,6 @@
-"""What a client is told of its operation, one class a kind (design 5.4).
+"""Results of operations, as returned to clients, one class per kind (design 5.4).
 
-A result travels within an `OperationResult` message as an array of its tag and its fields.
+A result is sent in an `OperationResult` message as an array of its tag and its fields.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 
 
 class Acknowledged(Record):
-    """The change is synced by all members; the store has this version."""
+    """The change was synced by all members of the view; `version` is the version of the change."""
 
     version: Version
 
     def encode(self) -> tuple[Any, ...]:
-        """Return the array that travels."""
+        """Return the array sent on the wire."""
         return ("ok", self.version)
 
 
 class SourceRead(Record):
-    """The text of the configuration in force, in a store of this version."""
+    """The source text of the configuration in force; `version` is the version of the store."""
 
     version: Version
     source: Any
 
     def encode(self) -> tuple[Any, ...]:
-        """Return the array that travels."""
+        """Return the array sent on the wire."""
         return ("ok", self.version, self.source)
 
 
 class Refused(Record):
-    """The operation was not taken and will not be.
+    """The operation was refused and will never be accepted.
 
     :ivar code: one of runtime/result_codes.py.
     """
@@ -42,43 +42,43 @@
     detail: str
 
     def encode(self) -> tuple[Any, ...]:
-        """Return the array that travels."""
+        """Return the array sent on the wire."""
         return ("refuse", self.code, self.detail)
 
 
 class Redirected(Record):
-    """The core that was asked is not the primary; `primary` is, as far as it knows ("" where it knows none)."""
+    """The core that was asked is not the primary; `primary` is the primary that it knows, "" for none."""
 
     primary: str
 
     def encode(self) -> tuple[Any, ...]:
-        """Return the array that travels."""
+        """Return the array sent on the wire."""
         return ("elsewhere", self.primary)
 
 
 class OutcomeUnknown(Record):
-    """The operation may have been taken, or may be under a later view."""
+    """The operation may or may not have been accepted, or may yet be under a later view."""
 
     def encode(self) -> tuple[Any, ...]:
-        """Return the array that travels."""
+        """Return the array sent on the wire."""
         return ("unknown",)
 
 
 class Stale(Record):
-    """The operation can't be judged on its base; this copy of it changed nothing."""
+    """The operation cannot be evaluated against its base; this copy of the request changed nothing."""
 
     def encode(self) -> tuple[Any, ...]:
-        """Return the array that travels."""
+        """Return the array sent on the wire."""
         return ("stale",)
 
 
 class UnrecognizedResult(Record):
-    """An array of no known shape, as from a later program; it is never sent."""
+    """An array of unknown shape, as from a later program version; it is never sent."""
 
     raw: tuple[Any, ...]
 
     def encode(self) -> tuple[Any, ...]:
-        """Return the array that travels."""
+        """Return the array sent on the wire."""
         return self.raw
 
 
@@ -86,7 +86,7 @@
 
 
 def decode_result(raw: tuple[Any, ...]) -> Result:
-    """Return the typed result of an array."""
+    """Decode a result from its array."""
     match raw:
         case ("ok", version):
             return Acknowledged(version)
--- a/silverglade/control/operations.py
+++ b/silverglade/control/operations.py
@@ -1,7 +1,7 @@
-"""Operations that a client may ask the primary for (design 5.3), one class a kind.
+"""Operations that a client can request from the primary (design 5.3), one class per kind.
 
-An operation travels as an array of its `TAG` and its fields in the order given here. Shapes are checked by
-transport/message_schemas.py before a component sees a message; an array of no known shape decodes to `UnknownOperation`.
+On the wire an operation is an array of its `TAG` and its fields, in the order given here. transport/message_schemas.py checks
+shapes before a component sees a message; an array of unknown shape decodes to `UnknownOperation`.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 
 
 class ConfigurationChange(Record):
-    """Put a configuration in force in place of the one of version `base`."""
+    """Replace the configuration of version `base` by a new one."""
 
     TAG: ClassVar[str] = "config"
     base: Version
     raw: Any
 
     def encode(self) -> tuple[Any, ...]:
-        """Return the array that travels."""
+        """Return the array sent on the wire."""
         return (self.TAG, self.base, self.raw)
 
 
 class TableChange(Record):
-    """Put a configuration in force whose versions the operator numbers (design 15.2).
+    """Replace a configuration whose versions the operator numbers (design 15.2).
 
-    :ivar base: the operator's number of the configuration that it replaces; 0 for none.
-    :ivar number: the operator's number of this one.
+    :ivar base: the operator's number of the configuration to replace; 0 for none.
+    :ivar number: the operator's number of the new configuration.
     :ivar source: the text from which `raw` was made.
     """
 
@@ -41,24 +41,24 @@
     source: str
 
     def encode(self) -> tuple[Any, ...]:
-        """Return the array that travels."""
+        """Return the array sent on the wire."""
         return (self.TAG, self.base, self.number, self.raw, self.source)
 
 
 class ReadSource(Record):
-    """Read the text of the configuration in force."""
+    """Read the source text of the configuration in force."""
 
     TAG: ClassVar[str] = "read"
 
     def encode(self) -> tuple[Any, ...]:
-        """Return the array that travels."""
+        """Return the array sent on the wire."""
         return (self.TAG,)
 
 
 class Evacuate(Record):
-    """Drain a zone, or take it back.
+    """Drain a zone, or return it to service.
 
-    :ivar base: the fencing token; None where the client has asked for none.
+    :ivar base: the fencing token; None if the client has not requested one.
     """
 
     TAG: ClassVar[str] = "evac"
@@ -67,15 +67,15 @@
     base: Version | None = None
 
     def encode(self) -> tuple[Any, ...]:
-        """Return the array that travels; without a base it ends before it."""
+        """Return the array sent on the wire; without a fencing token the last field is omitted."""
         fields = (self.TAG, self.zone, self.drained)
         return fields if self.base is None else (*fields, self.base)
 
 
 class ReopenShard(Record):
-    """Give up a shard's follower, and with it the claims that it holds alone (design 6.4).
+    """Reopen a shard without its follower, giving up the claims that only the follower holds (design 6.4).
 
-    :ivar base: the fencing token; None where the client has asked for none.
+    :ivar base: the fencing token; None if the client has not requested one.
     """
 
     TAG: ClassVar[str] = "reopen"
@@ -83,17 +83,17 @@
     base: Version | None = None
 
     def encode(self) -> tuple[Any, ...]:
-        """Return the array that travels; without a base it ends before it."""
+        """Return the array sent on the wire; without a fencing token the last field is omitted."""
         fields = (self.TAG, self.name)
         return fields if self.base is None else (*fields, self.base)
 
 
 class AssignRole(Record):
-    """Name the holder of a singleton role (design 5.6).
+    """Assign a singleton role to a daemon (design 5.6).
 
-    :ivar kind: "shard" or "ledger".
-    :ivar base_epoch: the role's epoch when this was decided; 0 where nobody held it.
-    :ivar follower: the daemon that keeps a copy for the holder; "" for none.
+    :ivar kind: "shard", "ledger" or "platform".
+    :ivar base_epoch: the role's epoch when the assignment was decided; 0 if it had no holder.
+    :ivar follower: the daemon that keeps a replica for the holder; "" for none.
     """
 
     TAG: ClassVar[str] = "duty"
@@ -104,43 +104,43 @@
     follower: str
 
     def encode(self) -> tuple[Any, ...]:
-        """Return the array that travels."""
+        """Return the array sent on the wire."""
         return (self.TAG, *self.row())
 
     def row(self) -> tuple[str, str, int, str, str]:
-        """Return the fields, as they stand among the rows of `AssignRoles`."""
+        """Return the fields in the form of a row of `AssignRoles`."""
         return (self.kind, self.name, self.base_epoch, self.holder, self.follower)
 
 
 class AssignRoles(Record):
-    """Name the holders of several singleton roles; those whose base has changed meanwhile are left out."""
+    """Assign several singleton roles; assignments whose base epoch is out of date are skipped."""
 
     TAG: ClassVar[str] = "duties"
     assignments: tuple[AssignRole, ...]
 
     def encode(self) -> tuple[Any, ...]:
-        """Return the array that travels."""
+        """Return the array sent on the wire."""
         return (self.TAG, tuple([assignment.row() for assignment in self.assignments]))
 
 
 class DropRoles(Record):
-    """Drop singleton roles of one kind that nobody needs any more."""
+    """Drop singleton roles of one kind that are no longer needed."""
 
     TAG: ClassVar[str] = "drop"
     kind: str
     names: tuple[str, ...]
 
     def encode(self) -> tuple[Any, ...]:
-        """Return the array that travels."""
+        """Return the array sent on the wire."""
         return (self.TAG, self.kind, self.names)
 
 
 class RecordUsage(Record):
-    """Record what the holder of the duty is about to report for a window, before it sends it (design 18.2).
+    """Record the usage report of a window before the holder of the duty sends it (design 18.2).
 
-    :ivar base_epoch: epoch of the duty's role under which this was decided.
-    :ivar window: its number; all windows below it are closed with this.
-    :ivar counts: (tenant, requests) each.
+    :ivar base_epoch: the epoch of the duty's role under which the report was made.
+    :ivar window: the number of the window; this closes all windows below it.
+    :ivar counts: (tenant, number of requests) pairs.
     """
 
     TAG: ClassVar[str] = "usage"
@@ -149,22 +149,22 @@
     counts: tuple[tuple[str, int], ...]
 
     def encode(self) -> tuple[Any, ...]:
-        """Return the array that travels."""
+        """Return the array sent on the wire."""
         return (self.TAG, self.base_epoch, self.window, self.counts)
 
 
 class UnknownOperation(Record):
-    """An operation of a later program, or a malformed one."""
+    """An operation of a later program version, or a malformed one."""
 
     raw: tuple[Any, ...]
 
     def encode(self) -> tuple[Any, ...]:
-        """Return the array that travels."""
+        """Return the array sent on the wire."""
         return self.raw
 
 
 FencedOperation = Evacuate | ReopenShard
-"""Operations without a base of their own: they rest on a fencing token (design 5.4)."""
+"""Operations without a base of their own; a fencing token takes its place (design 5.4)."""
 
 ControlOperation = (
     ConfigurationChange
@@ -181,7 +181,7 @@
 
 
 def decode_operation(raw: tuple[Any, ...]) -> ControlOperation:
-    """Return the typed operation of an array."""
+    """Decode an operation from its array."""
     match raw:
         case (ConfigurationChange.TAG, base, configuration):
             return ConfigurationChange(base, configuration)
@@ -203,7 +203,7 @@
 
 
 def decode_fenced_operation(raw: tuple[Any, ...]) -> FencedOperation | UnknownOperation:
-    """Return the typed operation of an array, of those that rest on a fencing token."""
+    """Decode an operation that carries a fencing token from its array."""
     match raw:
         case (Evacuate.TAG, zone, bool(drained)):
             return Evacuate(zone, drained)
--- a/silverglade/control/outcomes.py
+++ b/silverglade/control/outcomes.py
@@ -1,12 +1,14 @@
-"""Outcomes of operators' changes (design 5.3): a change that was taken is acknowledged again whenever it is sent again.
+"""Recorded outcomes of operators' changes (design 5.3): a repeat of an accepted change is acknowledged again.
 
-An outcome stands in the store under its change's id: (digest of the call, version, number). `INITIAL_VERSION` as its version says that
-the change was refused for good, since it named a base that was still to come. `number` is the operator's own, 0 for none.
+The store holds an outcome under the change's id, an idempotency key: (digest of the call, version, number). The version
+`INITIAL_VERSION` means that the change was finally refused, since it named a base that did not exist yet. `number` is the operator's
+number, 0 for none.
 
-The horizon (version, number) says what was forgotten: every outcome up to that version but the one of the configuration in
-force; the highest number among them. The primary moves it, as part of a change that it takes, so that backups, snapshots
-and later primaries forget alike. Numbers and versions rise with each change that is taken; so a change whose base is not
-below the horizon is either remembered or was never taken, and one below it can't be judged any more.
+The horizon (version, number) marks what has been forgotten: all outcomes up to that version, except that of the configuration in
+force, and the highest number among them. The primary advances it as part of an accepted change, so that backups, snapshots and
+later primaries forget the same outcomes. Numbers and versions increase with each accepted change. So the outcome of a change whose
+base is not below the horizon is either still recorded or the change was never accepted; a change whose base is below the horizon
+can no longer be evaluated.
 """
 
 from __future__ import annotations
@@ -20,38 +22,38 @@
 """(epoch, number) of a change."""
 
 StoreView = Mapping[str, tuple[Version, Any]]
-"""The store, to be read alone: key to (version, value)."""
+"""Read-only view of the store: key to (version, value)."""
 
 Item = tuple[str, Version, Any]
-"""An item as it travels: its key, the version of the change that set it, its value."""
+"""An item in the form sent on the wire: key, version of the change that set it, value."""
 
 INITIAL_VERSION: Version = (0, 0)
-"""Before every other version."""
+"""The version before all others."""
 
 OUTCOME_PREFIX = "change/"
-"""Of the keys of outcomes; the change id follows."""
+"""Prefix of the keys of outcomes; the change id follows."""
 
 HORIZON_KEY = "forgotten"
 """Key of the horizon."""
 
 MAX_OUTCOMES = 4096
-"""Outcomes kept, of some 200 bytes at most."""
+"""Maximum number of outcomes kept, each of about 200 bytes at most."""
 
 EVICTION_BATCH = MAX_OUTCOMES // 4
-"""Outcomes that are forgotten at once when there are `MAX_OUTCOMES`."""
+"""Number of outcomes evicted together when there are `MAX_OUTCOMES`."""
 
 AGE_SAMPLES = 8
-"""Steps in which the time for which outcomes are kept is counted."""
+"""Number of samples into which the retention time of outcomes is divided."""
 
 CONFIGURATION_KEY = "config"
 
 
 class Outcome(NamedTuple):
-    """What became of a change.
+    """The outcome of a change.
 
-    :ivar digest: of the change's text.
-    :ivar version: the one that it got; `INITIAL_VERSION` where it was refused for good.
-    :ivar number: the operator's own number of it; 0 for none, None where an earlier program kept none.
+    :ivar digest: digest of the change's text.
+    :ivar version: the version that it got; `INITIAL_VERSION` if it was finally refused.
+    :ivar number: the operator's number of it; 0 for none, None if an earlier program version recorded none.
     """
 
     digest: str
@@ -60,19 +62,19 @@
 
 
 class Horizon(NamedTuple):
-    """Up to which version, and which operator's number, outcomes may be forgotten."""
+    """The version, and the operator's number, up to which outcomes may have been forgotten."""
 
     version: Version
     number: int
 
 
 def is_private(key: str) -> bool:
-    """Tell whether a key is for members alone, so that no daemon is told of it."""
+    """Return whether a key is for members of the view only and is never sent to daemons."""
     return key.startswith(OUTCOME_PREFIX) or key == HORIZON_KEY
 
 
 def horizon(store: StoreView) -> Horizon:
-    """Return the horizon; nothing is forgotten before the first is set."""
+    """Return the horizon; before the first one is set, nothing has been forgotten."""
     if HORIZON_KEY not in store:
         return Horizon(INITIAL_VERSION, 0)
     _, value = store[HORIZON_KEY]
@@ -80,7 +82,7 @@
 
 
 def find_outcome(store: StoreView, change_id: str) -> Outcome | None:
-    """Return the outcome of a change; None where there is none."""
+    """Return the outcome of a change; None if there is none."""
     if not change_id or OUTCOME_PREFIX + change_id not in store:
         return None
     _, value = store[OUTCOME_PREFIX + change_id]
@@ -90,7 +92,7 @@
 def outcome_item(*, change_id: str, digest: str, version: Version, number: int, taken: bool = True) -> Item:
     """Return an outcome as an item of the change at `version`.
 
-    :param taken: False where the change was refused for good.
+    :param taken: whether the change was accepted; False if it was finally refused.
     """
     outcome = Outcome(digest, version if taken else INITIAL_VERSION, number)
     return (OUTCOME_PREFIX + change_id, version, tuple(outcome))
@@ -105,7 +107,7 @@
 
 
 def forgotten_keys(store: StoreView) -> list[str]:
-    """Return the keys of outcomes behind the horizon. Every member drops the same, since the horizon is in the store."""
+    """Return the keys of outcomes up to the horizon. Every member drops the same ones, since the horizon is in the store."""
     forgotten_up_to, in_force = horizon(store).version, version_in_force(store)
     return [
         key for key, (version, _) in store.items() if version <= forgotten_up_to and key.startswith(OUTCOME_PREFIX) and version != in_force
@@ -113,9 +115,9 @@
 
 
 def advanced_horizon(store: StoreView, *, version: Version, aged: Version) -> tuple[Item, ...]:
-    """Return the horizon as an item, if it is to move with the change at `version`.
+    """Return the new horizon as an item if it advances with the change at `version`; empty if it does not.
 
-    :param aged: the newest version whose outcomes were kept long enough.
+    :param aged: the newest version whose outcomes have been kept for the retention time.
     """
     kept = sorted((at, value) for key, (at, value) in store.items() if key.startswith(OUTCOME_PREFIX))
     forgotten_up_to = max(aged, newest_evicted([at for at, _ in kept]))
@@ -128,14 +130,14 @@
 
 
 def newest_evicted(versions: list[Version]) -> Version:
-    """Return the newest of the outcomes that go since there are too many, of all versions in their order."""
+    """Return the newest version to evict because there are too many outcomes, given all their versions in order."""
     if len(versions) < MAX_OUTCOMES:
         return INITIAL_VERSION
     return versions[len(versions) - MAX_OUTCOMES + EVICTION_BATCH - 1]
 
 
 def operator_number(store: StoreView, outcome: Outcome) -> int:
-    """Return the operator's number of an outcome; where an earlier program kept none, the one in force bounds it."""
+    """Return the operator's number of an outcome; if none was recorded, the one in force, which is an upper bound."""
     if outcome.number is not None:
         return outcome.number
     if CONFIGURATION_KEY not in store:
@@ -147,9 +149,9 @@
 
 @dataclass(slots=True)
 class VersionAges:
-    """How old versions are, in the time that this primary was awake; a new primary begins anew.
+    """The ages of versions, counted only while this primary runs without a pause; a new primary starts again.
 
-    :ivar marks: (time, version that was the newest then), oldest first.
+    :ivar samples: (time, newest version at that time), oldest first.
     :ivar aged: the newest version that is old enough to be forgotten.
     """
 
@@ -157,9 +159,9 @@
     aged: Version = INITIAL_VERSION
 
     def newest_aged(self, now: timedelta, awake_since: timedelta, version: Version, retention: timedelta) -> Version:
-        """Return the newest version that is older than `keep`.
+        """Return the newest version that is older than `retention`.
 
-        :param awake_since: since when this process has not paused, nor the view changed.
+        :param awake_since: the time of the last pause of this process or change of view.
         """
         newest_sample = self.samples[-1][0] if self.samples else None
         if newest_sample is None or now - newest_sample >= retention / AGE_SAMPLES:
--- a/silverglade/control/plan.py
+++ b/silverglade/control/plan.py
@@ -1,4 +1,4 @@
-"""When a member seeks a new view, and which one (design 5.4, 5.9). Pure functions of what a core knows."""
+"""Policy of view changes (design 5.4, 5.9): when a member seeks a new view, and which one. Pure functions of a core's knowledge."""
 
 from __future__ import annotations
 
@@ -24,18 +24,21 @@
     grace_elapsed: bool,
     now: timedelta,
 ) -> str | None:
-    """Return what is wrong with the view, as one of its members sees it; None if nothing is.
+    """Return what is wrong with the view as one of its members sees it; None if nothing is.
 
-    :param able: whether this core's disk takes writes, and it does not leave.
+    A core that is not an eligible member of the view, with the disk that the view names, gets None too.
+
+    :param eligible: whether this core's disk accepts writes and the core is not leaving.
     :param torn: whether the store on this core's disk is incomplete.
-    :param fair: whether the others have had the time to be heard.
+    :param grace_elapsed: whether the other members have had time to send a heartbeat.
+    :returns: "silent" (a monitored member is down), "emptied" (it has another disk), "sealed" (the epoch is sealed) or "torn".
     """
     if view is None or own_name not in members(view) or not eligible:
         return None
     disks = disks_of(view)
     if disks.get(own_name) != disk:
         return None
-    for name in view.backups if own_name == view.primary else (view.primary,):  # backups watch the primary alone
+    for name in view.backups if own_name == view.primary else (view.primary,):  # backups monitor only the primary
         if not peers.is_up(name, now):
             if grace_elapsed:
                 return "silent"
@@ -49,14 +52,17 @@
 
 
 def live_disks(*, own_name: str, disk: str, peers: Peers, now: timedelta, names: Iterable[str]) -> dict[str, str]:
-    """Return the cores that may be named in a view now, with their disks."""
+    """Return the cores that a view may name now, this one included, with their disk ids."""
     return {own_name: disk, **{name: peers.table[name].disk for name in names if peers.is_up(name, now)}}
 
 
 def first_view(
     *, own_name: str, disk: str, cores: Collection[str], peers: Peers, places: Places, tolerance: Tolerance, now: timedelta
 ) -> View | None:
-    """Return the first view, when every core of the settings says that its disk is empty (design 5.5); else None."""
+    """Return the first view if every configured core reports that its disk is empty (design 5.5), else None.
+
+    Only the configured core with the lowest name forms it.
+    """
     others = [name for name in cores if name != own_name]
     if own_name != min(cores) or not all(peers.is_up(name, now) and peers.can_form_first_view(name) for name in others):
         return None
@@ -68,10 +74,10 @@
 def next_view(
     *, own_name: str, view: View, live: Mapping[str, str], places: Places, tolerance: Tolerance, names: Iterable[str] | None = None
 ) -> View | None:
-    """Return the view that member `own_name` wants after `view`; None where there are too few live cores for it.
+    """Return the view that member `own_name` would lead after `view`; None if too few cores are live.
 
-    :param here: the live cores, with their disks.
-    :param names: the witnesses wanted; by default those there are, each with the disk that it has now.
+    :param live: the live cores, with their disk ids.
+    :param names: the witnesses of the new view; those of `view` by default. Each is named with its present disk.
     """
     current = disks_of(view)
     disks = {name: live[name] if name in live else current[name] for name in names or current}
@@ -99,12 +105,12 @@
     forget: timedelta,
     now: timedelta,
 ) -> tuple[str, ...] | None:
-    """Return the witnesses wanted after `view`; None while one that is away may be back in a moment.
+    """Return the witnesses of the view after `view`; None while a witness that is not live may still return shortly.
 
-    :param here: the live cores, with their disks.
-    :param listening_since: from when on a core would have been heard.
-    :param leaving: the cores that said that they leave: nobody waits for them.
-    :param forget: one that is silent for so long goes also where no live core takes its place.
+    :param live: the live cores, with their disk ids.
+    :param listening_since: returns since when heartbeats of a core would have reached this one.
+    :param leaving: the cores that announced their departure; they are not waited for.
+    :param forget: a witness that is silent for this long is removed even if no live core can replace it.
     """
     current = disks_of(view)
     away = [name for name in current if name not in live]
@@ -117,9 +123,9 @@
 def better_view(
     *, own_name: str, view: View, live: Mapping[str, str], places: Places, tolerance: Tolerance, wanted: tuple[str, ...] | None
 ) -> View | None:
-    """Return the view that the primary of a view that works would rather have; None where there is no better one.
+    """Return a view that the primary of a working view should change to; None if there is no better one.
 
-    :param wanted: the witnesses that it should have, or None while that is not known.
+    :param wanted: the witnesses that it should have; None while that is undecided.
     """
     current = disks_of(view)
     if wanted is None or sum(live.get(name) == held for name, held in current.items()) < register.majority(len(current)):
@@ -135,12 +141,12 @@
 
 
 def may_exit(*, own_name: str, view: View | None, staying: Collection[str], places: Places, tolerance: Tolerance) -> bool:
-    """Tell whether a core that leaves may end: not while its view rests on it.
+    """Return whether a core that leaves may exit: not while its view still depends on it.
 
-    A member's place is taken once a later view is chosen, whose members hold all that this one holds; a witness's once it is
-    named no more.
+    A member is replaced once a later view is chosen, whose members hold everything that this one holds. A witness is replaced
+    once a later view no longer names it.
 
-    :param staying: the other cores that are there and do not leave; where all leave, none waits for another.
+    :param staying: the other known cores that are not leaving. If all cores leave, none waits for another.
     """
     if view is None or not staying:
         return True
--- a/silverglade/control/register.py
+++ b/silverglade/control/register.py
@@ -1,8 +1,8 @@
-"""The view register (design 5.2): which view follows which, chosen by a majority under ballots.
+"""The view register (design 5.2): the sequence of views, each chosen by a majority of witnesses under ballots.
 
-Each view is chosen by the witnesses that the view before it names, its base: an instance of single-value agreement for
-every epoch. A witness holds the newest base it knows to be chosen and what it has accepted to follow that one. A vote
-counts only while the base names its disk, so an emptied disk cannot vote twice and a new core cannot vote itself in.
+Each epoch is one instance of single-value consensus. A view is chosen by the witnesses of the view before it, its base. A
+witness stores the newest base that it knows to be chosen and the view that it has accepted as its successor. A vote counts
+only if the base names the voter's disk, so a core with an emptied disk cannot vote twice and a new core cannot vote itself in.
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Register:
-    """What a witness holds, on disk before it answers.
+    """The state of a witness; it is on disk before the witness answers.
 
-    `accepted <= promised`, and `view` has the epoch after that of `base`, or is None.
+    `accepted <= promised`. The epoch of `view` is the one after that of `base`, or `view` is None.
 
-    :ivar promised: no lower ballot is taken any more.
+    :ivar promised: lower ballots are rejected.
     :ivar base: the newest view known to be chosen.
-    :ivar accepted: the ballot last accepted.
-    :ivar view: the view that was accepted under it to follow the base.
+    :ivar accepted: the ballot accepted last.
+    :ivar view: the view accepted under that ballot as the successor of the base.
     """
 
     promised: Ballot = NO_BALLOT
@@ -50,7 +50,7 @@
     view: View | None = None
 
     def stored(self) -> dict[str, Any]:
-        """Return the register as it is stored on disk."""
+        """Return the register in its form on disk."""
         return {
             "promised": to_array(self.promised),
             "base": to_array(self.base),
@@ -60,7 +60,7 @@
 
 
 def read(meta: Mapping[str, Any]) -> Register:
-    """Return the register on disk, also one written before views had several backups."""
+    """Return the register on disk, also from the earlier format in which a view had a single backup."""
     stored = meta.get("reg")
     if not stored:
         return Register()
@@ -79,7 +79,7 @@
 
 
 def with_base(register: Register, base: View | None) -> Register:
-    """Return the register of a witness that learns that `base` is chosen."""
+    """Return the register after learning that `base` is chosen; unchanged if it has that base or a later one."""
     if epoch(base) <= epoch(register.base):
         return register
     if epoch(register.view) == epoch(base) + 1:
@@ -88,7 +88,7 @@
 
 
 def prepare(register: Register, message: Prepare, /, *, disk: str) -> tuple[Register, Promise | Rejected]:
-    """Ask a witness with this disk for a promise; return its register and its answer."""
+    """Handle a prepare request at a witness with this disk; return its new register and its answer."""
     ballot = message.ballot
     if ballot <= register.promised:
         return register, Rejected(ballot, disk, register.promised)
@@ -97,7 +97,7 @@
 
 
 def accept(register: Register, message: Accept, /, *, disk: str) -> tuple[Register, Accepted | Rejected]:
-    """Ask a witness with this disk to accept a view; return its register and its answer."""
+    """Handle an accept request at a witness with this disk; return its new register and its answer."""
     ballot, base, view = message
     if ballot < register.promised or epoch(base) < epoch(register.base):
         return register, Rejected(ballot, disk, register.promised)
@@ -105,24 +105,24 @@
 
 
 def majority(n: int) -> int:
-    """Return the least number that is more than half of n."""
+    """Return the smallest number greater than half of n."""
     return n // 2 + 1
 
 
 class Chosen(NamedTuple):
-    """The end of a round: this view is chosen."""
+    """Result of a round: this view is chosen."""
 
     view: View
 
 
 class Superseded(NamedTuple):
-    """The end of a round: a later view was chosen meanwhile."""
+    """Result of a round: a view later than the base has already been chosen."""
 
     view: View
 
 
 class Preempted(NamedTuple):
-    """The end of a round: a witness has promised a higher ballot."""
+    """Result of a round: a witness has promised a higher ballot."""
 
     promised: Ballot
 
@@ -131,14 +131,14 @@
 class Round:
     """One proposer's round: prepare, then accept (design 5.2).
 
-    A view that was accepted to follow the base under another ballot is completed in place of `want`. For the first view of all
-    there is no base: every witness of `want` must promise.
+    If a witness has already accepted a successor of the base under another ballot, the round completes that one instead of
+    `want`. The very first view has no base: every witness of `want` must promise.
 
     :ivar base: the chosen view that `want` would follow.
-    :ivar want: the view wanted.
+    :ivar want: the view that the proposer prefers.
     :ivar value: the view proposed; None until enough witnesses have promised.
-    :ivar promises: by core.
-    :ivar accepts: the witnesses who accepted, each with the disk that the base names.
+    :ivar promises: the promises received, by core.
+    :ivar accepts: the witnesses that accepted with the disk that the base names.
     """
 
     ballot: Ballot
@@ -149,13 +149,13 @@
     accepts: set[str] = field(default_factory=set)
 
     def begin(self) -> Prepare:
-        """Return what to ask the witnesses first."""
+        """Return the request with which the round starts."""
         return Prepare(self.ballot)
 
     def answer(self, sender: str, message: Promise | Accepted | Rejected) -> Accept | Chosen | Superseded | Preempted | None:
-        """Take in a witness's answer.
+        """Handle a witness's answer.
 
-        :returns: what to ask the witnesses now, or how the round ended; None while answers are missing.
+        :returns: the next request to the witnesses, or the result of the round; None while answers are missing.
         """
         if message.ballot != self.ballot:
             return None
@@ -169,7 +169,7 @@
         return None
 
     def promised(self, sender: str, promise: Promise) -> Accept | Superseded | None:
-        """Count a promise; with enough of them propose a value."""
+        """Count a promise; once there are enough, propose a value."""
         if promise.base is not None and epoch(promise.base) > epoch(self.base):
             return Superseded(promise.base)
         self.promises[sender] = promise
@@ -182,12 +182,12 @@
         return Accept(self.ballot, self.base, self.value)
 
     def highest_accepted(self) -> View | None:
-        """Return the view accepted under the highest ballot to follow the base, among the promises; None if there is none."""
+        """Return the successor of the base accepted under the highest ballot among the promises; None if there is none."""
         follows = [p for p in self.promises.values() if epoch(p.view) == epoch(self.base) + 1]
         return max(follows, key=lambda p: p.accepted).view if follows else None
 
     def accepted(self, sender: str, message: Accepted, value: View) -> Chosen | None:
-        """Count an acceptance; with a majority of the voters the value is chosen."""
+        """Count an acceptance; the value is chosen once a majority of the voters accepted it."""
         voters = disks(self.base or value)
         if voters.get(sender) == message.disk:
             self.accepts.add(sender)
--- a/silverglade/control/replicated_state.py
+++ b/silverglade/control/replicated_state.py
@@ -1,11 +1,19 @@
-"""The store: what control holds, key to (version, value) (design 5.3).
+"""The replicated store, which maps a key to (version, value), and queries on it (design 5.3).
 
-Keys are "config"; "source", the text in which an operator sent the configuration; "evac/ZONE"; "duty/KIND/NAME" and
-"floor/KIND" for singleton roles; "usage", the newest usage report (design 18.2); "change/ID" and "forgotten" for outcomes of
-changes (outcomes.py). Daemons are not told of "source" and of outcomes, and of "usage" only where they are cores.
+Keys:
 
-A role that nobody needs any more has the value None for a while, so that daemons drop it; its epoch is kept in the floor of its
-kind, above which every new role begins (design 5.6). A version is (epoch, number); `INITIAL_VERSION` is before every other.
+- "config": the configuration in force;
+- "source": the text in which an operator sent the configuration;
+- "evac/ZONE": whether a zone is drained;
+- "duty/KIND/NAME" and "floor/KIND": singleton roles;
+- "usage": the newest usage report (design 18.2);
+- "change/ID" and "forgotten": outcomes of changes (outcomes.py).
+
+"source" and outcomes are not sent to daemons; "usage" is sent only to cores.
+
+A role that is no longer needed has the value None for a while, as a tombstone, so that daemons drop it. Its epoch is kept in the
+epoch floor of its kind, and the epochs of new roles start above that floor (design 5.6). A version is (epoch, number);
+`INITIAL_VERSION` is the lowest.
 """
 
 from __future__ import annotations
@@ -55,7 +63,7 @@
 Items = tuple[Item, ...]
 
 MAX_DROPPED_ROLES = 256
-"""Dropped roles that are kept, so that daemons which were away learn of them."""
+"""Maximum number of dropped roles kept as tombstones, so that daemons that were unreachable learn of them."""
 
 SOURCE_KEY = "source"
 USAGE_KEY = "usage"
@@ -64,21 +72,21 @@
 EPOCH_FLOOR_PREFIX = "floor/"
 
 SHARD_ROLE = "shard"
-"""Kind of role: owner of a tenant's shard; its name is the tenant's."""
+"""Kind of role: owner of a tenant's shard, named after the tenant."""
 
 SLOT_LEASES_ROLE = "ledger"
-"""Kind of role: holder of a replica's slot leases; its name is the replica's."""
+"""Kind of role: holder of a replica's slot leases, named after the replica."""
 
 DUTY_ROLE = "platform"
-"""Kind of role: holder of a duty at the platform (design 18); its name is the duty's. It is never dropped, so its epoch only rises."""
+"""Kind of role: holder of a platform duty (design 18), named after the duty. It is never dropped, so its epoch only increases."""
 
 
 class RoleAssignment(NamedTuple):
-    """Who holds a singleton role (design 5.6).
+    """The holder of a singleton role (design 5.6).
 
-    :ivar epoch: rises by one with each assignment.
+    :ivar epoch: increases by one with each assignment.
     :ivar holder: name of the daemon.
-    :ivar follower: the daemon that keeps a copy for it; "" for none.
+    :ivar follower: the daemon that keeps a replica for the holder; "" for none.
     """
 
     epoch: int
@@ -87,10 +95,10 @@
 
 
 class UsageRecord(NamedTuple):
-    """What is reported of a window of usage, recorded before it is sent (design 18.2).
+    """The usage report of a window, recorded before it is sent (design 18.2).
 
-    :ivar window: its number; those below it are closed.
-    :ivar counts: (tenant, requests) each.
+    :ivar window: the number of the window; all windows below it are closed.
+    :ivar counts: (tenant, number of requests) pairs.
     """
 
     window: int
@@ -98,7 +106,7 @@
 
 
 def evacuation_key(zone: str) -> str:
-    """Return the key that says whether a zone is drained."""
+    """Return the key that holds whether a zone is drained."""
     return f"{EVACUATION_PREFIX}{zone}"
 
 
@@ -113,24 +121,27 @@
 
 
 def newest_version(store: StoreView) -> Version:
-    """Return the version of the whole store: that of its newest item."""
+    """Return the version of the whole store, which is that of its newest item."""
     return max((version for version, _ in store.values()), default=INITIAL_VERSION)
 
 
 def version_of(store: StoreView, key: str) -> Version:
-    """Return the version of the change that set an item, or `INITIAL_VERSION`."""
+    """Return the version of the change that set an item; `INITIAL_VERSION` if there is none."""
     held = store.get(key)
     return INITIAL_VERSION if held is None else held[0]
 
 
 def value_of(store: StoreView, key: str, default: Any = None) -> Any:
-    """Return the value of an item, or `default`."""
+    """Return the value of an item; `default` if there is none."""
     held = store.get(key)
     return default if held is None else held[1]
 
 
 def items_since(store: StoreView, version: Version, *, for_core: bool = False) -> Items:
-    """Return the items that an update brings to a daemon which holds `version`, sorted by key."""
+    """Return the items of an update for a daemon that has `version`, sorted by key.
+
+    :param for_core: whether the daemon is a core, which gets "usage" too.
+    """
     hidden_keys = (SOURCE_KEY,) if for_core else (SOURCE_KEY, USAGE_KEY)
     return tuple(
         sorted(
@@ -142,26 +153,26 @@
 
 
 def pruned_keys(store: StoreView) -> tuple[str, ...]:
-    """Return the keys that go: outcomes that are forgotten, and dropped roles beyond those kept. Every member gets the same."""
+    """Return the keys to prune: forgotten outcomes, and the oldest surplus tombstones. Every member prunes the same keys."""
     dropped = sorted((version, key) for key, (version, value) in store.items() if value is None)
     surplus = dropped[: max(0, len(dropped) - MAX_DROPPED_ROLES)]
     return (*outcomes.forgotten_keys(store), *(key for _, key in surplus))
 
 
 def role_assignment(store: StoreView, kind: str, name: str) -> RoleAssignment | None:
-    """Return who holds a singleton role; None where nobody was named, or the role was dropped."""
+    """Return the assignment of a singleton role; None if it was never assigned or was dropped."""
     row = value_of(store, role_key(kind, name))
     return None if row is None else RoleAssignment(*row)
 
 
 def usage_record(store: StoreView) -> UsageRecord | None:
-    """Return the newest usage report that was recorded; None for none."""
+    """Return the newest recorded usage report; None if there is none."""
     row = value_of(store, USAGE_KEY)
     return None if row is None else UsageRecord(*row)
 
 
 def epoch_floor(store: StoreView, kind: str) -> int:
-    """Return the highest epoch among the dropped roles of a kind; 0 for none."""
+    """Return the highest epoch among the dropped roles of a kind; 0 if there are none."""
     floor: int = value_of(store, epoch_floor_key(kind), 0)
     return floor
 
@@ -173,23 +184,23 @@
 
 
 def configuration_number(store: StoreView) -> int:
-    """Return the operator's own number of the configuration in force; 0 for none."""
+    """Return the operator's number of the configuration in force; 0 for none."""
     number: int = (value_of(store, CONFIGURATION_KEY) or {}).get("number", 0)
     return number
 
 
 def fencing_token_of(store: StoreView, keys: Iterable[str]) -> Version:
-    """Return the newest version among these keys: it stands until one of them changes."""
+    """Return the newest version among these keys, which stays valid as a fencing token until one of them changes."""
     return max(version_of(store, key) for key in keys)
 
 
 def is_version(value: Any) -> bool:
-    """Tell whether a value from outside is a version."""
+    """Return whether an untrusted value is a version."""
     return isinstance(value, tuple) and len(value) == 2 and all(type(n) is int and n >= 0 for n in value)
 
 
 def is_item_list(value: Any) -> bool:
-    """Tell whether a value from outside is a tuple of items, whatever their values are."""
+    """Return whether an untrusted value is a tuple of items; their values are not checked."""
     return isinstance(value, tuple) and all(
         isinstance(item, tuple) and len(item) == 3 and isinstance(item[0], str) and is_version(item[1]) for item in value
     )
--- a/silverglade/control/replication.py
+++ b/silverglade/control/replication.py
@@ -1,4 +1,4 @@
-"""Replication of changes (design 5.4): one in flight, synced by the primary, then by all backups, then answered."""
+"""Replication of changes (design 5.4): one in flight, synced by the primary, then by all backups, then acknowledged."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from .writes import ChangeWrittenByBackup, ChangeWrittenByPrimary, Outgoing
 
 MAX_QUEUED = 256
-"""Operations that wait at the primary; beyond it they are dropped, and their clients ask again."""
+"""Maximum number of operations queued at the primary; further ones are dropped, and their clients retry."""
 
 NONCE_BITS = 48
 
@@ -29,7 +29,7 @@
 
 
 def abandon_operations(core: CoreContext) -> None:
-    """Answer all pending and queued operations by "unknown": a later view may have taken them or not."""
+    """Answer all pending and queued operations with "unknown": a later view may or may not include them."""
     state = core.state
     if state.pending:
         for pending_answer in state.pending.answers:
@@ -43,7 +43,7 @@
 def on_operation(core: CoreContext, sender: str, message: Operation) -> None:
     """Queue a client's operation.
 
-    One that is sent again while it waits counts once. With a full queue there is no answer, so that the client asks again.
+    A repeat of one that is queued or in flight is ignored. If the queue is full there is no answer, so the client retries.
     """
     state, client = core.state, (sender, message.number)
     if core.led_view() is None or not state.writes.is_eligible:
@@ -53,16 +53,16 @@
 
 
 def redirect(core: CoreContext, sender: str, number: int) -> None:
-    """Name the primary to a client, since this core takes no operations."""
+    """Redirect a client to the primary, since this core does not accept operations."""
     primary = core.state.view.primary if core.state.view else ""
     answer(core, (sender, number), Redirected(primary))
 
 
 def on_fence(core: CoreContext, sender: str, message: Fence) -> None:
-    """Tell a client the version on which its operation would rest.
+    """Send a client the fencing token for its operation.
 
-    It is told from memory, without asking the backups: a version that is too old, or that will not last, makes the operation
-    stale, and none that is still to come can be told.
+    The token is read from memory, without confirmation by the backups. That is safe: a token that is too old, or whose change does
+    not survive, only makes the operation stale, and a token of a later version cannot be returned.
     """
     state, view = core.state, core.open_view()
     if core.led_view() is None or not state.writes.is_eligible:
@@ -74,14 +74,14 @@
 
 
 def is_waiting(core: CoreContext, client: Client) -> bool:
-    """Tell whether the operation of this client is queued or in flight."""
+    """Return whether the operation of this client is queued or in flight."""
     state = core.state
     in_flight = state.pending is not None and any(pending.client == client for pending in state.pending.answers)
     return in_flight or any(queued.client == client for queued in state.queue)
 
 
 def on_role_operations(core: CoreContext, event: AssignRoles | DropRoles, now: timedelta) -> None:
-    """Queue what the role assigner wants."""
+    """Queue an operation requested by the role assigner."""
     match event:
         case AssignRoles():
             assignments = tuple([AssignRole(*assignment) for assignment in event.assignments])
@@ -91,9 +91,10 @@
 
 
 def queue_internal(core: CoreContext, operation: operations.AssignRoles | operations.DropRoles, now: timedelta) -> None:
-    """Queue an operation of this primary itself; it is dropped while others wait, since the role assigner decides again.
+    """Queue an operation issued by this primary itself.
 
-    It is taken only in touch with the backups: a primary that is cut off knows too little of which daemons live.
+    It is dropped while other operations are queued or in flight, since the role assigner will decide again. It is accepted only
+    if the backups confirmed recently that this core leads: a partitioned primary knows too little about which daemons are live.
     """
     state, takeover = core.state, core.settings.tuning["takeover"]
     is_leadership_recent = state.proved_at is not None and now - state.proved_at <= takeover
@@ -102,7 +103,7 @@
 
 
 def begin_next(core: CoreContext, now: timedelta) -> None:
-    """Begin the next change if operations wait, none is in flight, and this primary's view is open (design 5.4)."""
+    """Start the next change if operations are queued, none is in flight, and this primary's view is open (design 5.4)."""
     state = core.state
     if not state.queue or state.pending:
         return
@@ -114,10 +115,11 @@
 
 
 def begin(core: CoreContext, view: View, now: timedelta) -> None:
-    """Settle the operations that wait, each on the store that the one before left, as one change.
+    """Settle the queued operations, in order, as one change.
 
-    So one round with the backups serves many clients. The change is written to the primary's own disk first. Without items the
-    backups are asked at once to confirm the view, since reads and refusals rest on it too.
+    Each operation is evaluated on the store that the previous one left, so one round trip to the backups serves many clients. The
+    change is written to the primary's own disk first. If there are no items, the backups are asked at once to confirm the view,
+    since reads and refusals depend on it too.
     """
     state = core.state
     previous = newest_version(state.store)
@@ -140,11 +142,11 @@
 
 
 def settle_queue(core: CoreContext, view: View, now: timedelta) -> tuple[tuple[Answer, ...], Items, set[str]]:
-    """Take the operations from the queue that go together, and change the store by them.
+    """Remove the next group of operations from the queue and apply them to the store.
 
-    A group ends with a configuration, since two may not fit one frame.
+    A group ends with a configuration change, since two configurations may not fit in one frame.
 
-    :returns: the answers, the items of the changes, the keys that were pruned.
+    :returns: the answers, the items of the change, the keys that were pruned.
     """
     state = core.state
     answers: list[Answer] = []
@@ -153,7 +155,7 @@
     while state.queue:
         operation = state.queue.pop(0)
         result, new_items = settle(core, view, operation, now)
-        if isinstance(result, Stale):  # says nothing of the store, so the backups need not confirm it
+        if isinstance(result, Stale):  # asserts nothing about the store, so the backups need not confirm it
             answer(core, operation.client, result)
             continue
         answers.append(Answer(operation.client, result))
@@ -165,7 +167,7 @@
 
 
 def settle(core: CoreContext, view: View, operation: QueuedOperation, now: timedelta) -> tuple[Result, Items]:
-    """Judge one operation on the store as it stands; return its result and the items of its change."""
+    """Evaluate one operation on the current store; return its result and the items of its change."""
     state = core.state
     previous = newest_version(state.store)
     return decisions.settle(
@@ -180,13 +182,13 @@
 
 
 def next_version(view: View, previous: Version) -> Version:
-    """Return the version of the change that follows `previous` in this view; the numbers of a view begin at 1."""
+    """Return the version of the change that follows `previous` in this view; the numbers of each view start at 1."""
     epoch, number = previous
     return (view.epoch, number + 1 if epoch == view.epoch else 1)
 
 
 def record_change_write(core: CoreContext, succeeded: bool) -> None:
-    """Note a failed write of a change: the store on disk is incomplete until it is written whole."""
+    """Record the result of writing a change: after a failure the store on disk is incomplete until it is rewritten."""
     if not succeeded and core.state.store_on_disk is StoreOnDisk.WHOLE:
         core.state.store_on_disk = StoreOnDisk.TORN
 
@@ -210,7 +212,7 @@
 
 
 def replicate_again(core: CoreContext, view: View, now: timedelta) -> None:
-    """Send the change in flight again when a backup's answer is late; only what the primary itself has synced."""
+    """Resend the change in flight if a backup's answer is late; only once the primary itself has synced it."""
     pending = core.state.pending
     if pending and pending.synced_here and now - pending.sent >= core.settings.tuning["takeover"] / 2:
         pending.sent = now
@@ -218,14 +220,14 @@
 
 
 def on_replicate(core: CoreContext, sender: str, change: Replicate, now: timedelta) -> None:
-    """Take a change as a backup, or confirm that the view still holds where it has no items."""
+    """As a backup, apply and sync a change; if it has no items, only confirm that the view still holds."""
     state, view = core.state, core.backed_view()
     if view is None or change.epoch != view.epoch or sender != view.primary:
         return
     if state.served != change.epoch or state.sealed >= change.epoch:
         return
     if newest_version(state.store) not in (change.previous, change.version):
-        return  # the primary will copy afresh on its next opening
+        return  # a gap: the primary sends a whole snapshot when it next opens a view
     confirmation = Outgoing(sender, Replicated(change.epoch, change.nonce))
     if not change.items:
         core.send_outgoing(confirmation)
@@ -242,7 +244,7 @@
 
 
 def on_replicated(core: CoreContext, sender: str, done: Replicated, now: timedelta) -> None:
-    """Note that a backup has synced the change in flight, and commit it when all members have."""
+    """Record that a backup has synced the change in flight, and commit it once all members have."""
     pending, led = core.state.pending, core.led_view()
     if pending is None or led is None or done.epoch != led.epoch or done.nonce != pending.nonce:
         return
@@ -253,7 +255,7 @@
 
 
 def commit(core: CoreContext, view: View, pending: PendingChange, now: timedelta) -> None:
-    """Commit the change that all members have synced: answer its clients, and tell the other cores."""
+    """Commit a change that all members have synced: answer its clients and notify the other cores."""
     state = core.state
     state.pending = None
     if pending.items:
--- a/silverglade/control/role_assigner.py
+++ b/silverglade/control/role_assigner.py
@@ -1,7 +1,8 @@
-"""The role assigner of the primary: it names the holders of singleton roles (design 5.6).
+"""The role assigner, which assigns singleton roles to daemons (design 5.6).
 
-Each core runs one; the operations that it asks for are taken by the core that is primary, in touch with its backups
-(`replication.queue_own`). A shard's follower is never changed here: only the shard's owner knows whether its claims are copied.
+Each core runs one. Only the primary accepts the operations that it requests, and only if its backups confirmed recently that it
+leads (`replication.queue_internal`). A shard's follower is never changed here, since only the shard's owner knows whether its claims
+have been replicated.
 """
 
 from __future__ import annotations
@@ -30,16 +31,16 @@
 )
 
 MAX_DROPPED_AT_ONCE = 256
-"""Roles of a kind that one operation drops."""
+"""Maximum number of roles of a kind that one operation drops."""
 
 ROLE_KINDS = (SHARD_ROLE, SLOT_LEASES_ROLE)
-"""Kinds of roles that are dropped when nobody needs them."""
+"""Kinds of roles that are dropped when they are no longer needed."""
 
 UNASSIGNED = RoleAssignment(0, "", "")
 
 
 class WantedRole(NamedTuple):
-    """A singleton role that is to be held by a daemon in one of these zones; a duty by a core of any."""
+    """A singleton role that must be held by a daemon in one of these zones; a duty may be held by a core in any zone."""
 
     kind: str
     name: str
@@ -47,13 +48,13 @@
 
 
 class RoleAssigner:
-    """A state machine that compares the holders wanted with those that the store names.
+    """A state machine that reconciles the role holders in the store with the wanted ones.
 
     :ivar members: the live daemons.
-    :ivar store: what control has acknowledged, as this daemon knows it.
+    :ivar store: the committed store, as this daemon knows it.
     :ivar replica_zones: every registered replica with its zone.
-    :ivar next_round: when holders are compared again.
-    :ivar unneeded_since: key of each role that nobody needs, and since when.
+    :ivar next_round: the time of the next reconciliation.
+    :ivar unneeded_since: maps the key of each role that is not needed to the time since when.
     """
 
     handled_events: ClassVar[tuple[type[Event], ...]] = (MembershipChanged, StoreUpdated, ReplicaZonesChanged, TimerFired)
@@ -80,7 +81,7 @@
         return []
 
     def on_timer(self, now: timedelta) -> list[Effect]:
-        """Assign roles once a round; where all are held by whom they should, drop those that nobody needs."""
+        """Once a round, assign roles; if every role has a proper holder, drop roles that are no longer needed."""
         if now < self.next_round:
             return [WakeAt(self.next_round)]
         self.next_round = now + self.tuning["beat"]
@@ -94,7 +95,7 @@
         return effects
 
     def wanted_roles(self) -> Iterator[WantedRole]:
-        """Yield every role that is to be held: of each tenant's shard, each replica's slot leases, then each duty."""
+        """Yield every role that must have a holder: each tenant's shard, each replica's slot leases, then each duty."""
         for tenant, settings in self.tenants().items():
             yield WantedRole(SHARD_ROLE, tenant, frozenset(settings["homes"]))
         for replica, zone in self.replica_zones:
@@ -108,7 +109,7 @@
         return tenants
 
     def wanted_assignments(self) -> Iterator[AssignRole]:
-        """Yield an assignment for each role whose holder does not live, or is in no zone where it should be."""
+        """Yield an assignment for each role whose holder is not live and ready, or is outside the wanted zones."""
         ready = {member.name: member for member in self.members if member.is_ready}
         for role in self.wanted_roles():
             held = role_assignment(self.store, role.kind, role.name) or UNASSIGNED
@@ -123,8 +124,8 @@
     def candidates(self, role: WantedRole, ready: Mapping[str, MemberRecord]) -> list[str]:
         """Return the daemons that may hold a role.
 
-        Slot leases also those of the replica's region, where its zone has none. A duty the cores of any zone: they are few, and the
-        store is proved to them before others.
+        If a replica's zone has no candidate for its slot leases, daemons of its region qualify. A duty may be held by a core in any
+        zone: cores are few, and they get proof that their store is current before other daemons do.
         """
         if role.kind == DUTY_ROLE:
             return [name for name, member in ready.items() if member.is_core]
@@ -135,7 +136,7 @@
         return candidates
 
     def unneeded_roles(self, now: timedelta) -> Iterator[DropRoles]:
-        """Yield roles to drop: those of tenants and replicas that have been gone for the setting `forget`."""
+        """Yield roles to drop: those of tenants and replicas that have been absent for the setting `forget`."""
         needed = {role_key(SHARD_ROLE, tenant) for tenant in self.tenants()}
         needed |= {role_key(SLOT_LEASES_ROLE, replica) for replica, _ in self.replica_zones}
         unneeded = [key for key in self.store if key.startswith(ROLE_PREFIX) and key not in needed]
@@ -146,14 +147,14 @@
                 yield DropRoles(kind, names[:MAX_DROPPED_AT_ONCE])
 
     def forgotten_names(self, prefix: str, now: timedelta) -> Iterator[str]:
-        """Yield the names of the roles under this prefix that have been unneeded for long, sorted."""
+        """Yield, sorted, the names of roles under this key prefix that have been unneeded for longer than the setting `forget`."""
         for key, since in sorted(self.unneeded_since.items()):
             if key.startswith(prefix) and now - since > self.tuning["forget"]:
                 yield key.removeprefix(prefix)
 
 
 def outside_follower_zone(candidates: Iterable[str], follower: str, ready: Mapping[str, MemberRecord]) -> list[str]:
-    """Return the candidates outside the zone of the follower, which keeps the claims' copy; all where none is."""
+    """Return the candidates outside the zone of the follower, which keeps the replica; all candidates if there are none outside."""
     every = list(candidates)
     if follower not in ready:
         return every
--- a/silverglade/control/seek.py
+++ b/silverglade/control/seek.py
@@ -1,7 +1,7 @@
-"""Seeking a new view (design 5.4): seal, copy to the recruits, then the register's round.
+"""Proposing a new view (design 5.4): seal the epoch, copy the store to the recruits, then run a round of the register.
 
-The seeker is a state machine of its own: it is advanced at each timer event and given each answer, and returns typed actions
-for the core to carry out. It never writes or sends itself.
+The seeker is a state machine of its own. The core advances it at each timer event and passes it each answer; it returns typed
+actions, which the core runs. It never writes or sends by itself.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from .view import NO_BALLOT, Ballot, View, disks
 
 MIN_RETRY_DELAY = milliseconds(50)
-"""The least wait after an attempt that failed."""
+"""Minimum delay before the next attempt after a failed one."""
 
 COPY_TIMEOUT_TAKEOVERS = 8
-"""For so many times `takeover` an attempt waits for recruits that are heard to sync their copy."""
+"""Time-out for recruits that are up to sync their copy of the store, in multiples of the setting `takeover`."""
 
 BALLOT_RANDOM_BITS = 20
-"""Ballots rise by a random step: two processes of a core, of which the first left nothing on disk, must not use the same ballot,
-or a late acceptance of the first would count for the second."""
+"""Ballot numbers increase by a random step of this many bits. Two successive processes of a core, of which the first left nothing on
+disk, must not use the same ballot, or a late acceptance for the first would count for the second."""
 
 
 class Goal(NamedTuple):
-    """The view sought after `base`; its recruits get a copy of the store first."""
+    """The view to propose as the successor of `base`. Its recruits get a copy of the store first."""
 
     base: View | None
     view: View
@@ -38,7 +38,7 @@
 
 
 class Step(Enum):
-    """How far an attempt has come."""
+    """The stage of an attempt."""
 
     IDLE = "rest"
     SEAL = "seal"
@@ -47,14 +47,14 @@
 
 
 class Seal(NamedTuple):
-    """Action: seal the epoch on disk, then confirm it to the seeker by this nonce."""
+    """Action: seal the epoch on disk, then call `Seeker.seal_written` with this nonce."""
 
     goal: Goal
     nonce: int
 
 
 class SendSnapshot(NamedTuple):
-    """Action: send the whole store to these recruits."""
+    """Action: send a snapshot of the store to these recruits."""
 
     recruits: tuple[str, ...]
     epoch: int
@@ -69,7 +69,7 @@
 
 
 class AdoptView(NamedTuple):
-    """Action: take this view, which is chosen."""
+    """Action: adopt this view, which is known to be chosen."""
 
     view: View
 
@@ -81,11 +81,11 @@
 class Seeker:
     """One member's attempts to have a new view chosen.
 
-    `goal` is set in every step but REST, `round` in ROUND once the witnesses were asked.
+    `goal` is set in every step but IDLE; `round` is set in ROUND once the prepare request was sent.
 
-    :ivar next_attempt_at: when the next attempt may begin.
-    :ivar begun: when this attempt began, or its round.
-    :ivar nonce: of the seal and the copies of this attempt.
+    :ivar next_attempt_at: the earliest time of the next attempt.
+    :ivar started_at: when this attempt started, or its round once that has started.
+    :ivar nonce: identifies the seal and the copies of this attempt.
     :ivar sealed: whether the seal with that nonce is on disk.
     :ivar copied_at: when the store was last sent to the recruits.
     :ivar highest: the highest ballot seen.
@@ -102,11 +102,11 @@
     highest: Ballot = NO_BALLOT
 
     def may_begin(self, now: timedelta) -> bool:
-        """Tell whether a new attempt may begin."""
+        """Return whether a new attempt may start."""
         return self.step is Step.IDLE and now >= self.next_attempt_at
 
     def begin(self, goal: Goal, now: timedelta, rng: random.Random) -> list[Action]:
-        """Begin an attempt; return what is to be done first."""
+        """Start an attempt; return its first actions."""
         self.goal, self.started_at, self.nonce, self.round, self.sealed = goal, now, rng.getrandbits(48), None, False
         if not goal.recruits:
             self.step = Step.ROUND
@@ -115,11 +115,11 @@
         return [Seal(goal, self.nonce)]
 
     def awaits(self, epoch: int, nonce: int) -> bool:
-        """Tell whether a confirmation of a synced copy belongs to the attempt under way; late ones are dropped."""
+        """Return whether a confirmation of a synced copy belongs to the current attempt; late ones are dropped."""
         return self.goal is not None and (epoch, nonce) == (self.goal.view.epoch, self.nonce)
 
     def seal_written(self, nonce: int) -> None:
-        """Note that a seal is on disk; only that of the attempt under way counts."""
+        """Record that a seal is on disk; only the seal of the current attempt counts."""
         self.sealed = self.sealed or nonce == self.nonce
 
     def advance(
@@ -132,10 +132,10 @@
         tuning: Mapping[str, Any],
         rng: random.Random,
     ) -> list[Action]:
-        """Go on with the attempt as far as possible; end it when it has taken too long.
+        """Continue the attempt as far as possible, and end it when it times out.
 
-        :param recruits_synced: (core, epoch, nonce) of each copy that was synced, and on which disk.
-        :param is_up: whether a core is heard.
+        :param recruits_synced: maps (core, epoch, nonce) of each synced copy to the disk that holds it.
+        :param is_up: returns whether a core is up.
         """
         if self.goal is None or self.started_at is None:
             return []
@@ -154,7 +154,7 @@
             and now - self.started_at <= COPY_TIMEOUT_TAKEOVERS * tuning["takeover"]
             and all(map(is_up, self.goal.recruits))
         ):
-            return actions  # a large copy on a slow link: begun anew it would come no sooner
+            return actions  # a large copy on a slow link would not arrive sooner if it were restarted
         if self.step is not Step.IDLE and now - self.started_at > tuning["takeover"]:
             self.retry_later(now, tuning, rng)
         return actions
@@ -162,7 +162,7 @@
     def copy(
         self, goal: Goal, now: timedelta, recruits_synced: Mapping[tuple[str, int, int], str], tuning: Mapping[str, Any]
     ) -> list[Action]:
-        """Copy the store, again from time to time, to the recruits that have not synced it; when all have, go on to the round."""
+        """Send the store, repeatedly, to the recruits that have not synced it; once all have, proceed to the round."""
         epoch, wanted_disks = goal.view.epoch, disks(goal.view)
         missing = tuple(name for name in goal.recruits if recruits_synced.get((name, epoch, self.nonce)) != wanted_disks[name])
         if not missing:
@@ -175,7 +175,7 @@
     def answer(
         self, sender: str, message: Promise | Accepted | Rejected, now: timedelta, tuning: Mapping[str, Any], rng: random.Random
     ) -> list[Action]:
-        """Take in a witness's answer to the round; return what follows."""
+        """Handle a witness's answer to the round; return the next actions."""
         if self.step is not Step.ROUND or self.round is None or self.goal is None:
             return []
         if isinstance(message, Rejected):
@@ -191,10 +191,10 @@
         return []
 
     def retry_later(self, now: timedelta, tuning: Mapping[str, Any], rng: random.Random) -> None:
-        """End the attempt and wait for a random time, so that two seekers do not overtake each other for ever."""
+        """End the attempt and back off for a random time, so that two seekers do not pre-empt each other forever."""
         self.step, self.next_attempt_at = Step.IDLE, now + tuning["settle"] * rng.random() + MIN_RETRY_DELAY
 
     @staticmethod
     def ask(goal: Goal, message: Prepare | Accept) -> AskWitnesses:
-        """Return the action that asks the witnesses who decide: those of the base, or of the view itself where there is none."""
+        """Return the action that sends a request to the voters: the witnesses of the base, or of the view itself if there is no base."""
         return AskWitnesses(tuple(sorted(disks(goal.base or goal.view))), message)
--- a/silverglade/control/serving.py
+++ b/silverglade/control/serving.py
@@ -1,4 +1,4 @@
-"""Committed items, and telling them: to daemons that ask for updates, and to other cores that are behind (design 5.7)."""
+"""Committed items: answering daemons' requests for updates, and bringing other cores up to date (design 5.7)."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def commit(core: CoreContext, items: Items, version: Version, now: timedelta) -> None:
-    """Commit items that were acknowledged. They are written to disk without haste, so that a core that starts again has them."""
+    """Commit acknowledged items. They are written to disk asynchronously, so that a restarted core has them."""
     state = core.state
     operations, state.pulled_at = store.commit(state.committed_items, items), None
     if version > state.committed_version or operations:
@@ -34,7 +34,7 @@
 def write_committed(core: CoreContext, now: timedelta) -> None:
     """Write committed items to disk, one write at a time.
 
-    On disk no item may be missing below the version that stands there, also when a write of some failed.
+    The items on disk must be complete up to the version on disk, even after a failed write.
     """
     state = core.state
     if state.committed_write_under_way:
@@ -45,7 +45,7 @@
 
 
 def on_committed_items_written(core: CoreContext, written: CommittedItemsWritten, succeeded: bool, now: timedelta) -> None:
-    """Go on after a write of committed items. What it did not bring to disk goes with the next."""
+    """Continue after a write of committed items; operations that failed are repeated with the next write."""
     state = core.state
     state.committed_write_under_way = False
     if not succeeded:
@@ -56,12 +56,12 @@
 
 
 def proof_age_ms(core: CoreContext, now: timedelta) -> int:
-    """Return how old the last proof is that the primary was still primary, in ms; -1 for none."""
+    """Return the age of the latest proof that the primary leads, in ms; -1 if there is none."""
     return -1 if core.state.proved_at is None else to_milliseconds(now - core.state.proved_at)
 
 
 def answer_held_requests(core: CoreContext, now: timedelta) -> None:
-    """Answer the held requests for which there is an update, or that have been held long enough (design 5.7)."""
+    """Answer the held requests for which there is an update or whose long poll has timed out (design 5.7)."""
     state = core.state
     if not state.held_requests:
         return
@@ -78,7 +78,7 @@
 
 
 def answer_update(core: CoreContext, request: HeldRequest, age: int, now: timedelta) -> None:
-    """Answer a request for updates; the core table appends what is new of soft state (design 4.3)."""
+    """Answer a request for updates; the core table appends the changes of soft state (design 4.3)."""
     state = core.state
     for_core = request.sender == core.name or request.sender in core.others()
     items = items_since(state.committed_items, request.version, for_core=for_core)
@@ -87,26 +87,26 @@
 
 
 def on_update_request(core: CoreContext, sender: str, request: UpdateRequest, now: timedelta) -> None:
-    """Hold a daemon's request for updates until there is one."""
+    """Hold a daemon's request for updates until there is an update or it times out."""
     core.state.held_requests.append(HeldRequest(now, sender, request.number, request.version, request.position))
     core.post(Component.CORE_TABLE, DaemonAskedHere(sender))
     answer_held_requests(core, now)
 
 
 def on_committed_items(core: CoreContext, message: CommittedItems, now: timedelta) -> None:
-    """Take in what another core of this view has committed."""
+    """Commit items that another core of this view has committed."""
     state, items = core.state, message.items
     if state.view is None or message.epoch != state.view.epoch:
         return
     if not items and core.backed_view() and newest_version(state.store) == message.version:
-        items = store.newer_items(state.store, message.previous)  # a backup holds them already
+        items = store.newer_items(state.store, message.previous)  # a backup already has them in its store
     if items and state.committed_version >= message.previous:
         commit(core, items, message.version, now)
         answer_held_requests(core, now)
 
 
 def on_pull(core: CoreContext, sender: str, pull: Pull) -> None:
-    """Send another core what it lacks of the committed items."""
+    """Send another core the committed items that it lacks."""
     state = core.state
     if state.view is None or core.led_view() and not core.open_view():
         return
--- a/silverglade/control/snapshots.py
+++ b/silverglade/control/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of the whole store (design 5.4): to recruits of a later view, and to the backups of one that opens."""
+"""Snapshots of the whole store (design 5.4): for recruits of a later view, and for the backups of a view that opens."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def send_opening(core: CoreContext, view: View, now: timedelta) -> None:
-    """Send a new primary's whole store to the backups that have not synced it; nothing else is done before."""
+    """Send a new primary's whole store to the backups that have not synced it; it replicates no change before they have."""
     state = core.state
     if state.store_on_disk is StoreOnDisk.TORN:
         core.write_whole_store(now)
@@ -29,7 +29,7 @@
 
 
 def open_if_synced(core: CoreContext, now: timedelta) -> None:
-    """Open the view of which this core is primary, when it and all backups have synced its store."""
+    """Open the view of which this core is primary, once it and all backups have synced its store."""
     state, view = core.state, core.led_view()
     if view is None or state.open_epoch == view.epoch or state.sealed >= view.epoch:
         return
@@ -38,7 +38,7 @@
     state.open_epoch = view.epoch
     core.log("primary-open", epoch=view.epoch)
     serving.commit(core, store.newer_items(state.store), newest_version(state.store), now)
-    if state.pending:  # now part of the synced store
+    if state.pending:  # it is part of the store that all members have synced
         replication.commit(core, view, state.pending, now)
     for name in core.others():
         liveness.send_heartbeat(core, name, now)
@@ -46,7 +46,7 @@
 
 
 def on_whole_store_written(core: CoreContext, written: WholeStoreWritten, succeeded: bool) -> None:
-    """Go on after a write of the whole store; it tells the state of the disk only within the view in which it began."""
+    """Continue after a write of the whole store; it determines the state on disk only within the view in which it started."""
     if written.epoch == core.epoch:
         core.state.store_on_disk = StoreOnDisk.WHOLE if succeeded else StoreOnDisk.TORN
     if succeeded and written.outgoing:
@@ -54,7 +54,7 @@
 
 
 def on_snapshot(core: CoreContext, sender: str, snapshot: Snapshot, now: timedelta) -> None:
-    """Take in a whole store from a primary that opens its view, or from a member that seeks a later one."""
+    """Handle a snapshot from a primary that opens its view, or from a member that seeks a later one."""
     if snapshot.view is not None:
         accepted = accept_opening(core, sender, snapshot, snapshot.view, now)
     else:
@@ -64,7 +64,7 @@
 
 
 def accept_opening(core: CoreContext, sender: str, snapshot: Snapshot, view: View, now: timedelta) -> bool:
-    """Tell whether a snapshot opens a view of which this core is a backup. A late one must not undo synced changes."""
+    """Return whether to accept a snapshot that opens a view with this core as backup. A late one must not undo synced changes."""
     state = core.state
     if snapshot.epoch != view.epoch or sender != view.primary or core.name not in view.backups:
         return False
@@ -79,9 +79,10 @@
 
 
 def accept_recruiting(core: CoreContext, snapshot: Snapshot) -> bool:
-    """Tell whether a snapshot recruits this core for a later view; a member that is recruited takes no more changes in this one.
+    """Return whether to accept a snapshot that recruits this core for a later view.
 
-    A core that leaves can't be recruited: it may end before that view, which would rest on it, is chosen.
+    A member that is recruited seals its epoch, so it accepts no more changes in the current view. A core that leaves cannot be
+    recruited: it might exit before the view that depends on it is chosen.
     """
     state = core.state
     if snapshot.epoch <= core.epoch or snapshot.epoch < state.recruited:
@@ -95,7 +96,7 @@
 
 
 def install_snapshot(core: CoreContext, sender: str, snapshot: Snapshot, now: timedelta) -> None:
-    """Replace the store by a snapshot; its sender is told when it is on disk."""
+    """Replace the store by a snapshot, and confirm it to its sender once it is on disk."""
     state = core.state
     state.recruited = max(state.recruited, snapshot.epoch)
     state.store = {key: (version, value) for key, version, value in snapshot.items}
@@ -105,7 +106,7 @@
 
 
 def on_snapshot_synced(core: CoreContext, sender: str, synced: SnapshotSynced, now: timedelta) -> None:
-    """Note that a recruit, or a backup of the view that opens, has synced a snapshot."""
+    """Record that a recruit, or a backup of the view that opens, has synced a snapshot."""
     state, led = core.state, core.led_view()
     if state.seeker is not None and state.seeker.awaits(synced.epoch, synced.nonce):
         state.recruits_synced[sender, synced.epoch, synced.nonce] = synced.disk
--- a/silverglade/control/spread.py
+++ b/silverglade/control/spread.py
@@ -1,6 +1,6 @@
-"""Which cores are witnesses and backups (design 5.9): so that any loss within the tolerance is borne.
+"""Placement of witnesses and backups (design 5.9), so that any loss within the tolerance is survived.
 
-places: {core: (zone, region)}. tolerance = (machines, zones, regions) that may be lost at once.
+`places` maps a core to (zone, region). `tolerance` is the number of (machines, zones, regions) that may be lost at once.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 UNKNOWN_PLACE: Place = ("", "")
 MAX_CANDIDATES = MAX_WITNESSES + 3
-"""Of so many cores at most the sets of witnesses are weighed."""
+"""The most cores considered when sets of witnesses are compared."""
 
 
 def losses_tolerated(names: Collection[str], *, need: int, places: Places, tolerance: Tolerance) -> tuple[int, int, int]:
-    """Return how many machines, zones and regions may be lost, up to the tolerance, with `need` of the names left.
+    """Return how many machines, zones and regions may be lost, up to the tolerance, such that `need` of the names remain.
 
-    -1 stands for too few even without a loss.
+    -1 means that there are too few even without a loss.
     """
 
     def max_losses(sizes: Sequence[int], top: int) -> int:
@@ -41,17 +41,17 @@
 
 
 def backup_count(tolerance: Tolerance) -> int:
-    """Return how many backups are wanted: one member is left whatever of the tolerance is lost."""
+    """Return the number of backups with which one member remains after any loss within the tolerance."""
     return max(1, *tolerance)
 
 
 def choose_backups(
     *, own_name: str, names: Iterable[str], current: Collection[str], places: Places, tolerance: Tolerance
 ) -> tuple[str, ...] | None:
-    """Return the best backups for primary `own_name`; None where there is no candidate.
+    """Return the best backups for primary `own_name`; None if there is no candidate.
 
     :param names: the live witnesses.
-    :param was: the members there are, which are preferred.
+    :param current: the present members, which are preferred.
     """
     pool = sorted(set(names) - {own_name}, key=lambda name: (name not in current, name))
     wanted = min(backup_count(tolerance), len(pool))
@@ -75,12 +75,12 @@
     places: Places,
     tolerance: Tolerance,
 ) -> tuple[str, ...]:
-    """Return the best set of witnesses out of those there were and the live cores.
+    """Return the best set of witnesses, chosen from the current ones and the live cores.
 
-    Nobody who is silent leaves unless a live core takes its place, or it is `gone` for long, or the live ones bear the
-    whole tolerance without it and not with it. A live core comes in where that makes the set bear no less, and leaves only
-    where the whole tolerance is not borne with it and all are live but those `leaving` and those in whose zone another is
-    live, which may have come for them. Fewer changes go before more.
+    A silent witness is removed only if a live core replaces it, if it has been `gone` for long, or if the live witnesses
+    provide the full tolerance without it but not with it. A live core is added if the set then tolerates no fewer losses. It is
+    removed only if the full tolerance is not provided with it and every witness is live, except those that are `leaving` and
+    those whose zone has another live core, which may be their replacement. Sets with fewer changes are preferred.
     """
     known = tuple(sorted((name, places[name]) for name in {*current, *live} if name in places))
     return best_witnesses(current, frozenset(live), frozenset(gone), frozenset(leaving), known, tolerance)
@@ -95,7 +95,7 @@
     known_places: tuple[tuple[str, Place], ...],
     tolerance: Tolerance,
 ) -> tuple[str, ...]:
-    """Return what `witnesses` does; hundreds of sets are weighed, so the result is cached while nothing changes."""
+    """Implement `choose_witnesses`; hundreds of sets are compared, so the result is cached while the arguments stay the same."""
     places = dict(known_places)
 
     def tolerated(names: tuple[str, ...]) -> int:
--- a/silverglade/control/state.py
+++ b/silverglade/control/state.py
@@ -1,4 +1,4 @@
-"""The state of a control core (design 5): plain typed values, which values.py copies and compares."""
+"""The state of a control core (design 5), as typed values that values.py can copy and compare."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 from .writes import DiskOperation, Writes
 
 Client = tuple[str, int]
-"""Who waits for an operation: the daemon and the number of its request there."""
+"""The client of an operation: the daemon, and the number of the request at that daemon."""
 
 
 @dataclass(frozen=True, slots=True)
 class CoreSettings:
-    """What a core is given when it starts, and never changes.
+    """The configuration of a core, fixed when it starts.
 
     :ivar named: the cores that form the first view.
     :ivar may_form: whether this core may form the first view (design 5.5).
-    :ivar formed_before: whether its disk says so from an earlier start.
+    :ivar formed_before: whether its disk records that permission from an earlier start.
     :ivar tuning: time settings and limits, shared by all components and never written here.
     """
 
@@ -49,19 +49,19 @@
 
 
 class StoreOnDisk(Enum):
-    """Whether the store on this core's disk is as it is held in memory."""
+    """Whether the store on this core's disk matches the one in memory."""
 
     WHOLE = "whole"
-    WRITING = "writing"  # it is being written anew
-    TORN = "torn"  # a write of it failed
+    WRITING = "writing"  # the whole store is being rewritten
+    TORN = "torn"  # a write failed; the store on disk is incomplete
 
 
 class QueuedOperation(NamedTuple):
-    """An operation that waits for its turn.
+    """An operation waiting in the primary's queue.
 
-    :ivar client: who is told the result; None for nobody.
-    :ivar change: the operator's own id of the change; "" for none.
-    :ivar digest: of the operation's text.
+    :ivar client: the client that gets the result; None if there is none.
+    :ivar change: the change id given by the operator, an idempotency key; "" for none.
+    :ivar digest: digest of the operation's text.
     """
 
     client: Client | None
@@ -71,7 +71,7 @@
 
 
 class Answer(NamedTuple):
-    """The result of an operation, for its client."""
+    """The result of an operation, with the client to send it to."""
 
     client: Client | None
     result: Result
@@ -79,16 +79,17 @@
 
 @dataclass(slots=True)
 class PendingChange:
-    """The one change in flight: of all operations that were settled together, in their order.
+    """The single change in flight, made of all operations that were settled as one group, in their order.
 
-    They are answered when `synced_here` and `synced_by` holds every backup. Without items it only asks the backups whether the
-    view still holds, for reads and refusals.
+    The operations are answered once `synced_here` is true and `synced_by` holds every backup. A change without items only asks
+    the backups to confirm that the view still holds; reads and refusals need that.
 
-    :ivar version: of the store with the change.
-    :ivar previous: of the store before it.
+    :ivar version: version of the store with the change.
+    :ivar previous: version of the store before it.
     :ivar synced_here: whether the primary's own disk has synced it.
-    :ivar nonce: names the change among those of the epoch.
+    :ivar nonce: identifies the change within the epoch.
     :ivar sent: when it was last sent to the backups.
+    :ivar synced_by: the backups that have confirmed it.
     """
 
     answers: tuple[Answer, ...]
@@ -103,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpeningSnapshot:
-    """The snapshot with which a new primary opens its view, and when it was last sent."""
+    """The snapshot that a new primary sends to open its view, and when it was last sent."""
 
     nonce: int
     sent: timedelta
@@ -111,14 +112,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BetterView:
-    """The view that the primary would rather have, and since when the live cores have been the same."""
+    """A view that the primary prefers to the current one, and since when the set of live cores has been stable."""
 
     since: timedelta
     view: View
 
 
 class HeldRequest(NamedTuple):
-    """A daemon's request for updates that is held until there is one."""
+    """A daemon's request for updates (long poll), held until there is an update or it times out."""
 
     received: timedelta
     sender: str
@@ -129,31 +130,31 @@
 
 @dataclass(slots=True)
 class CoreState:
-    """All that a control core knows. Only a step changes it.
+    """The complete state of a control core. Only `ControlCore.step` changes it.
 
-    On disk before anything is said that rests on it: `register`, `sealed`, `recruited`, `served` and `store`; `committed_items` and
-    `committed_version` follow later, and may be behind on disk.
+    `register`, `sealed`, `recruited`, `served` and `store` are on disk before any message that depends on them is sent.
+    `committed_items` and `committed_version` are written later and may lag behind on disk.
 
     Invariants:
-    - `view.epoch` never falls; `sealed`, `recruited`, `served`, `committed_version` and the register's promise never fall.
-    - `register.base == view`: what is known to be chosen is what the witness holds as its base.
-    - `open_epoch` is 0 or `view.epoch`, and is not 0 only on the primary, after all backups have synced its whole store.
-    - A backup takes changes of `view` only while `served == view.epoch > sealed`.
-    - On disk, the committed items lack nothing up to the committed version there.
-    - `pending` is None but on the primary of `view`: begun in it, or, until the view is open, part of `store`.
-    - Every version in `committed_items` is at most `committed_version`, and was acknowledged or synced by all members of a view.
-    - `proofs` and `snapshot_synced_by` name backups of `view` alone.
+    - `view.epoch`, `sealed`, `recruited`, `served`, `committed_version` and the register's promise never decrease.
+    - `register.base == view`: the newest view known to be chosen is also the base of the witness.
+    - `open_epoch` is 0 or `view.epoch`. It is nonzero only on the primary, once all backups have synced its whole store.
+    - A backup accepts changes of `view` only while `served == view.epoch > sealed`.
+    - On disk, the committed items are complete up to the committed version on disk.
+    - `pending` is None except on the primary of `view`. It started in that view or, until the view is open, is part of `store`.
+    - Every version in `committed_items` is at most `committed_version`, and was acknowledged, or synced by all members of a view.
+    - `proofs` and `snapshot_synced_by` name only backups of `view`.
     """
 
     # the register, and the newest view known to be chosen
     register: Register
     view: View | None
-    # epochs: no more changes are taken under `sealed`; this core was recruited for `recruited`; its store began from the opening
-    # snapshot of `served`
+    # epochs: changes of epochs up to `sealed` are refused; `recruited` is the newest epoch this core was recruited for; `served` is
+    # the epoch whose opening snapshot its store started from
     sealed: int
     recruited: int
     served: int
-    # what control holds, and what of it may be told to others (design 5.7)
+    # the replicated store, and the committed part of it, which may be sent to others (design 5.7)
     store: Store
     committed_items: Store
     committed_version: Version
@@ -162,24 +163,25 @@
     # the other cores
     peers: Peers
     places: dict[str, Place]
-    # what this process adds to its clock in the stamps of its heartbeats, so that no other process's stamp is taken for its own
+    # offset added to the clock in the stamps of this process's heartbeats, so that it does not mistake another process's stamp for its own
     stamp_origin: int
-    # of the committed items: what is not on disk yet, by key, and whether a write of some is under way
+    # committed items not yet on disk, by key, and whether a write of committed items is in progress
     committed_unwritten: dict[str, DiskOperation] = field(default_factory=dict)
     committed_write_under_way: bool = False
-    known_cores: set[str] = field(default_factory=set)  # through membership, or by a heartbeat
-    leaving: set[str] = field(default_factory=set)  # those that said that they leave, and are not back
-    live: dict[str, str] = field(default_factory=dict)  # those that may be named in a view, and since when they are the same
+    known_cores: set[str] = field(default_factory=set)  # learnt from membership or from a heartbeat
+    leaving: set[str] = field(default_factory=set)  # cores that announced their departure and have not returned
+    live: dict[str, str] = field(default_factory=dict)  # cores that a view may name, with their disks; unchanged since `live_since`
     live_since: timedelta = ZERO
     heartbeat_sent: dict[str, timedelta] = field(default_factory=dict)
-    # when the next round of heartbeats is due (None before the first event); since when this core is awake in its view, has
-    # been seeking another, and, as its primary, is to hear all; was it said that it may end?
+    # when the next round of heartbeats is due (None before the first event); since when this core has run without a pause in this
+    # view, has been seeking another view, and, as primary, should have received every core's heartbeats; whether the exit of this
+    # daemon has been allowed
     next_heartbeat: timedelta | None = None
     awake_since: timedelta = ZERO
     seeking_since: timedelta | None = None
     listening_since: timedelta = ZERO
     exit_allowed: bool = False
-    # primary: the epoch in which it is open, changes, the snapshot that opens the view, proofs that it still leads
+    # primary: the epoch in which it is open, changes, the opening snapshot, and per backup the latest proof that it still leads
     open_epoch: int = 0
     queue: list[QueuedOperation] = field(default_factory=list)
     pending: PendingChange | None = None
@@ -187,21 +189,21 @@
     opening_snapshot: OpeningSnapshot | None = None
     snapshot_synced_by: set[str] = field(default_factory=set)
     proofs: dict[str, timedelta] = field(default_factory=dict)
-    # the newest time at which the primary was proved to be primary; when the last pull of committed items was sent
+    # the latest time at which the primary is proved to have led; when the wait before the next pull of committed items started
     proved_at: timedelta | None = None
     pulled_at: timedelta | None = None
-    # seeking a new view: the seeker; a better view; the epoch that this core sealed to seek the next; recruits' syncs
+    # view changes: the seeker; a better view; the epoch that this core sealed to propose the next; recruits that synced their copy
     seeker: Seeker | None = None
     better: BetterView | None = None
     sealed_by_self: int = 0
     recruits_synced: dict[tuple[str, int, int], str] = field(default_factory=dict)  # (core, epoch, nonce) -> disk
-    # daemons that wait for news; where the table of soft state stands (design 4.3)
+    # held requests of daemons; the position of the table of soft state (design 4.3)
     held_requests: list[HeldRequest] = field(default_factory=list)
     table_position: Any = None
 
 
 def may_form_first_view(*, name: str, named: Iterable[str], first: bool, formed_before: bool) -> bool:
-    """Tell whether this core may form the first view (design 5.5): it was started for that, now or, by its disk, before."""
+    """Return whether this core may form the first view (design 5.5): it was started for that now or, as its disk records, earlier."""
     return name in named and (first or formed_before)
 
 
@@ -214,7 +216,7 @@
     place: Place,
     stamp_origin: int = 0,
 ) -> CoreState:
-    """Return the state after a start, from the tables on disk as last synced."""
+    """Return the state at process start, restored from the tables on disk as last synced."""
     register = read_register(meta)
     return CoreState(
         register=register,
--- a/silverglade/control/values.py
+++ b/silverglade/control/values.py
@@ -1,4 +1,4 @@
-"""Copies and fingerprints of a core's state, for the model checker, which plays many steps from one state."""
+"""Copies and fingerprints of a core's state, for the model checker, which explores many steps from one state."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 from typing import Any
 
 PRIMITIVE_TYPES = frozenset((str, int, bool, bytes, float, timedelta, type(None)))
-"""Types of which a value is its own canonical form."""
+"""Types whose values are immutable and are their own canonical form."""
 
 MUTABLE_COLLECTIONS = frozenset((dict, set, list))
 
 SHARED_FIELD = "tuning"
-"""The field of settings that every record shares: no part of the state."""
+"""The field with the settings that all records share; it is not part of the state."""
 
 
 @functools.cache
 def field_names(kind: type) -> tuple[str, ...]:
-    """Return the fields of a dataclass that are part of the state."""
+    """Return the names of the fields of a dataclass that are part of the state."""
     return tuple(f.name for f in dataclasses.fields(kind) if f.name != SHARED_FIELD)
 
 
 @functools.cache
 def mutable_fields(kind: type) -> tuple[str, ...]:
-    """Return the fields of a record that is changed in place; none of a value that is not."""
+    """Return the names of the fields of a dataclass that is changed in place; empty for any immutable type."""
     if not dataclasses.is_dataclass(kind) or kind.__dataclass_params__.frozen:  # type: ignore[attr-defined]
         return ()
     return tuple(f.name for f in dataclasses.fields(kind))
 
 
 def copy_state(value: Any) -> Any:
-    """Return a copy of a state, or of a field of one.
+    """Return a copy of a state, or of one of its fields.
 
-    Only maps, sets, lists and the records that hold them are changed in place: these are copied, all else is shared.
+    Only maps, sets, lists and the records that hold them are changed in place. These are copied; all other values are shared.
     """
     kind: type = type(value)
     if kind in PRIMITIVE_TYPES:
@@ -56,7 +56,7 @@
 
 
 def copy_random(rng: random.Random) -> random.Random:
-    """Return a source of random numbers that goes on as this one does."""
+    """Return a copy of a random number generator that will yield the same numbers as the original."""
     if type(rng) is not random.Random:
         return copy.deepcopy(rng)
     twin = random.Random(0)
@@ -65,7 +65,7 @@
 
 
 def canonical_form(value: Any) -> Any:
-    """Return a value as nested tuples whose text is the same for equal values, whatever the order of sets and maps."""
+    """Return a value as nested tuples whose `repr` is the same for equal values, independent of the order of sets and maps."""
     kind: type = type(value)
     if kind in PRIMITIVE_TYPES:
         return value
@@ -81,5 +81,5 @@
 
 
 def fingerprint(*values: Any) -> bytes:
-    """Return sixteen bytes that are the same for equal values, in any process."""
+    """Return a 16-byte digest that is the same for equal values in any process."""
     return hashlib.blake2b(repr(canonical_form(values)).encode(), digest_size=16).digest()
--- a/silverglade/control/view.py
+++ b/silverglade/control/view.py
@@ -1,6 +1,6 @@
-"""A view and a ballot as values, and the checks of those that come from outside (design 5.2).
+"""Views and ballots as value types, and validation of those received from outside (design 5.2).
 
-Both travel and are stored as plain arrays: `plain` makes them so, `decode_view` and `decode_ballot` take them in.
+Both are sent and stored as plain arrays: `to_array` encodes them, `decode_view` and `decode_ballot` decode them.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 MIN_WITNESSES = 3
 
 Witness = tuple[str, str]
-"""A core and the id of the disk with which it may vote."""
+"""The name of a core, and the id of the disk with which its votes count."""
 
 
 class View(NamedTuple):
-    """Who holds control in one epoch: the members (primary and backups), and the witnesses who choose its successor."""
+    """The configuration of control in one epoch: the members (primary and backups), and the witnesses that vote on the next view."""
 
     epoch: int
     primary: str
@@ -24,7 +24,7 @@
 
 
 class Ballot(NamedTuple):
-    """The number of a proposal; ties are broken by the name of the proposer."""
+    """The number of a proposal. Ties are broken by the name of the proposer."""
 
     number: int
     proposer: str
@@ -34,27 +34,27 @@
 
 
 def epoch(view: View | None) -> int:
-    """Return the epoch of a view; 0 before the first."""
+    """Return the epoch of a view; 0 if there is no view yet."""
     return view.epoch if view else 0
 
 
 def members(view: View | None) -> tuple[str, ...]:
-    """Return the primary, then the backups; none before the first view."""
+    """Return the primary, then the backups; empty if there is no view yet."""
     return (view.primary, *view.backups) if view else ()
 
 
 def disks(view: View | None) -> dict[str, str]:
-    """Return the disk of each witness."""
+    """Return the disk id of each witness, by core name; empty if there is no view yet."""
     return dict(view.witnesses) if view else {}
 
 
 def is_text_tuple(value: Any, least: int, most: int) -> bool:
-    """Tell whether a value is a tuple of texts, of a length within the bounds."""
+    """Return whether a value is a tuple of `least` to `most` strings."""
     return isinstance(value, tuple) and least <= len(value) <= most and all(isinstance(x, str) for x in value)
 
 
 def is_ballot(value: Any) -> bool:
-    """Tell whether a value has the shape of a ballot."""
+    """Return whether a value has the shape of a ballot."""
     if not isinstance(value, tuple) or len(value) != len(Ballot._fields):
         return False
     number, proposer = value
@@ -62,7 +62,7 @@
 
 
 def is_view(value: Any) -> bool:
-    """Tell whether a value is a view: at least one backup, three to nine witnesses, all members among them."""
+    """Return whether a value is a valid view: at least one backup, three to nine witnesses, and every member is a witness."""
     if not isinstance(value, tuple) or len(value) != len(View._fields):
         return False
     number, primary, backups, witnesses = value
@@ -78,7 +78,7 @@
 
 
 def is_witness_tuple(value: Any) -> bool:
-    """Tell whether a value is a tuple of three to nine witnesses, each named once."""
+    """Return whether a value is a tuple of three to nine witnesses with distinct names."""
     return (
         isinstance(value, tuple)
         and MIN_WITNESSES <= len(value) <= MAX_WITNESSES
@@ -88,20 +88,20 @@
 
 
 def is_view_or_none(value: Any) -> bool:
-    """Tell whether a value is a view, or None for the time before the first."""
+    """Return whether a value is a view, or None (no view yet)."""
     return value is None or is_view(value)
 
 
 def decode_view(value: Any) -> View | None:
-    """Return the view of a checked array; None stays None."""
+    """Decode an array that `is_view_or_none` accepted; None stays None."""
     return None if value is None else View(*value)
 
 
 def decode_ballot(value: Any) -> Ballot:
-    """Return the ballot of a checked array."""
+    """Decode an array that `is_ballot` accepted."""
     return Ballot(*value)
 
 
 def to_array(value: Any) -> Any:
-    """Return a view or a ballot as the array that travels and is stored; anything else as it is."""
+    """Return a view or a ballot as the array that is sent and stored; any other value unchanged."""
     return tuple(value) if isinstance(value, View | Ballot) else value
--- a/silverglade/control/view_change.py
+++ b/silverglade/control/view_change.py
@@ -1,4 +1,4 @@
-"""View changes (design 5.4, 5.9): taking a chosen view, and seeking the next."""
+"""View changes (design 5.4, 5.9): adopting a chosen view, and seeking the next one."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def adopt(core: CoreContext, view: View | None, now: timedelta) -> None:
-    """Take a view that is known to be chosen; lower epochs are refused from here on."""
+    """Adopt a view that is known to be chosen, unless it is older than the current one; lower epochs are refused from then on."""
     state = core.state
     if view is None or view.epoch <= core.epoch:
         return
@@ -39,14 +39,14 @@
 
 
 def on_chosen(core: CoreContext, view: View, now: timedelta) -> None:
-    """Take the view that this core's own round chose, and tell it to all other cores."""
+    """Adopt a view that this core's own round found to be chosen, and announce it to all other cores."""
     adopt(core, view, now)
     for name in core.others():
         core.send(name, ChosenView(view))
 
 
 def reason_to_seek(core: CoreContext, now: timedelta) -> str | None:
-    """Return why a member should seek a new view, or None (design 5.4)."""
+    """Return the reason why this member should seek a new view; None if there is none (design 5.4)."""
     state, tuning = core.state, core.settings.tuning
     problem = plan.view_problem(
         own_name=core.name,
@@ -65,9 +65,9 @@
 
 
 def listening_since(core: CoreContext, name: str) -> timedelta:
-    """Return from when on a core would have been heard.
+    """Return since when heartbeats of a core would have reached this one.
 
-    All cores send heartbeats to the primary; to a backup only the primary does, unless the backup seeks a view.
+    All cores send heartbeats to the primary. A backup gets them only from the primary, unless the backup seeks a view.
     """
     state = core.state
     if core.led_view():
@@ -78,9 +78,9 @@
 
 
 def live_cores(core: CoreContext, now: timedelta) -> dict[str, str]:
-    """Return the cores that may be named in a view now, with their disks.
+    """Return the cores that a view may name now, with their disk ids.
 
-    A core whose zone is unknown is left out, since nobody knows what would be lost together with it.
+    A core of unknown zone is left out, since it is unknown which other cores might fail together with it.
     """
     state, known = core.state, disks(core.state.view)
     names = [name for name in core.others() if name in state.places or name in known]
@@ -88,7 +88,7 @@
 
 
 def wanted_witnesses(core: CoreContext, view: View, live: Mapping[str, str], now: timedelta) -> tuple[str, ...] | None:
-    """Return the witnesses that the next view should have; None while one that is away may be back in a moment."""
+    """Return the witnesses that the next view should have; None while a witness that is not live may still return shortly."""
     state, settings = core.state, core.settings
     return plan.next_witnesses(
         view=view,
@@ -104,7 +104,7 @@
 
 
 def look_for_better_view(core: CoreContext, now: timedelta) -> None:
-    """Look, as the primary of a view that works, for one that bears more losses (design 5.9)."""
+    """As the primary of a working view, look for a view that tolerates more losses (design 5.9)."""
     state, view = core.state, core.open_view()
     live = live_cores(core, now)
     if live != state.live:
@@ -119,7 +119,7 @@
 
 
 def next_goal(core: CoreContext, now: timedelta) -> Goal | None:
-    """Return what should be sought now, or None."""
+    """Return the view that should be proposed now; None if there is none."""
     state, settings = core.state, core.settings
     if state.view is None:
         return first_goal(core, now)
@@ -135,7 +135,7 @@
 
 
 def first_goal(core: CoreContext, now: timedelta) -> Goal | None:
-    """Return the first view of all as the goal; an agreement on it that was broken off is completed."""
+    """Return the very first view as the goal; an interrupted agreement on it is completed."""
     state, settings = core.state, core.settings
     if state.register.view is not None:
         return Goal(None, state.register.view, ())
@@ -154,11 +154,11 @@
 
 
 def start_or_stop_seeking(core: CoreContext, now: timedelta) -> None:
-    """Begin to seek another view where this one does not work; stop where it works again."""
+    """Start seeking another view if the current one does not work; stop once it works again."""
     state, reason = core.state, reason_to_seek(core, now)
     if state.seeker is None:
         if reason or state.view is None:
-            state.next_heartbeat = now  # so that all are heard before a plan is made
+            state.next_heartbeat = now  # exchange heartbeats with all cores before choosing a view
             state.seeking_since = state.seeking_since or now
             state.seeker = Seeker(next_attempt_at=now + core.settings.tuning["settle"] * first_attempt_delay(core, reason))
     elif state.view is not None and not reason:
@@ -166,9 +166,9 @@
 
 
 def first_attempt_delay(core: CoreContext, reason: str | None) -> float:
-    """Return how long to wait before the first attempt, in times of `settle`.
+    """Return the delay before the first attempt, in multiples of the setting `settle`.
 
-    Where another member has sealed the epoch it seeks a view already, so this one waits longer.
+    If another member has sealed the epoch, it is already seeking a view, so this one waits longer.
     """
     if reason == "better":
         return 0
@@ -177,7 +177,7 @@
 
 
 def seek(core: CoreContext, now: timedelta) -> None:
-    """Begin an attempt that is due, and go on with the one under way."""
+    """Start an attempt if one is due, and continue the current one."""
     state, seeker = core.state, core.state.seeker
     if seeker is None:
         return
@@ -200,7 +200,7 @@
 
 
 def on_answer(core: CoreContext, sender: str, message: Promise | Accepted | Rejected, now: timedelta) -> None:
-    """Give a witness's answer to the round under way."""
+    """Pass a witness's answer to the current round."""
     seeker = core.state.seeker
     if seeker is not None:
         seeker.highest = max(seeker.highest, core.state.register.promised)
@@ -208,7 +208,7 @@
 
 
 def run_actions(core: CoreContext, actions: list[Action], now: timedelta) -> None:
-    """Carry out the actions of the seeker."""
+    """Run the actions that the seeker returned."""
     for action in actions:
         match action:
             case Seal(wanted, nonce):
@@ -226,13 +226,13 @@
 
 
 def seal(core: CoreContext, nonce: int, now: timedelta) -> None:
-    """Seal the epoch: take no more changes under it. The seeker goes on when that is on disk."""
+    """Seal the epoch: accept no more changes under it. The seeker continues once the seal is on disk."""
     state = core.state
     state.sealed = state.sealed_by_self = core.epoch
     core.write(meta_puts(sealed=state.sealed), EpochSealed(nonce), now)
 
 
 def on_sealed(core: CoreContext, written: EpochSealed, succeeded: bool) -> None:
-    """Tell the seeker that the seal is on disk."""
+    """Notify the seeker that the seal is on disk."""
     if succeeded and core.state.seeker is not None:
         core.state.seeker.seal_written(written.nonce)
--- a/silverglade/control/witness.py
+++ b/silverglade/control/witness.py
@@ -1,4 +1,4 @@
-"""A core as a witness: it votes on which view follows which (design 5.2). Each vote is on its disk before it is sent."""
+"""The witness role of a core: it votes on the next view (design 5.2). Each vote is on disk before it is sent."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 def on_prepare(core: CoreContext, sender: str, message: Prepare, now: timedelta) -> None:
-    """Answer a proposer that asks for a promise."""
+    """Answer a prepare request."""
     if message.ballot.proposer == sender:
         vote(core, sender, *register.prepare(core.state.register, message, disk=core.settings.disk), now)
 
 
 def on_accept(core: CoreContext, sender: str, message: Accept, now: timedelta) -> None:
-    """Answer a proposer that asks to accept a view. The base that it names is chosen, so it is taken first."""
+    """Answer an accept request. The base that it names is chosen, so it is adopted first."""
     if message.ballot.proposer == sender:
         view_change.adopt(core, message.base, now)
         vote(core, sender, *register.accept(core.state.register, message, disk=core.settings.disk), now)
 
 
 def vote(core: CoreContext, to: str, new_register: Register, answer: Promise | Accepted | Rejected, now: timedelta) -> None:
-    """Write the register to disk, then send the answer; at once where the register has not changed."""
+    """Write the register to disk, then send the answer; send it at once if the register is unchanged."""
     if new_register is core.state.register:
         core.send(to, answer)
         return
--- a/silverglade/control/writes.py
+++ b/silverglade/control/writes.py
@@ -1,7 +1,7 @@
-"""The writes to disk under way, and what follows each of them (design 5.4).
+"""Disk writes in progress and their continuations (design 5.4).
 
-What follows is a typed record, not a closure, so that a state with writes under way can be copied and compared. core.py
-carries it out when the write has ended.
+A continuation is a typed record, not a closure, so that a state with writes in progress can be copied and compared. core.py runs
+it when the write has completed or failed.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from .replicated_state import Version
 
 META_TABLE = "meta"
-"""Table on disk: values of this core alone."""
+"""Table on disk: values private to this core."""
 
 STORE_TABLE = "book"
-"""Table on disk: the store."""
+"""Table on disk: the replicated store."""
 
 COMMITTED_TABLE = "shown"
-"""Table on disk: the committed items, which may be told to others."""
+"""Table on disk: the committed items, which may be sent to others."""
 
 __all__ = [
     "COMMITTED_TABLE",
@@ -44,7 +44,7 @@
 
 
 class Outgoing(NamedTuple):
-    """A message and whom it goes to."""
+    """A message and its recipient."""
 
     to: str
     message: Message
@@ -52,14 +52,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SendIfSynced:
-    """The register or an epoch was written: the message may go if that succeeded."""
+    """Continuation of a write of the register or an epoch: send the message if the write succeeded."""
 
     outgoing: Outgoing
 
 
 @dataclass(frozen=True, slots=True)
 class WholeStoreWritten:
-    """The whole store was written under a view of `epoch`: it is whole or torn; the message goes if it succeeded."""
+    """Continuation of a rewrite of the whole store in `epoch`: mark it whole or torn, and send the message if the write succeeded."""
 
     epoch: int
     outgoing: Outgoing | None = None
@@ -67,28 +67,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeWrittenByPrimary:
-    """The primary's own write of the change with this nonce: it goes to the backups if that succeeded."""
+    """Continuation of the primary's write of the change with this nonce: replicate it to the backups if the write succeeded."""
 
     nonce: int
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeWrittenByBackup:
-    """A backup's write of a change: it tells the primary if that succeeded."""
+    """Continuation of a backup's write of a change: confirm it to the primary if the write succeeded."""
 
     outgoing: Outgoing
 
 
 @dataclass(frozen=True, slots=True)
 class EpochSealed:
-    """The seal was written that the seeker's attempt with this nonce waits for."""
+    """Continuation of a write of the seal that the seeker's attempt with this nonce waits for."""
 
     nonce: int
 
 
 @dataclass(frozen=True, slots=True)
 class CommittedItemsWritten:
-    """Shown items up to this version were written; what failed goes with the next write."""
+    """Continuation of a write of the committed items up to this version; failed operations are repeated with the next write."""
 
     version: Version
     operations: tuple[DiskOperation, ...]
@@ -98,7 +98,7 @@
 
 
 class WriteUnderWay(NamedTuple):
-    """When a write began, and what follows it."""
+    """The start time of a write, and its continuation."""
 
     started_at: timedelta
     continuation: Continuation | None
@@ -106,15 +106,16 @@
 
 @dataclass(slots=True)
 class Writes:
-    """The writes under way by number, and whether the disk takes them: slow, full or failing it does not.
+    """The writes in progress, by number, and whether this core is eligible as a member of a view.
 
-    A core that leaves (SIGTERM) says the same of itself, so that it is replaced before it is gone.
+    A core with a slow, full or failing disk is not eligible, nor is one that is leaving (SIGTERM), so that it is replaced before it
+    exits.
 
     :ivar tuning: time settings, shared by all components and never written here.
     :ivar last: number of the newest write.
-    :ivar disk_able: whether the disk takes writes in time.
-    :ivar leaving: whether this daemon is about to end.
-    :ivar tried_at: when a disk that took none was last tried.
+    :ivar is_disk_writable: whether the disk completes writes in time.
+    :ivar leaving: whether this daemon is shutting down.
+    :ivar probed_at: when a disk that was not writable was last probed.
     """
 
     tuning: Mapping[str, Any]
@@ -126,17 +127,17 @@
 
     @property
     def is_eligible(self) -> bool:
-        """Tell whether this core may be a member of a view: its disk takes writes, and it does not leave."""
+        """Whether this core may be a member of a view: its disk is writable and it is not leaving."""
         return self.is_disk_writable and not self.leaving
 
     def begin(self, operations: Iterable[DiskOperation], continuation: Continuation | None, now: timedelta) -> Effect:
-        """Return the effect that starts a write."""
+        """Register a write; return the effect that starts it."""
         self.last += 1
         self.in_progress[self.last] = WriteUnderWay(now, continuation)
         return WriteToDisk((Component.CONTROL.value, self.last), tuple(operations))
 
     def check(self, now: timedelta) -> list[Effect]:
-        """Return a log line when a write has taken too long, and a trial write to a disk that took none."""
+        """Detect a write that takes too long, and probe a disk that is not writable; return the log and write effects."""
         stall = self.tuning["disk_stall"]
         effects: list[Effect] = []
         if self.is_disk_writable and any(now - write.started_at > stall for write in self.in_progress.values()):
@@ -148,7 +149,7 @@
         return effects
 
     def complete(self, number: int, succeeded: bool) -> tuple[Continuation | None, list[Effect]]:
-        """Take in the end of a write; return what follows it, and effects."""
+        """Record the end of a write; return its continuation and the log effects."""
         write = self.in_progress.pop(number, None)
         continuation = write.continuation if write else None
         if self.is_disk_writable == succeeded or succeeded and self.in_progress:
@@ -158,5 +159,5 @@
 
 
 def meta_puts(**values: Any) -> list[DiskOperation]:
-    """Return the disk operations that keep these values of this core."""
+    """Return the disk operations that store these values in the table of this core's private values."""
     return [("put", META_TABLE, key, value) for key, value in values.items()]
