--- a/silverglade/control/decisions.py
+++ b/silverglade/control/decisions.py
@@ -107,7 +107,7 @@
     """Return items that record a final refusal: a late duplicate of the change must not be accepted once its base exists."""
     if not change_id:
         return ()
-    note = outcomes.outcome_item(change_id=change_id, digest=digest, version=version, number=0, taken=False)
+    note = outcomes.outcome_item(change_id=change_id, digest=digest, version=version, number=0, accepted=False)
     return (note, *outcomes.advanced_horizon(store, version=version, aged=aged))
 
 
--- a/silverglade/control/outcomes.py
+++ b/silverglade/control/outcomes.py
@@ -89,12 +89,12 @@
     return Outcome(*value)
 
 
-def outcome_item(*, change_id: str, digest: str, version: Version, number: int, taken: bool = True) -> Item:
+def outcome_item(*, change_id: str, digest: str, version: Version, number: int, accepted: bool = True) -> Item:
     """Return an outcome as an item of the change at `version`.
 
-    :param taken: whether the change was accepted; False if it was finally refused.
+    :param accepted: whether the change was accepted; False if it was finally refused.
     """
-    outcome = Outcome(digest, version if taken else INITIAL_VERSION, number)
+    outcome = Outcome(digest, version if accepted else INITIAL_VERSION, number)
     return (OUTCOME_PREFIX + change_id, version, tuple(outcome))
 
 
--- a/silverglade/control/spread.py
+++ b/silverglade/control/spread.py
@@ -113,8 +113,8 @@
     best = max((names for size in sizes for names in combinations(pool, size)), key=score, default=None)
     full_tolerance = sum(tolerance)
     if tolerated(best or current) < full_tolerance:
-        taken = {places[name] for name in live if name in places}
-        away = {name for name in current if name not in live and name not in leaving and places.get(name) not in taken}
+        covered_places = {places[name] for name in live if name in places}
+        away = {name for name in current if name not in live and name not in leaving and places.get(name) not in covered_places}
         staying = set(kept) & set(live) if away else set()
         fewer = (names for size in range(MIN_WITNESSES, min_size) for names in combinations([n for n in pool if n in live], size))
         best = max((names for names in fewer if staying <= set(names) and tolerated(names) == full_tolerance), key=score, default=best)
--- a/tests/control/test_change_backlog.py
+++ b/tests/control/test_change_backlog.py
@@ -1,4 +1,4 @@
-"""A core that was away for hundreds of changes (docs/control-safety.md, 3.4): it catches up while changes go on."""
+"""A core that missed hundreds of changes catches up while further changes arrive (docs/control-safety.md, 3.4)."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 LIVENESS = "silverglade.control.liveness"
 
 
-def judged(role, way, site, **kw):
+def play(role, way, site, **kw):
     c, seconds, received, whole = backlog.play(role, way, seed=1, **site, **kw)
     assert c.faults == [], (role, way)
     assert seconds <= site["catch_up"] and received <= 3 * whole + 20_000
@@ -20,23 +20,23 @@
 
 @pytest.mark.parametrize("way", backlog.AWAY)
 @pytest.mark.parametrize("role", ROLES)
-def test_a_core_that_missed_five_hundred_changes_is_up_to_date_within_seconds(role, way):
-    judged(role, way, SMALL)
+def test_a_core_that_missed_500_changes_catches_up_within_seconds(role, way):
+    play(role, way, SMALL)
 
 
 @pytest.mark.parametrize("role,way", list(zip(ROLES, backlog.AWAY)))
-def test_so_it_is_among_five(role, way):
-    judged(role, way, GROWN)
+def test_a_core_of_five_catches_up_within_seconds(role, way):
+    play(role, way, GROWN)
 
 
-def test_two_thousand_changes_are_kept_no_longer_than_their_outcomes_are_remembered():
-    """Of 2,000 changes in some minutes: what is remembered for 20 s is a tenth of them."""
-    c = judged("witness", "down", SMALL, changes=2000, opt=tuning(outcome_keep=20))
+def test_outcomes_are_pruned_after_their_retention_time():
+    """Of 2,000 changes within a few minutes, the outcomes kept for 20 s are about a tenth."""
+    c = play("witness", "down", SMALL, changes=2000, opt=tuning(outcome_keep=20))
     assert len(c.acks) > 2000
     assert max(backlog.rows(x) for x in c.cores.values() if x.gen) < 700
 
 
-def test_one_that_never_asks_for_what_it_lacks_is_seen(monkeypatch):
+def test_a_core_that_never_pulls_missing_items_is_detected(monkeypatch):
     def pull(core, sender, now):
         pass
 
--- a/tests/control/test_control_guards.py
+++ b/tests/control/test_control_guards.py
@@ -1,4 +1,4 @@
-"""The guards of one core, cut out one at a time: a test of test_control_safety.py must fall (docs/control-safety.md)."""
+"""Mutation tests: without each guard of a core, a test in test_control_safety.py must fail (docs/control-safety.md)."""
 
 import pytest
 
@@ -10,56 +10,56 @@
 PACKAGE = "silverglade.control."
 GUARDS = [
     (
-        "a late copy of the opening snapshot is taken",
-        safety.test_a_late_copy_never_undoes_a_synced_change,
+        "a late duplicate of the opening snapshot is accepted",
+        safety.test_a_late_snapshot_never_undoes_a_synced_change,
         "snapshots",
         "if state.served == view.epoch and newest < newest_version(state.store):",
         "if False:",
         "accept_opening",
     ),
     (
-        "a copy of one who sought the present view is taken",
-        safety.test_a_late_copy_never_undoes_a_synced_change,
+        "a recruiting snapshot for the current view is accepted",
+        safety.test_a_late_snapshot_never_undoes_a_synced_change,
         "snapshots",
         "snapshot.epoch <= core.epoch or snapshot.epoch < state.recruited",
         "False",
         "accept_recruiting",
     ),
     (
-        "a recruited member goes on in its view",
-        safety.test_a_member_that_is_recruited_confirms_nothing_more_of_its_view,
+        "a recruited member does not seal its epoch",
+        safety.test_a_recruited_member_confirms_no_more_changes_of_its_view,
         "snapshots",
         "state.sealed = max(state.sealed, core.epoch)",
         "pass",
         "accept_recruiting",
     ),
     (
-        "a sealed backup confirms",
-        safety.test_a_member_that_is_recruited_confirms_nothing_more_of_its_view,
+        "a sealed backup confirms changes",
+        safety.test_a_recruited_member_confirms_no_more_changes_of_its_view,
         "replication",
         "if state.served != change.epoch or state.sealed >= change.epoch:",
         "if state.served != change.epoch:",
         "on_replicate",
     ),
     (
-        "a backup of another disk confirms",
-        safety.test_an_emptied_core_says_nothing_for_the_disk_that_it_had,
+        "a backup with another disk confirms",
+        safety.test_an_emptied_core_never_answers_for_its_former_disk,
         "snapshots",
         "not core.is_named_in(view) or ",
         "",
         "accept_opening",
     ),
     (
-        "a backup tells before its disk",
-        safety.test_a_backup_says_nothing_before_its_disk,
+        "a backup confirms before its disk has synced",
+        safety.test_a_backup_answers_only_after_its_disk_has_synced,
         "replication",
         "    pruned = store.apply(state.store, change.items)\n",
         "    core.send_outgoing(confirmation)\n    pruned = store.apply(state.store, change.items)\n",
         "on_replicate",
     ),
     (
-        "a witness tells before its disk",
-        safety.test_a_backup_says_nothing_before_its_disk,
+        "a witness answers before its disk has synced",
+        safety.test_a_backup_answers_only_after_its_disk_has_synced,
         "witness",
         "    core.state.register = new_register\n",
         "    core.state.register = new_register\n    core.send(to, answer)\n",
@@ -67,7 +67,7 @@
     ),
     (
         "a confirmation of another change counts",
-        safety.test_a_primary_answers_nothing_that_its_backup_has_not_confirmed_just_now,
+        safety.test_a_primary_answers_only_after_a_fresh_confirmation_by_its_backup,
         "replication",
         " or done.nonce != pending.nonce:",
         ":",
@@ -75,7 +75,7 @@
     ),
     (
         "a confirmation of another epoch counts",
-        safety.test_a_primary_answers_nothing_that_its_backup_has_not_confirmed_just_now,
+        safety.test_a_primary_answers_only_after_a_fresh_confirmation_by_its_backup,
         "replication",
         "done.epoch != led.epoch or ",
         "",
@@ -83,39 +83,39 @@
     ),
     (
         "a refusal or a read is not confirmed",
-        safety.test_a_primary_answers_nothing_that_its_backup_has_not_confirmed_just_now,
+        safety.test_a_primary_answers_only_after_a_fresh_confirmation_by_its_backup,
         "replication",
         "    else:\n        replicate(core, view, pending)\n",
         "    else:\n        commit(core, view, pending, now)\n",
         "begin",
     ),
     (
-        "what waited for an overtaken primary stays",
-        safety.test_a_primary_that_was_overtaken_says_unknown_and_nothing_more,
+        "a superseded primary keeps its pending operations",
+        safety.test_a_superseded_primary_answers_unknown_to_all_pending_operations,
         "replication",
         "    state.pending = None\n    state.queue.clear()\n",
         "",
         "abandon_operations",
     ),
     (
-        "the backups are asked before the primary's own disk",
-        safety.test_a_change_is_answered_only_when_it_is_on_the_primarys_disk_too,
+        "a change is sent to the backups before the primary's own disk has synced",
+        safety.test_a_change_is_replicated_only_after_the_primarys_own_disk_has_synced,
         "replication",
         "ChangeWrittenByPrimary(pending.nonce), now)\n",
         "ChangeWrittenByPrimary(pending.nonce), now)\n        replicate(core, view, pending)\n",
         "begin",
     ),
     (
-        "stamps are not held against this life",
-        safety.test_a_stamp_of_an_earlier_life_is_no_proof,
+        "echoed stamps are not checked against this process",
+        safety.test_a_stamp_of_an_earlier_process_is_no_proof,
         "liveness",
         "return sent if 0 <= sent <= to_milliseconds(now) else -1",
         "return echo",
         "own_echo",
     ),
     (
-        "what a failed write did not bring to disk is dropped",
-        safety.test_a_core_whose_disk_refused_one_of_two_changes_tells_both_or_neither_after_a_restart,
+        "operations of a failed write are dropped",
+        safety.test_after_a_failed_write_a_restarted_core_serves_no_gap_in_committed_items,
         "serving",
         "state.committed_unwritten = {**failed, **state.committed_unwritten}",
         "pass",
@@ -125,20 +125,20 @@
 
 
 @pytest.mark.parametrize("what,test,module,old,new,target", GUARDS, ids=[guard[0] for guard in GUARDS])
-def test_without_its_guard_a_test_falls(what, test, module, old, new, target, monkeypatch):
+def test_without_its_guard_a_safety_test_fails(what, test, module, old, new, target, monkeypatch):
     test()
     without(monkeypatch, PACKAGE + module, old, new, f"{PACKAGE}{module}.{target}")
     with pytest.raises(AssertionError):
         test()
 
 
-def test_without_its_random_step_a_ballot_is_used_twice(monkeypatch):
+def test_without_random_ballot_steps_a_ballot_is_used_twice(monkeypatch):
     monkeypatch.setattr(seek, "BALLOT_RANDOM_BITS", 0)
     with pytest.raises(AssertionError):
-        safety.test_no_two_lives_of_a_core_use_one_ballot()
+        safety.test_two_processes_of_a_core_never_use_the_same_ballot()
 
 
-def test_without_waiting_for_the_seal_a_copy_leaves(monkeypatch):
+def test_without_waiting_for_the_seal_a_snapshot_is_sent(monkeypatch):
     begin = seek.Seeker.begin
 
     def hasty(self, *args):
@@ -148,4 +148,4 @@
 
     monkeypatch.setattr(seek.Seeker, "begin", hasty)
     with pytest.raises(AssertionError):
-        safety.test_no_copy_leaves_before_the_seal_is_on_disk()
+        safety.test_no_snapshot_is_sent_before_the_seal_is_on_disk()
--- a/tests/control/test_control_late.py
+++ b/tests/control/test_control_late.py
@@ -1,7 +1,7 @@
-"""Messages between cores that come twice, late, and to a later life of whom they were meant for (docs/control-safety.md, 1).
+"""Duplicated and late messages between cores, also to a later process of the recipient (docs/control-safety.md, 1).
 
-Storms of the cores as in test_control_staleness, with every core asked for news; one message in `EVERY` is handed over once more, up to
-`LATEST` seconds later, to whoever has the name by then. Only what is said is judged here, not how soon.
+Random faults as in test_control_staleness, with every core polled for updates. One message in `DUPLICATE_ONE_IN` is delivered again, up
+to `MAX_DELAY_S` seconds later, to the process that has the name by then. Only safety is checked here, not how fast cores recover.
 """
 
 import pytest
@@ -12,12 +12,12 @@
 from ..support.source_mutation import without
 from .test_control_staleness import settled
 
-EVERY, LATEST = 12, 25
-SLOW = {"not-back", "not-whole", "not-formed", "not-read-back", "no-service-before"}  # how soon, not what
+DUPLICATE_ONE_IN, MAX_DELAY_S = 12, 25
+LIVENESS_FAULTS = {"not-back", "not-whole", "not-formed", "not-read-back", "no-service-before"}  # faults of liveness, not of safety
 
 
-def hand_over_again(c):
-    """From now on."""
+def duplicate_messages(c):
+    """Deliver some messages a second time from now on; return a list that holds their number."""
     deliver, again = c.deliver, [0]
 
     def late(frm, to, body):
@@ -27,17 +27,17 @@
             x.feed(("msg", frm, body))
 
     def twice(frm, to, body):
-        if to in c.cores and c.rng.randrange(EVERY) == 0:
-            c.after(council.SEC * LATEST * c.rng.random() ** 3, late, frm.name, to, body)  # most of them soon
+        if to in c.cores and c.rng.randrange(DUPLICATE_ONE_IN) == 0:
+            c.after(council.SEC * MAX_DELAY_S * c.rng.random() ** 3, late, frm.name, to, body)  # most of them after a short delay
         return deliver(frm, to, body)
 
     c.deliver = twice
     return again
 
 
-def stormed(monkeypatch, seed, *, rounds=4, **kw):
+def storm_with_duplicates(monkeypatch, seed, *, rounds=4, **kw):
     w, c = settled(monkeypatch, seed=seed, **kw)
-    again = hand_over_again(c)
+    again = duplicate_messages(c)
     for _ in range(rounds):
         end = c.rng.choice(trials.TRIALS)(c)
         c.run(c.rng.uniform(0.5, 6))
@@ -53,11 +53,11 @@
 
 
 @pytest.mark.parametrize("size,tolerance", [(3, (1, 1, 1)), (5, (2, 1, 1)), (5, (1, 1, 1))])
-def test_messages_that_come_twice_and_late_break_no_word_of_control(size, tolerance, monkeypatch):
+def test_duplicated_and_late_messages_break_no_guarantee(size, tolerance, monkeypatch):
     repeated = acknowledged = 0
     for seed in range(8):
-        w, c, again = stormed(monkeypatch, seed, size=size, tolerance=tolerance)
-        assert [b for b in c.faults if b[1] not in SLOW] == [], seed
+        w, c, again = storm_with_duplicates(monkeypatch, seed, size=size, tolerance=tolerance)
+        assert [b for b in c.faults if b[1] not in LIVENESS_FAULTS] == [], seed
         repeated, acknowledged = repeated + again, acknowledged + len(c.acks)
     assert repeated > 250 and acknowledged > 200
 
@@ -65,14 +65,14 @@
 GUARDS = [
     ("a confirmation of any change counts", "replication", " or done.nonce != pending.nonce:", ":", "on_replicated"),
     (
-        "a late copy for a recruit is taken",
+        "a late recruiting snapshot is accepted",
         "snapshots",
         "snapshot.epoch <= core.epoch or snapshot.epoch < state.recruited",
         "False",
         "accept_recruiting",
     ),
     (
-        "a change is taken on any version",
+        "a change is accepted on any version",
         "replication",
         "if newest_version(state.store) not in (change.previous, change.version):",
         "if False:",
@@ -82,11 +82,11 @@
 
 
 @pytest.mark.parametrize("what,module,old,new,target", GUARDS, ids=[g[0] for g in GUARDS])
-def test_without_its_guard_a_late_message_breaks_a_word(what, module, old, new, target, monkeypatch):
+def test_without_its_guard_a_late_message_breaks_a_guarantee(what, module, old, new, target, monkeypatch):
     without(monkeypatch, f"silverglade.control.{module}", old, new, f"silverglade.control.{module}.{target}")
 
     def broken(seed):
-        _, c, _ = stormed(monkeypatch, seed, size=(3, 5)[seed % 2], tolerance=(1, 1, 1))
+        _, c, _ = storm_with_duplicates(monkeypatch, seed, size=(3, 5)[seed % 2], tolerance=(1, 1, 1))
         return {b[1] for b in c.faults} & {"same-base", "both-won", "read-old"}
 
     assert any(broken(seed) for seed in range(80))
--- a/tests/control/test_control_partitions.py
+++ b/tests/control/test_control_partitions.py
@@ -1,4 +1,4 @@
-"""One core cut off for twenty seconds, each way, with operators on either side (docs/control-safety.md, 3.1)."""
+"""One core partitioned for 20 s, in either or both directions, with operators on both sides (docs/control-safety.md, 3.1)."""
 
 import pytest
 
@@ -11,14 +11,14 @@
 WAYS = ("both", "in", "out")
 
 
-class Refused:
-    """Asks one core again and again for what must be refused: a change on a base of long ago, or an invalid one.
+class RefusalClient:
+    """A client that repeatedly requests changes that one core must refuse: on an old base, or invalid.
 
-    A refusal names the number that is in force: never less than what was acknowledged before it was asked for.
+    A refusal names the number in force, which must not be lower than one acknowledged before the request.
     """
 
     def __init__(self, c, name, at, invalid=True):
-        self.c, self.name, self.at, self.invalid, self.told_of, self.asked = c, name, at, invalid, 0, {}
+        self.c, self.name, self.at, self.invalid, self.refusals, self.asked = c, name, at, invalid, 0, {}
         c.clients[name] = self
         self.ask()
 
@@ -41,15 +41,15 @@
             case ("ok", *_) if floor:
                 self.c.bad("took-what-is-invalid", op)
             case ("refuse", 501, said):
-                self.told_of += 1
+                self.refusals += 1
                 if int(said.rsplit(" ", 1)[1]) < floor:
                     self.c.bad("refused-by-what-is-old", said, floor)
             case ("refuse", *_):
-                self.told_of += 1
+                self.refusals += 1
 
 
 def cut(c, name, way):
-    """The core from all others: both ways, what comes in, or what goes out."""
+    """Cut the core off from all others: in both directions, or only incoming ("in") or outgoing ("out") messages."""
     others = [n for n in c.cores if n != name]
     if way == "in":
         c.cut(others, [name], both=False)
@@ -57,19 +57,19 @@
         c.cut([name], others, both=way == "both")
 
 
-def the_one(c, role):
+def core_with_role(c, role):
     view = c.view()
     if role == "witness":
         return next(n for n in sorted(c.cores) if n not in view[1:2] and n not in view[2])
     return view[1] if role == "primary" else view[2][0]
 
 
-def twenty_seconds(role, way, *, size, tolerance, seed):
-    """-> the council after it, and the refusals heard on either side."""
+def isolate_for_20_s(role, way, *, size, tolerance, seed):
+    """Isolate a core; return the cluster afterwards, the seconds until it served again, and the number of refusals on either side."""
     c = council.settled(seed=seed, size=size, tolerance=tolerance)
     c.run(1)
-    name = the_one(c, role)
-    judges = [Refused(c, f"judge-{n}", n) for n in c.cores]
+    name = core_with_role(c, role)
+    judges = [RefusalClient(c, f"judge-{n}", n) for n in c.cores]
     council.Operator(c, "here", at=name)
     reader = council.Operator(c, "reader", at=name, reads=1.0)
     cut(c, name, way)
@@ -80,21 +80,21 @@
     reader.open = False
     if c.run(20, until=c.sound) is None:
         c.bad("not-whole", c.view())
-    return c, served, sum(j.told_of for j in judges)
+    return c, served, sum(j.refusals for j in judges)
 
 
 @pytest.mark.parametrize("size,tolerance", SIZES)
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("role", ["primary", "backup", "witness"])
-def test_a_core_that_is_cut_off_for_twenty_seconds_says_nothing_that_the_others_contradict(role, way, size, tolerance):
+def test_a_core_isolated_for_20_s_answers_consistently_with_the_others(role, way, size, tolerance):
     for seed in range(5):
-        c, served, refusals = twenty_seconds(role, way, size=size, tolerance=tolerance, seed=seed)
+        c, served, refusals = isolate_for_20_s(role, way, size=size, tolerance=tolerance, seed=seed)
         assert c.faults == [], seed
         assert served <= 6 and refusals and c.reads
 
 
-def an_idle_primary_is_cut_off(seed):
-    """The others lead and take changes; then it is asked for what it must refuse, by what it holds."""
+def isolate_idle_primary(seed):
+    """Isolate an idle primary while the others accept changes, then send it a request that it must refuse; return the faults seen."""
     c = council.settled(seed=seed, size=5, tolerance=(2, 1, 1))
     operators, x = list(c.clients.values()), trials.lead(c)
     for o in operators:
@@ -106,13 +106,15 @@
         o.open = True
         o.next()
     assert trials.served(c, trials.BACK)
-    Refused(c, "judge", x.name, invalid=False)  # a base that it does not know yet it would note, and be held up by that
+    RefusalClient(
+        c, "judge", x.name, invalid=False
+    )  # with invalid=True it might get a base that it does not know yet, whose refusal it would record and so have to replicate
     c.run(3)
     return {b[1] for b in c.faults}
 
 
-def test_a_refusal_that_nobody_confirmed_would_contradict_the_others(monkeypatch):
-    assert an_idle_primary_is_cut_off(1) == set()
+def test_an_unconfirmed_refusal_contradicts_the_other_cores(monkeypatch):
+    assert isolate_idle_primary(1) == set()
     module = "silverglade.control.replication"
     without(
         monkeypatch,
@@ -121,4 +123,4 @@
         "    else:\n        commit(core, view, pending, now)\n",
         f"{module}.begin",
     )
-    assert "refused-by-what-is-old" in an_idle_primary_is_cut_off(1)
+    assert "refused-by-what-is-old" in isolate_idle_primary(1)
--- a/tests/control/test_control_staleness.py
+++ b/tests/control/test_control_staleness.py
@@ -1,6 +1,6 @@
-"""How old a proof is told to be (docs/control-safety.md, Bounded-staleness): the cores alone, each life with a clock of its own.
+"""The staleness bound that cores report (docs/control-safety.md, Bounded-staleness), with a different clock for each process.
 
-Every core is asked for news four times a second. What was acknowledged before the time that its answer proves must be in it.
+Every core is polled for updates four times a second. An answer must include everything acknowledged before the time it proves.
 """
 
 import random
@@ -17,8 +17,8 @@
 HOUR = 3600
 
 
-class OwnClock:
-    """A core whose steady clock stands anywhere, in each life elsewhere; and an ear on what it tells daemons."""
+class CoreWithOwnClock:
+    """A core whose monotonic clock has a random offset in each process; reports the updates it sends to daemons to `told`."""
 
     def __init__(self, part, offset, told):
         self.part, self.offset, self.told = part, offset, told
@@ -38,8 +38,8 @@
         return self.part.state
 
 
-class Watched:
-    """A council whose cores are asked for news all along, and which judges what they prove."""
+class ProofMonitor:
+    """Polls all cores of a cluster for updates and checks the proofs in their answers."""
 
     def __init__(self, monkeypatch, *, seed, clock=lambda rng, life: rng.uniform(1, 2 * HOUR)):
         self.acknowledged, self.proofs, self.c = [], 0, None
@@ -48,7 +48,7 @@
         def made(**kw):
             name = kw["name"]
             lives[name] = lives.get(name, 0) + 1
-            return OwnClock(control_component(**kw), council.SEC * clock(rng, lives[name]), self.told)
+            return CoreWithOwnClock(control_component(**kw), council.SEC * clock(rng, lives[name]), self.told)
 
         monkeypatch.setattr(council, "control_component", made)
 
@@ -83,14 +83,14 @@
 
 
 def settled(monkeypatch, *, seed, size=5, tolerance=(2, 1, 1), **kw):
-    w = Watched(monkeypatch, seed=seed, **kw)
+    w = ProofMonitor(monkeypatch, seed=seed, **kw)
     c = council.settled(seed=seed, size=size, tolerance=tolerance)
     w.watch(c)
     return w, c
 
 
-def stormed(monkeypatch, seed, **kw):
-    """Faults of every kind, one upon another, then some that come back."""
+def storm(monkeypatch, seed, **kw):
+    """Run a series of random faults; return the monitor and the cluster."""
     w, c = settled(monkeypatch, seed=seed, **kw)
     for _ in range(4):
         end = c.rng.choice(trials.TRIALS)(c)
@@ -104,17 +104,17 @@
 
 
 @pytest.mark.parametrize("size,tolerance", [(3, (1, 1, 1)), (5, (2, 1, 1)), (5, (1, 1, 1))])
-def test_what_a_core_proves_holds_all_that_was_acknowledged_before(size, tolerance, monkeypatch):
+def test_a_proved_update_holds_all_changes_acknowledged_before(size, tolerance, monkeypatch):
     proofs = 0
     for seed in range(8):
-        w, c = stormed(monkeypatch, seed, size=size, tolerance=tolerance)
+        w, c = storm(monkeypatch, seed, size=size, tolerance=tolerance)
         assert c.faults == [], seed
         proofs += w.proofs
     assert proofs > 1000
 
 
-def started_again_and_cut_off(monkeypatch, seed):
-    """Each core starts again with a clock that stands some seconds behind, and is cut off a moment later while the others go on."""
+def restart_and_isolate_each_core(monkeypatch, seed):
+    """Restart each core in turn with a clock some seconds behind, and isolate it shortly after while the others continue."""
     w, c = settled(monkeypatch, seed=seed, clock=lambda rng, life: 100 - life * rng.uniform(3, 8))
     for name in sorted(c.cores):
         x = c.cores[name]
@@ -130,7 +130,7 @@
     return {b[1] for b in c.faults}
 
 
-def cores_are_behind(monkeypatch, seed):
+def run_with_message_loss(monkeypatch, seed):
     w, c = settled(monkeypatch, seed=seed)
     c.loss = 0.3
     c.run(20)
@@ -139,8 +139,8 @@
 
 GUARDS = [
     (
-        "stamps of all lives count from the clock alone",
-        started_again_and_cut_off,
+        "stamps have no random offset per process",
+        restart_and_isolate_each_core,
         "liveness",
         (
             "sent = echo - core.state.stamp_origin",
@@ -151,8 +151,8 @@
         ("own_echo", "send_heartbeat"),
     ),
     (
-        "a proof counts for one who shows less",
-        cores_are_behind,
+        "a proof counts for a core that has committed less",
+        run_with_message_loss,
         "liveness",
         "    elif heartbeat.age >= 0:",
         "    if heartbeat.age >= 0:",
--- a/tests/control/test_core_state.py
+++ b/tests/control/test_core_state.py
@@ -1,4 +1,4 @@
-"""A core's control part as a value: its messages on the wire, its state copied, compared and named by a fingerprint."""
+"""The messages of control on the wire; copies, invariants and fingerprints of a core's state."""
 
 import copy
 import os
@@ -50,36 +50,36 @@
 IDS = [f"{b[0]}-{i}" for i, b in enumerate(BODIES)]
 
 
-def kinds_of(value):
-    """Every type in a value, to its bottom."""
+def types_in(value):
+    """Return all types that occur in a nested value."""
     inner = value.values() if isinstance(value, dict) else value if isinstance(value, tuple | list) else ()
-    return {type(value)}.union(*map(kinds_of, inner))
+    return {type(value)}.union(*map(types_in, inner))
 
 
 @pytest.mark.parametrize("body", BODIES, ids=IDS)
-def test_a_message_is_the_very_array_on_the_wire_that_it_was(body):
+def test_a_message_survives_decoding_and_encoding_unchanged(body):
     message = decode(body)
     assert type(message) in control_messages.NAMES and encode(message) == body
-    assert kinds_of(encode(message)) <= {tuple, int, str, bool, dict, type(None)}  # no class of ours goes to the packer
+    assert types_in(encode(message)) <= {tuple, int, str, bool, dict, type(None)}  # only built-in types reach the serialiser
     frame = wire.encode_frame(sender="a", process_id="1", body=encode(message))
     assert wire.decode_frame(frame[4:]) == ("a", "1", body) and frame == wire.encode_frame(sender="a", process_id="1", body=body)
 
 
 @pytest.mark.parametrize("body", BODIES, ids=IDS)
-def test_a_message_that_is_not_well_formed_is_none(body):
+def test_a_malformed_message_decodes_to_none(body):
     assert decode(body[:-1]) is None and decode((*body, 1)) is None
     for i in range(1, len(body)):
-        if (body[0], i) != ("get", 3):  # where a daemon stands in soft state is not control's to judge
+        if (body[0], i) != ("get", 3):  # control does not validate a daemon's position in soft state
             assert decode((*body[:i], 1.5, *body[i + 1 :])) is None
 
 
-def test_control_hears_every_kind_that_the_daemon_hands_it_and_all_have_a_shape():
-    assert set(hub.MESSAGE_RECEIVERS["control"]) | {"opr", "fenced"} == set(control_messages.KINDS)  # what it says to clients beside
+def test_control_decodes_every_kind_routed_to_it_and_all_have_a_schema():
+    assert set(hub.MESSAGE_RECEIVERS["control"]) | {"opr", "fenced"} == set(control_messages.KINDS)  # messages that control only sends
     assert all(messages.is_valid_message(body) for body in BODIES)
     assert decode(("alive", 1, 2)) is None
 
 
-def test_views_and_ballots_are_typed_at_the_door():
+def test_views_and_ballots_are_decoded_to_their_types():
     got = decode(("prom", (4, "a"), "1", (3, "b"), VIEW, VIEW))
     assert type(got.view) is type(got.base) is View and type(got.ballot) is type(got.accepted) is Ballot
 
@@ -88,8 +88,8 @@
     return [x.gen.machine for x in council_.cores.values() if x.gen]
 
 
-class Twin:
-    """Stands beside a machine's shell: each event first goes to a copy, which must do the very same."""
+class CopyChecker:
+    """Wraps a control component: each event goes to a copy first, which must behave identically."""
 
     def __init__(self, shell, seen):
         self.shell, self.seen = shell, seen
@@ -109,16 +109,16 @@
         twin = copy.deepcopy(self.machine)
         assert twin.fingerprint() == before
         effects = ControlComponent(twin).send(value)
-        assert self.machine.fingerprint() == before  # a step of the copy is not felt
+        assert self.machine.fingerprint() == before  # a step of the copy leaves the original unchanged
         assert self.shell.send(value) == effects
         assert self.machine.fingerprint() == twin.fingerprint()
         self.seen |= {type(w.continuation) for w in twin.state.writes.in_progress.values()}
         return effects
 
 
-def test_a_copy_goes_the_same_way_and_leaves_the_original_as_it_was(monkeypatch):
+def test_a_copy_behaves_the_same_and_leaves_the_original_unchanged(monkeypatch):
     seen = set()
-    monkeypatch.setattr(council, "control_component", lambda **kw: Twin(control_component(**kw), seen))
+    monkeypatch.setattr(council, "control_component", lambda **kw: CopyChecker(control_component(**kw), seen))
     for trial in (trials.primary_loses_power, trials.a_disk_is_lost):
         c, _ = trials.one(trial, seed=1, size=3, tolerance=(1, 1, 1))
         assert c.faults == []
@@ -131,11 +131,11 @@
     }
 
 
-class Watched:
-    """Stands beside a machine's shell: after each event the invariants that CoreState names must hold."""
+class InvariantChecker:
+    """Wraps a control component and checks the invariants documented in `CoreState` after each event."""
 
     def __init__(self, shell):
-        self.shell, self.risen = shell, ()
+        self.shell, self.monotonic = shell, ()
 
     @property
     def state(self):
@@ -151,21 +151,21 @@
         assert s.proofs.keys() | s.snapshot_synced_by <= set(view.backups if view else ())
         assert s.pending is None or view.primary == self.shell.machine.name
         assert not self.shell.machine.effects
-        risen = (view.epoch if view else 0, s.sealed, s.recruited, s.served, s.committed_version, s.register.promised)
-        assert all(now >= was for now, was in zip(risen, self.risen))
-        self.risen = risen
+        monotonic = (view.epoch if view else 0, s.sealed, s.recruited, s.served, s.committed_version, s.register.promised)
+        assert all(now >= was for now, was in zip(monotonic, self.monotonic))
+        self.monotonic = monotonic
         return effects
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_what_the_state_says_of_itself_holds_after_every_event(seed, monkeypatch):
-    monkeypatch.setattr(council, "control_component", lambda **kw: Watched(control_component(**kw)))
+def test_the_invariants_of_the_state_hold_after_every_event(seed, monkeypatch):
+    monkeypatch.setattr(council, "control_component", lambda **kw: InvariantChecker(control_component(**kw)))
     size, tolerance = ((3, (1, 1, 1)), (5, (2, 1, 1)))[seed % 2]
     c, _ = trials.storm(seed=seed, size=size, tolerance=tolerance)
     assert c.faults == []
 
 
-def test_a_fingerprint_tells_states_apart_and_chance_only_where_wanted():
+def test_a_fingerprint_includes_the_random_state_only_if_requested():
     c = council.settled(seed=1, size=3, tolerance=(1, 1, 1))
     names = {m.fingerprint() for m in machines(c)}
     assert len(names) == 3
@@ -177,15 +177,15 @@
     assert a.fingerprint(include_random_state=False) != b.fingerprint(include_random_state=False)
 
 
-def test_a_state_holds_values_alone():
-    """No function and no object known by its place in memory: so it can be compared between processes."""
+def test_a_state_holds_only_values():
+    """The state holds no functions and no objects identified by address, so it can be compared between processes."""
     c = council.settled(seed=1, size=3, tolerance=(1, 1, 1))
     trials.primary_loses_power(c)
     c.run(2)
     assert not any(" at 0x" in repr(values.canonical_form(m.state)) for m in machines(c))
 
 
-def a_machine():
+def make_machine():
     shell = control_component(name="a", disk="1", cores=("c", "a", "b"), saved={}, tuning=tuning(), rng=random.Random(4))
     shell.send(None)
     shell.send((ZERO, ("roll", [(n, "1", 1, 0, "z" + n, "r", "", "", True, "ready", (), ()) for n in "abc"])))
@@ -195,25 +195,25 @@
 
 
 def test_a_fingerprint_is_the_same_in_every_process():
-    code = "from tests.control.test_core_state import a_machine; print(a_machine().fingerprint().hex())"
+    code = "from tests.control.test_core_state import make_machine; print(make_machine().fingerprint().hex())"
     got = {
         subprocess.run(
             [sys.executable, "-c", code], env={**os.environ, "PYTHONHASHSEED": s}, capture_output=True, text=True, check=True
         ).stdout
         for s in ("1", "2")
     }
-    assert got == {a_machine().fingerprint().hex() + "\n"}
+    assert got == {make_machine().fingerprint().hex() + "\n"}
 
 
-def test_the_shell_is_a_part_like_any_other():
+def test_the_control_component_behaves_like_any_component():
     shell = control_component(name="a", disk="1", cores=("a", "b", "c"), saved={}, tuning=tuning(), rng=random.Random(4))
     assert shell.send(None) == () and isinstance(shell.machine, ControlCore)
     with pytest.raises(KeyError):
         shell.throw(KeyError("x"))
 
 
-def test_the_first_event_of_any_kind_starts_a_core():
-    """Also one that it does not handle: what it says and writes then does not wait for the next timer event."""
+def test_the_first_event_of_any_type_starts_a_core():
+    """An event that the core does not handle starts it too, so its first effects do not wait for the next timer event."""
     shell = control_component(name="a", disk="1", cores=("a", "b", "c"), saved={}, tuning=tuning(), rng=random.Random(4))
     assert shell.send((ZERO, ("told", "replica", {}))) == (("disk", ("control", 1), (("put", "meta", "first", True),)),)
     assert shell.send((ZERO, ("told", "replica", {}))) == ()
--- a/tests/control/test_evacuations_in_partitions.py
+++ b/tests/control/test_evacuations_in_partitions.py
@@ -1,4 +1,4 @@
-"""Evacuations while one core is cut off for twenty seconds, called for on both sides (docs/control-safety.md, 3.1)."""
+"""Evacuations requested on both sides while one core is partitioned for 20 s (docs/control-safety.md, 3.1)."""
 
 import pytest
 
@@ -7,11 +7,11 @@
 from silverglade.testbed.simulator import control_cluster as council
 
 from ..support.source_mutation import without
-from .test_control_partitions import SIZES, WAYS, cut, the_one
+from .test_control_partitions import SIZES, WAYS, core_with_role, cut
 
 
 class Evacuator:
-    """Empties a zone and takes it back, on the version that a core tells; asks the same again until it is settled."""
+    """A client that drains a zone and returns it, with the fencing token of a core, and repeats each request until it is settled."""
 
     def __init__(self, c, name, at=""):
         self.c, self.name, self.at, self.on, self.n, self.job = c, name, at, False, 0, None
@@ -40,7 +40,7 @@
         if body[0] != "opr" or self.job is None or body[1] != self.job[0] or body[2][0] in ("unknown", "elsewhere"):
             return
         job, self.job = self.job, None
-        if body[2][0] != "ok":  # stale: made anew
+        if body[2][0] != "ok":  # stale: make a new request
             return
         version, (_, _, on, base) = body[2][1], job[1]
         if self.c.acknowledged.setdefault(version, (on, base)) != (on, base):
@@ -48,13 +48,13 @@
         self.on = not on
 
 
-def evacuated(role, way, *, size, tolerance, seed):
+def evacuate_during_partition(role, way, *, size, tolerance, seed):
     c = council.settled(seed=seed, size=size, tolerance=tolerance)
-    name = the_one(c, role)
+    name = core_with_role(c, role)
     Evacuator(c, "inside", at=name)
     Evacuator(c, "outside")
     c.run(2)
-    for client in c.clients.values():  # in every second play evacuations alone are called for
+    for client in c.clients.values():  # with odd seeds there are only evacuations, no other operations
         client.open = seed % 2 == 0
     before = len(c.acknowledged)
     cut(c, name, way)
@@ -69,7 +69,10 @@
     newest = max(c.acknowledged)
     if version < newest or c.acknowledged.get(version, (on,))[0] != on:
         c.bad("acknowledged-and-undone", version, newest, on)
-    for later, (wanted, base) in c.acknowledged.items():  # what is so already may be said again; else it rests on its base
+    for later, (
+        wanted,
+        base,
+    ) in c.acknowledged.items():  # setting the current value again is allowed; otherwise the base must be the previous change
         passed_over = max((v for v in c.acknowledged if base < v < later), default=None)
         if passed_over and c.acknowledged[passed_over][0] != wanted:
             c.bad("acknowledged-and-undone", passed_over, base, later)
@@ -79,16 +82,20 @@
 @pytest.mark.parametrize("size,tolerance", SIZES)
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("role", ["primary", "backup", "witness"])
-def test_no_evacuation_that_was_acknowledged_on_either_side_is_undone(role, way, size, tolerance):
+def test_no_evacuation_acknowledged_on_either_side_is_undone(role, way, size, tolerance):
     for seed in range(2):
-        c, during = evacuated(role, way, size=size, tolerance=tolerance, seed=seed)
+        c, during = evacuate_during_partition(role, way, size=size, tolerance=tolerance, seed=seed)
         assert c.faults == [], seed
         assert during >= 5
 
 
-def test_one_that_is_acknowledged_before_the_backups_hold_it_is_seen(monkeypatch):
+def test_an_acknowledgement_before_replication_is_detected(monkeypatch):
     def fell(seeds):
-        return {fault[1] for seed in seeds for fault in evacuated("primary", "both", size=3, tolerance=(1, 1, 1), seed=seed)[0].faults}
+        return {
+            fault[1]
+            for seed in seeds
+            for fault in evacuate_during_partition("primary", "both", size=3, tolerance=(1, 1, 1), seed=seed)[0].faults
+        }
 
     assert fell(range(4)) == set()
     module = "silverglade.control.replication"
--- a/tests/control/test_grouped_operations.py
+++ b/tests/control/test_grouped_operations.py
@@ -1,4 +1,4 @@
-"""Operations that wait are worked out together, as one change (design 5.4)."""
+"""Queued operations are settled together, as one change (design 5.4)."""
 
 import random
 
@@ -32,8 +32,8 @@
     return ("evac", name, on, fencing_token(machine.state.store, Evacuate(name, on)))
 
 
-def answered(c):
-    """What the client `edge` is told."""
+def record_answers(c):
+    """Register the client `edge`; return the list that collects its answers."""
 
     class Client:
         got = []
@@ -45,9 +45,9 @@
     return client.got
 
 
-def test_what_waits_goes_as_one_change_up_to_a_configuration():
+def test_queued_operations_form_one_change_up_to_a_configuration():
     c, machine = settled()
-    got = answered(c)
+    got = record_answers(c)
     ask(machine, 1, table(0, 1))
     c.cores[c.primary()].feed(("pulse",))
     for n in (2, 3, 4):
@@ -62,9 +62,9 @@
     assert results[5][0] == "ok" and results[6][:2] == ("refuse", 501) and c.faults == []
 
 
-def test_a_group_ends_with_a_configuration_and_is_answered_whole_or_not_at_all():
+def test_a_group_ends_with_a_configuration_and_is_answered_as_a_whole_or_not_at_all():
     c, machine = settled()
-    got = answered(c)
+    got = record_answers(c)
     for n, op in enumerate((("read",), table(0, 1), table(1, 2), ("read",)), 1):
         ask(machine, n, op)
     p = c.cores[c.primary()]
@@ -75,7 +75,7 @@
     ask(machine, 5, zone(machine, "za", True))
     ask(machine, 6, ("read",))
     p.feed(("pulse",))
-    c.cut([p.name], [x for x in c.cores if x != p.name])  # it is cut off with a group in flight
+    c.cut([p.name], [x for x in c.cores if x != p.name])  # isolate the primary while a group is in flight
     c.run(8)
     c.cuts.clear()
     c.run(8)
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_backup_comes_to_the_very_store_of_the_primary_whatever_the_groups(seed, monkeypatch):
+def test_a_backup_reaches_the_same_store_as_the_primary_for_any_grouping(seed, monkeypatch):
     monkeypatch.setattr(outcomes, "MAX_OUTCOMES", 12)
     monkeypatch.setattr(outcomes, "EVICTION_BATCH", 4)
     rng, machine, backup, number, n = random.Random(seed), settled()[1], {}, 0, 0
@@ -101,8 +101,8 @@
             else:
                 ask(machine, n, zone(machine, rng.choice(["za", "zb"]), rng.random() < 0.5))
         while machine.state.queue:
-            _, items, gone = replication.settle_queue(machine, view, milliseconds(n))
-            assert not gone & machine.state.store.keys()
+            _, items, pruned = replication.settle_queue(machine, view, milliseconds(n))
+            assert not pruned & machine.state.store.keys()
             store.apply(backup, items)
             assert backup == machine.state.store
         number = machine.state.store["config"][1]["number"]
--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -1,4 +1,4 @@
-"""Operations and their results as arrays on the wire, and as typed records behind it."""
+"""Encoding and decoding of operations and their results."""
 
 import pytest
 
@@ -32,23 +32,23 @@
 
 
 @pytest.mark.parametrize("raw,operation", OPERATIONS, ids=lambda value: value[0] if isinstance(value, tuple) else "")
-def test_an_operation_is_the_same_array_after_it_was_decoded(raw, operation):
+def test_an_operation_survives_decoding_and_encoding_unchanged(raw, operation):
     assert operations.decode_operation(raw) == operation
     assert operation.encode() == raw
     assert is_valid_message(("op", 1, "change", raw, "digest"))
 
 
 @pytest.mark.parametrize("raw", [("evac", "north", 1), ("read", 1), ("later", 1), ("reopen",)])
-def test_a_malformed_operation_is_kept_as_it_came(raw):
+def test_a_malformed_operation_keeps_its_raw_array(raw):
     assert operations.decode_operation(raw) == operations.UnknownOperation(raw)
     assert operations.UnknownOperation(raw).encode() == raw
 
 
 @pytest.mark.parametrize("raw,result", RESULTS, ids=lambda value: value[0] if isinstance(value, tuple) else "")
-def test_a_result_is_the_same_array_after_it_was_decoded(raw, result):
+def test_a_result_survives_decoding_and_encoding_unchanged(raw, result):
     assert results.decode_result(raw) == result
     assert result.encode() == raw
 
 
-def test_a_result_of_no_known_shape_is_kept_apart_from_an_unknown_outcome():
+def test_an_unrecognized_result_differs_from_an_unknown_outcome():
     assert results.decode_result(("later", 1)) == results.UnrecognizedResult(("later", 1))
--- a/tests/control/test_outcomes.py
+++ b/tests/control/test_outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of changes (design 5.3): a change that was taken is never refused when it is sent again, and the table is bounded."""
+"""Recorded outcomes (design 5.3): a repeat of an accepted change is never refused, and the number of outcomes is bounded."""
 
 import random
 
@@ -17,15 +17,15 @@
 RAW = {"zones": {z: {"region": z} for z in ("north", "middle", "south")}, "tenants": {}}
 
 
-def put(s, base, number, *, at="edge-north-0", change="", text=""):
+def put_table(s, base, number, *, at="edge-north-0", change="", text=""):
     got, raw = [], dict(s.t["config"], number=number)
     s.w.call(at, "table-put", (base, number, change or f"{base}/{number}{text}", raw, text or f"text {number}"), lambda c, _: got.append(c))
     s.w.run(0.5)
     return got
 
 
-def zones(s, n):
-    """So many evacuations begun and finished; all are acknowledged."""
+def evacuate_repeatedly(s, n):
+    """Request `n` evacuations with the same value; all must be acknowledged."""
     got = []
     for i in range(n):
         s.w.after(milliseconds(40 * i), s.w.call, "core-north", "evac", ("north", False, f"e{i}.{s.w.num}"), lambda c, _: got.append(c))
@@ -33,87 +33,87 @@
     assert got == [100] * n
 
 
-def test_a_change_is_acknowledged_again_after_three_hundred_others():
+def test_a_repeated_change_is_acknowledged_again_after_300_others():
     s = hamlet()
-    assert put(s, 0, 5) == [100]
-    assert put(s, 5, 8) == [100]
-    zones(s, 300)
-    assert put(s, 0, 5) == [100] and put(s, 5, 8, at="edge-south-0") == [100]
-    assert put(s, 0, 6) == [501] and put(s, 5, 9) == [501]  # never taken: surely refused
+    assert put_table(s, 0, 5) == [100]
+    assert put_table(s, 5, 8) == [100]
+    evacuate_repeatedly(s, 300)
+    assert put_table(s, 0, 5) == [100] and put_table(s, 5, 8, at="edge-south-0") == [100]
+    assert put_table(s, 0, 6) == [501] and put_table(s, 5, 9) == [501]  # never accepted, so certainly refused
 
 
-def small(monkeypatch, most=40):
+def limit_outcomes(monkeypatch, most=40):
     monkeypatch.setattr(outcomes, "MAX_OUTCOMES", most)
     monkeypatch.setattr(outcomes, "EVICTION_BATCH", most // 4)
 
 
-def stores(s):
+def member_outcomes(s):
     _, primary, backups, _ = s.w.nodes["core-north"].control.view
     return [{k: v for k, v in s.w.nodes[c].disk.data["book"].items() if outcomes.is_private(k)} for c in (primary, *backups)]
 
 
-def test_what_is_forgotten_is_answered_as_unknown_alike_by_every_primary(monkeypatch):
-    small(monkeypatch)
+def test_a_forgotten_outcome_is_answered_as_unknown_by_every_primary(monkeypatch):
+    limit_outcomes(monkeypatch)
     s = hamlet()
     numbers = [3 * i for i in range(8)]
     for base, number in zip(numbers, numbers[1:]):
-        assert put(s, base, number) == [100]
-    zones(s, 90)
-    mine, *others = stores(s)
+        assert put_table(s, base, number) == [100]
+    evacuate_repeatedly(s, 90)
+    mine, *others = member_outcomes(s)
     assert outcomes.HORIZON_KEY in mine and others == [mine] * len(others) and len(mine) <= 42
-    assert put(s, numbers[-2], numbers[-1]) == [100]  # in force: always known
+    assert put_table(s, numbers[-2], numbers[-1]) == [100]  # the change in force is always remembered
     for base, number in zip(numbers, numbers[1:-1]):
-        assert put(s, base, number) == [503]
-    for name in (s.w.nodes["core-north"].control.view[1],) * 2:  # by its restart, and by another's view
+        assert put_table(s, base, number) == [503]
+    for name in (s.w.nodes["core-north"].control.view[1],) * 2:  # after its restart, and after a view change
         s.w.nodes[name].kill()
         s.w.run(0.5)
         s.w.nodes[name].boot()
         s.w.run(7)
-        assert put(s, 0, 3) == [503] and put(s, numbers[-2], numbers[-1]) == [100]
-        assert put(s, numbers[-1] + 1, 99, text=f"other {name}") == [501]
-    assert put(s, numbers[-1], 40) == [100] and put(s, numbers[-1], 41) == [501]
+        assert put_table(s, 0, 3) == [503] and put_table(s, numbers[-2], numbers[-1]) == [100]
+        assert put_table(s, numbers[-1] + 1, 99, text=f"other {name}") == [501]
+    assert put_table(s, numbers[-1], 40) == [100] and put_table(s, numbers[-1], 41) == [501]
 
 
-def test_a_core_that_joins_by_a_snapshot_forgets_alike(monkeypatch):
-    small(monkeypatch)
+def test_a_core_restored_from_a_snapshot_forgets_the_same_outcomes(monkeypatch):
+    limit_outcomes(monkeypatch)
     s = hamlet()
-    assert put(s, 0, 3) == [100] and put(s, 3, 4) == [100]
-    zones(s, 60)
+    assert put_table(s, 0, 3) == [100] and put_table(s, 3, 4) == [100]
+    evacuate_repeatedly(s, 60)
     for _ in range(2):
         primary = s.w.nodes["core-north"].control.view[1]
         s.w.empty_disk(primary)
         s.w.run(0.5)
         s.w.nodes[primary].boot()
         s.w.run(8)
-    mine, *others = stores(s)
+    mine, *others = member_outcomes(s)
     assert others == [mine] * len(others)
-    assert put(s, 0, 3) == [503] and put(s, 3, 4) == [100]
+    assert put_table(s, 0, 3) == [503] and put_table(s, 3, 4) == [100]
 
 
-def test_a_change_refused_since_its_base_was_still_to_come_is_not_taken_late():
+def test_a_change_refused_for_a_future_base_is_not_accepted_later():
     s = hamlet()
-    assert put(s, 0, 5) == [100]
-    assert put(s, 7, 9) == [501]
-    assert put(s, 5, 7) == [100]
-    assert put(s, 7, 9) == [501] and put(s, 7, 9, at="edge-south-0") == [501]
-    assert put(s, 7, 9, text="another") == [100]
+    assert put_table(s, 0, 5) == [100]
+    assert put_table(s, 7, 9) == [501]
+    assert put_table(s, 5, 7) == [100]
+    assert put_table(s, 7, 9) == [501] and put_table(s, 7, 9, at="edge-south-0") == [501]
+    assert put_table(s, 7, 9, text="another") == [100]
 
 
-def test_the_text_is_what_a_change_is_known_by_wherever_it_was_translated():
+def test_a_change_is_identified_by_its_text_whichever_daemon_parsed_it():
     s = hamlet()
-    assert put(s, 0, 5, change="c") == [100]
-    s.t["config"] = dict(s.t["config"], body_cap=77777)  # another daemon's settings or program make something else of it
-    assert put(s, 0, 5, change="c") == [100]
-    assert put(s, 0, 5, change="c", text="another text") == [514]
+    assert put_table(s, 0, 5, change="c") == [100]
+    s.t["config"] = dict(s.t["config"], body_cap=77777)  # another daemon with other settings would parse the text differently
+    assert put_table(s, 0, 5, change="c") == [100]
+    assert put_table(s, 0, 5, change="c", text="another text") == [514]
 
 
 class Store:
-    """A member's store: the primary's own settle() and take()."""
+    """A member's store, changed by the primary's own functions `settle` and `apply`."""
 
     def __init__(self):
         self.rows, self.n = {}, 0
 
-    def say(self, change, op, key="", aged=(0, 0)):
+    def settle_operation(self, change, op, key="", aged=(0, 0)):
         at = (1, self.n + 1)
         result, items = settle(
             self.rows,
@@ -130,19 +130,19 @@
         return result.encode()
 
     def table(self, base, number, tag=""):
-        return self.say(f"{base}/{number}{tag}", ("table", base, number, dict(RAW, number=number), f"{number}{tag}"))
+        return self.settle_operation(f"{base}/{number}{tag}", ("table", base, number, dict(RAW, number=number), f"{number}{tag}"))
 
     def zone(self, name, on, change):
-        return self.say(change, ("evac", name, on, fencing_token(self.rows, Evacuate(name, on))), key=f"{name} {on}")
+        return self.settle_operation(change, ("evac", name, on, fencing_token(self.rows, Evacuate(name, on))), key=f"{name} {on}")
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_whatever_comes_no_taken_change_is_refused_and_no_refused_one_taken(seed, monkeypatch):
-    small(monkeypatch, most=12)
+def test_no_accepted_change_is_refused_and_no_refused_one_accepted(seed, monkeypatch):
+    limit_outcomes(monkeypatch, most=12)
     rng, s, held = random.Random(seed), Store(), 0
     taken, refused, said, unknown, sure = set(), set(), [], 0, 0
     for i in range(1500):
-        if said and rng.random() < 0.4:  # sent again, early or late
+        if said and rng.random() < 0.4:  # a repeat, early or late
             base, number, tag = rng.choice(said[-60:]) if rng.random() < 0.8 else rng.choice(said)
         else:
             base = rng.choice([held, held, max(0, held - rng.randint(1, 9)), held + rng.randint(1, 4)])
@@ -150,7 +150,7 @@
             said.append((base, number, tag))
         if rng.random() < 0.5:
             assert s.zone(rng.choice(list(RAW["zones"])), rng.random() < 0.5, f"e{i}")[0] == "ok" or not held
-        refused = {r for r in refused if f"{outcomes.OUTCOME_PREFIX}{r[0]}/{r[1]}{r[2]}" in s.rows}  # as long as its outcome is kept
+        refused = {r for r in refused if f"{outcomes.OUTCOME_PREFIX}{r[0]}/{r[1]}{r[2]}" in s.rows}  # only while its outcome is kept
         was = s.n
         match s.table(base, number, tag), (base, number, tag):
             case ("ok", _), key:
@@ -159,7 +159,7 @@
                 taken.add(key)
             case ("refuse", 501, said_of), key:
                 assert key not in taken and said_of == f"in force is {held}"
-                if base > held:  # it could be taken later; the others never
+                if base > held:  # its base may come to exist later; that of the others cannot
                     refused.add(key)
             case ("stale",), key:
                 unknown += 1
@@ -169,27 +169,27 @@
         kept = [k for k in s.rows if k.startswith(outcomes.OUTCOME_PREFIX)]
         assert len(kept) <= 13
         in_force = next((k for k in taken if k[1] == held), None)
-        assert in_force is None or s.table(*in_force)[0] == "ok"  # with no other since: always acknowledged
+        assert in_force is None or s.table(*in_force)[0] == "ok"  # the change in force is always acknowledged again
         sure += bool(refused)
     assert len(taken) > 100 and unknown > 20 and sure > 100
 
 
-def test_outcomes_go_with_time_too_and_not_in_a_freeze():
+def test_outcomes_expire_with_running_time_but_not_during_a_pause():
     ages, keep = outcomes.VersionAges(), 8 * SEC
     olds = [ages.newest_aged(i * SEC, 0 * SEC, (1, i), keep) for i in range(20)]
     assert olds[:8] == [(0, 0)] * 8 and olds[8:] == [(1, i) for i in range(12)]
-    assert ages.newest_aged(100 * SEC, 99 * SEC, (1, 20), keep) == (1, 11)  # it stood still, or the view is new: counted anew
+    assert ages.newest_aged(100 * SEC, 99 * SEC, (1, 20), keep) == (1, 11)  # after a pause or a view change the age is counted from zero
     assert ages.newest_aged(107 * SEC, 99 * SEC, (1, 21), keep) == (1, 19)
     s = Store()
     for i in range(10):
         s.table(i, i + 1)
     assert sum(k.startswith(outcomes.OUTCOME_PREFIX) for k in s.rows) == 10
-    s.say("e", ("evac", "north", True, fencing_token(s.rows, Evacuate("north", True))), aged=(1, 6))
+    s.settle_operation("e", ("evac", "north", True, fencing_token(s.rows, Evacuate("north", True))), aged=(1, 6))
     assert sum(k.startswith(outcomes.OUTCOME_PREFIX) for k in s.rows) == 5 and s.rows[outcomes.HORIZON_KEY][1] == ((1, 6), 6)
     assert s.table(5, 6) == ("stale",) and s.table(6, 7)[0] == "ok" and s.table(6, 8)[0] == "refuse"
 
 
-def test_an_operators_own_change_id_keeps_its_outcome_for_the_products_face_too():
+def test_an_operators_change_id_keeps_its_outcome_in_the_configuration_api_too():
     s = hamlet()
     got, raw = [], dict(s.t["config"], body_cap=54321)
     version = s.w.nodes["edge-north-0"].store["config"][0]
@@ -200,12 +200,12 @@
         return got[-1]
 
     assert send() == 100
-    zones(s, 300)
+    evacuate_repeatedly(s, 300)
     assert send() == 100 and send(raw=dict(raw, body_cap=11111)) == 514
     assert send(change="another") == 501 and send(change="ahead", base=(99, 1)) == 501
 
 
-def test_the_outcomes_that_are_kept_fit_a_tenth_of_a_frame():
+def test_the_kept_outcomes_fit_in_a_tenth_of_a_frame():
     from silverglade.transport import framing as wire
 
     s = Store()
--- a/tests/control/test_role_assigner.py
+++ b/tests/control/test_role_assigner.py
@@ -1,4 +1,4 @@
-"""Which holders the role assigner wants, and which roles it drops (design 5.6)."""
+"""The assignments that the role assigner requests, and the roles that it drops (design 5.6)."""
 
 from datetime import timedelta
 
@@ -33,24 +33,24 @@
 
 
 def wanted(machine, now=SECOND):
-    """The assignments that one round asks for."""
+    """Return the assignments requested in one round."""
     posts = [effect.event for effect in machine.step(now, TimerFired()) if isinstance(effect, Post)]
     return [row for event in posts if isinstance(event, AssignRoles) for row in event.assignments]
 
 
-def test_a_shard_without_owner_gets_one_in_the_tenants_homes(assigner):
+def test_a_shard_without_owner_gets_one_in_a_home_zone(assigner):
     ((kind, name, base_epoch, holder, follower),) = wanted(assigner)
     assert (kind, name, base_epoch, follower) == ("shard", "tenant", 0, "")
     assert holder in ("a", "b")
 
 
 @pytest.mark.parametrize("holder", ["a", "b"])
-def test_a_holder_that_lives_in_a_home_stays(assigner, holder):
+def test_a_live_holder_in_a_home_zone_stays(assigner, holder):
     assigner.step(SECOND, StoreUpdated(store(duty_shard_tenant=(4, holder, "")), (1, 2)))
     assert wanted(assigner) == []
 
 
-def test_the_next_holder_builds_on_the_epoch_and_is_not_in_the_followers_zone(assigner):
+def test_a_new_holder_continues_the_epoch_outside_the_followers_zone(assigner):
     assigner.step(SECOND, StoreUpdated(store(duty_shard_tenant=(4, "gone", "a")), (1, 2)))
     assert wanted(assigner) == [("shard", "tenant", 4, "b", "a")]
 
@@ -61,7 +61,7 @@
     assert wanted(assigner) == [("shard", "tenant", 4, "b", "")]
 
 
-def test_slot_leases_are_held_in_the_replicas_region_where_its_zone_has_nobody(assigner):
+def test_slot_leases_fall_back_to_the_replicas_region_if_its_zone_is_empty(assigner):
     assigner.step(SECOND, StoreUpdated(store(duty_shard_tenant=(4, "a", "")), (1, 2)))
     assigner.step(SECOND, ReplicaZonesChanged((("replica", "empty"),)))
     assert wanted(assigner) == []
@@ -70,7 +70,7 @@
     assert wanted(assigner, 3 * SECOND) == [("ledger", "replica", 0, "y", "")]
 
 
-def test_a_role_that_nobody_needs_is_dropped_after_a_while_and_not_before(assigner):
+def test_an_unneeded_role_is_dropped_only_after_the_forget_time(assigner):
     roles = store(duty_shard_tenant=(4, "a", ""), duty_shard_former=(7, "b", ""))
     assigner.step(SECOND, StoreUpdated(roles, (1, 2)))
     first = assigner.step(SECOND, TimerFired())
--- a/tests/control/test_view_register.py
+++ b/tests/control/test_view_register.py
@@ -1,4 +1,4 @@
-"""The view register under fuzz (design 5.2), with an oracle that sees every choice."""
+"""Fuzz tests of the view register (design 5.2), with an oracle that sees every chosen view."""
 
 import random
 
@@ -13,8 +13,8 @@
 NAMES = tuple("abcdefghi")
 
 
-class Bench:
-    """Witnesses that come, go and are emptied; a network that drops, delays and repeats."""
+class RegisterSimulation:
+    """Simulates witnesses that join, leave and lose their disks, on a network that drops, delays and duplicates messages."""
 
     def __init__(self, seed):
         self.rng, self.n = random.Random(seed), 0
@@ -23,31 +23,31 @@
         first = View(1, "a", ("b",), tuple((c, self.disk[c]) for c in NAMES[: 3 + 2 * (seed % 2)]))
         for c in rg.disks(first):
             self.reg[c] = rg.Register(base=first, promised=Ballot(1, "a"))
-        self.chosen, self.rounds, self.mail, self.top = {1: first}, {}, [], 1
+        self.chosen, self.rounds, self.mail, self.highest_ballot = {1: first}, {}, [], 1
         self.loss, self.reach = (0.02, 0.1, 0.3)[seed % 3], (1.0, 0.75)[seed // 3 % 2]
 
     def propose(self):
-        """A member of a view that was chosen seeks the next, as the core part would."""
+        """Start a round in which a member of a chosen view proposes the next one, as a core would."""
         r, e = self.rng, max(self.chosen)
         v = self.chosen[max(1, e - (r.random() < 0.5))]
         me = r.choice(rg.members(v))
         if dict(v[3])[me] != self.disk[me]:
             return
         names = set(rg.disks(v))
-        if r.random() < 0.5:  # several come and go at once
+        if r.random() < 0.5:  # several witnesses join and leave at once
             names ^= set(r.sample(NAMES, r.randrange(1, 4)))
         names |= {me}
         if len(names) < 3:
             return
         ds = {c: rg.disks(v).get(c, self.disk[c]) for c in names}
-        if r.random() < 0.7:  # admit the disks seen now
+        if r.random() < 0.7:  # name the present disks
             ds = {c: self.disk[c] for c in names}
         pool = sorted(names - {me})
-        self.top += r.randrange(1, 3)
-        b = Ballot(self.top, me)
+        self.highest_ballot += r.randrange(1, 3)
+        b = Ballot(self.highest_ballot, me)
         want = View(v[0] + 1, me, tuple(r.sample(pool, r.randrange(1, min(3, len(pool)) + 1))), tuple(sorted(ds.items())))
         assert is_view(want)
-        near = [c for c in rg.disks(v) if r.random() < self.reach]  # who can be reached this time
+        near = [c for c in rg.disks(v) if r.random() < self.reach]  # the witnesses reachable in this round
         self.rounds[b] = (rg.Round(ballot=b, base=v, want=want), near)
         self.post(b, self.rounds[b][0].begin())
 
@@ -62,8 +62,8 @@
         if isinstance(msg, rg.Chosen | rg.Preempted | rg.Superseded):
             self.rounds.pop(b, None)
 
-    def bare(self):
-        """Disks of the newest view that are gone, and how many may be."""
+    def emptied_disks(self):
+        """Return how many disks of the newest view are lost, and how many may be."""
         newest = dict(self.chosen[max(self.chosen)][3])
         return sum(self.disk[c] != d for c, d in newest.items()), (len(newest) - 1) // 2
 
@@ -73,13 +73,13 @@
         if k < 0.02:
             return self.propose()
         if k < 0.025:  # a disk lost; a majority of the newest view keeps its own
-            gone, most = self.bare()
+            gone, most = self.emptied_disks()
             c = r.choice(NAMES)
             if gone < most or c not in dict(self.chosen[max(self.chosen)][3]):
                 self.n += 1
                 self.disk[c], self.reg[c] = f"{c}{self.n}", rg.Register()
             return None
-        if k < 0.04:  # someone tells what was chosen
+        if k < 0.04:  # a witness learns a chosen view
             c, v = r.choice(NAMES), self.chosen[r.choice(sorted(self.chosen))]
             self.reg[c] = rg.with_base(self.reg[c], v)
         if not self.mail:
@@ -101,21 +101,21 @@
 
 
 def fuzz(seeds=150, steps=6000):
-    """-> the highest epoch reached."""
+    """Run all seeds; return the highest epoch reached."""
     most = 0
     for seed in range(seeds):
-        b = Bench(seed)
+        b = RegisterSimulation(seed)
         for _ in range(steps):
             b.step()
         most = max(most, max(b.chosen))
     return most
 
 
-def falls(seeds=150, steps=6000):
+def count_violations(seeds=150, steps=6000):
     fell = 0
     for seed in range(seeds):
         try:
-            b = Bench(seed)
+            b = RegisterSimulation(seed)
             for _ in range(steps):
                 b.step()
         except AssertionError:
@@ -123,12 +123,12 @@
     return fell
 
 
-def test_one_view_of_an_epoch_is_chosen_whatever_is_lost_repeated_emptied_or_replaced():
+def test_only_one_view_is_chosen_per_epoch_despite_loss_duplicates_and_emptied_disks():
     assert fuzz() > 12
 
 
-def test_an_emptied_witness_that_voted_as_before_would_let_two_views_win(monkeypatch):
-    """The guard out: votes counted whatever the disk. The bench must notice."""
+def test_without_the_disk_check_on_votes_two_views_win(monkeypatch):
+    """With the guard removed, votes count whatever the disk; the simulation must detect it."""
 
     class Any(dict):
         def get(self, k, d=None):
@@ -143,22 +143,25 @@
 
     real = rg.disks
     monkeypatch.setattr(rg, "disks", lambda v: Any(real(v)))
-    assert falls()
+    assert count_violations()
 
 
-def test_new_witnesses_that_voted_on_their_own_coming_would_let_two_views_win(monkeypatch):
-    """The guard out: the votes that count are those of the view wanted, not of its base."""
+def test_if_the_proposed_witnesses_could_vote_two_views_would_win(monkeypatch):
+    """With the guard removed, the witnesses of the proposed view vote instead of those of its base."""
     real = rg.Round
 
     def careless(*, ballot, base, want):
         return real(ballot=ballot, base=base._replace(witnesses=want.witnesses), want=want)
 
     monkeypatch.setattr(rg, "Round", careless)
-    assert falls()
+    assert count_violations()
 
 
-def overwritten():
-    """Views 2 and 3 are chosen; one who knows of neither completes 2 with the old witnesses. -> view 3, twice."""
+def complete_an_old_view():
+    """After views 2 and 3 were chosen, a proposer that knows neither completes view 2 with the old witnesses.
+
+    Return the chosen view 3, and the view that a later round for epoch 3 chooses, or None.
+    """
     names = "abcde"
     v1 = View(1, "a", ("b",), tuple((c, c) for c in "abc"))
     v2 = View(2, "b", ("c",), tuple((c, c) for c in names))
@@ -185,8 +188,8 @@
     return v3, run("b", 5, v2, v3b, "abc", "abc")
 
 
-def test_a_witness_takes_nothing_that_follows_an_older_view(monkeypatch):
-    chosen, again = overwritten()
+def test_a_witness_accepts_no_successor_of_an_older_view(monkeypatch):
+    chosen, again = complete_an_old_view()
     assert again in (None, chosen)
 
     def careless(reg, message, /, *, disk):
@@ -196,22 +199,22 @@
         return rg.Register(promised=ballot, base=base, accepted=ballot, view=view), Accepted(ballot, disk)
 
     monkeypatch.setattr(rg, "accept", careless)
-    chosen, again = overwritten()
+    chosen, again = complete_an_old_view()
     assert again not in (None, chosen)
 
 
-def test_a_minority_that_chose_would_let_two_views_win(monkeypatch):
+def test_if_a_minority_could_choose_two_views_would_win(monkeypatch):
     monkeypatch.setattr(rg, "majority", lambda n: n // 2)
-    assert falls()
+    assert count_violations()
 
 
-def test_a_register_written_before_views_had_several_backups_is_read():
+def test_a_register_in_the_single_backup_format_is_read():
     old = (3, "a", "b", (("a", "1"), ("b", "2"), ("c", "3")))
     nxt = (4, "b", "c", old[3])
     got = rg.read({"reg": dict(promised=(7, "b"), ballot=(7, "b"), view=nxt), "view": ((6, "a"), old)})
     assert got.stored() == dict(promised=(7, "b"), base=(3, "a", ("b",), old[3]), ballot=(7, "b"), view=(4, "b", ("c",), old[3]))
     assert is_view(got.base) and rg.read({"reg": got.stored()}) == got and rg.read({}) == rg.Register()
-    assert {type(x) for x in got.stored().values()} == {tuple}  # plain arrays are stored
+    assert {type(x) for x in got.stored().values()} == {tuple}  # the register is stored as plain arrays
     done = rg.read({"reg": dict(promised=(7, "b"), ballot=(7, "b"), view=nxt), "view": ((7, "b"), nxt)})
     assert done.base.epoch == 4 and done.view is None and done.promised == (7, "b")
 
@@ -221,7 +224,7 @@
     return decision.code
 
 
-def test_the_store_takes_one_of_two_changes_over_the_same_version():
+def test_only_one_of_two_changes_with_the_same_base_is_accepted():
     raw = {"zones": {"z": {"region": "r"}}, "tenants": {}}
     first = decide({}, ConfigurationChange((0, 0), raw), (1, 1))
     assert isinstance(first, Apply)
--- a/tests/testbed/test_second_loss.py
+++ b/tests/testbed/test_second_loss.py
@@ -136,7 +136,7 @@
 
 def leaver(*, copied_first):
     """c, no member of its view, gets a copy for the next one and SIGTERM, in either order; all the others stay."""
-    c = safety.Alone(view=(3, "a", ("b",), (("a", "A"), ("b", "B"), ("d", "D"))))
+    c = safety.SingleCore(view=(3, "a", ("b",), (("a", "A"), ("b", "B"), ("d", "D"))))
     steps = [("msg", "a", ("snap", 4, 9, None, safety.OLD)), ("state", "leaving")]
     for event in steps if copied_first else reversed(steps):
         c.feed(event)
@@ -148,7 +148,7 @@
 def test_a_recruit_that_leaves_stays_until_the_view_is_known_that_may_name_it():
     c = leaver(copied_first=True)
     assert c.last("snapok") and not c.gen.state.exit_allowed
-    c.hear("a", "view", (4, "a", ("b",), (("a", "A"), ("b", "B"), ("d", "D"))))
+    c.receive("a", "view", (4, "a", ("b",), (("a", "A"), ("b", "B"), ("d", "D"))))
     c.feed(("pulse",))
     assert c.gen.state.exit_allowed
     c = leaver(copied_first=False)
