--- a/silverglade/control/core.py
+++ b/silverglade/control/core.py
@@ -288,8 +288,8 @@
 
         :param include_random_state: whether the state of the random number generator is included.
         """
-        chance = self.rng.getstate() if include_random_state else None
-        return fingerprint(self.settings.name, self.settings.disk, self.state, chance)
+        random_state = self.rng.getstate() if include_random_state else None
+        return fingerprint(self.settings.name, self.settings.disk, self.state, random_state)
 
     def __deepcopy__(self, memo: dict[int, Any]) -> ControlCore:
         """Return a copy that shares only immutable objects: the settings, and the values of the store."""
--- a/silverglade/control/decisions.py
+++ b/silverglade/control/decisions.py
@@ -104,11 +104,11 @@
 
 
 def refusal_items(store: StoreView, change_id: str, digest: str, version: Version, aged: Version) -> Items:
-    """Return items that record a final refusal: a late duplicate of the change must not be accepted once its base exists."""
+    """Return items that record a permanent refusal: a late duplicate of the change must not be accepted once its base exists."""
     if not change_id:
         return ()
-    note = outcomes.outcome_item(change_id=change_id, digest=digest, version=version, number=0, accepted=False)
-    return (note, *outcomes.advanced_horizon(store, version=version, aged=aged))
+    outcome = outcomes.outcome_item(change_id=change_id, digest=digest, version=version, number=0, accepted=False)
+    return (outcome, *outcomes.advanced_horizon(store, version=version, aged=aged))
 
 
 def refuse_future_base(store: StoreView, operation: ControlOperation) -> Refused:
--- a/silverglade/control/outcomes.py
+++ b/silverglade/control/outcomes.py
@@ -1,14 +1,14 @@
 """Recorded outcomes of operators' changes (design 5.3): a repeat of an accepted change is acknowledged again.
 
 The store holds an outcome under the change's id, an idempotency key: (digest of the call, version, number). The version
-`INITIAL_VERSION` means that the change was finally refused, since it named a base that did not exist yet. `number` is the operator's
+`INITIAL_VERSION` means that the change was permanently refused, since it named a base that did not exist yet. `number` is the operator's
 number, 0 for none.
 
 The horizon (version, number) marks what has been forgotten: all outcomes up to that version, except that of the configuration in
 force, and the highest number among them. The primary advances it as part of an accepted change, so that backups, snapshots and
-later primaries forget the same outcomes. Numbers and versions increase with each accepted change. So the outcome of a change whose
-base is not below the horizon is either still recorded or the change was never accepted; a change whose base is below the horizon
-can no longer be evaluated.
+later primaries forget the same outcomes. Numbers and versions increase with each accepted change. So a change whose base is not
+below the horizon either still has a recorded outcome or was never accepted, and one whose base is below it can no longer be
+evaluated.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
     """The outcome of a change.
 
     :ivar digest: digest of the change's text.
-    :ivar version: the version that it got; `INITIAL_VERSION` if it was finally refused.
+    :ivar version: the version that it got; `INITIAL_VERSION` if it was permanently refused.
     :ivar number: the operator's number of it; 0 for none, None if an earlier program version recorded none.
     """
 
@@ -92,7 +92,7 @@
 def outcome_item(*, change_id: str, digest: str, version: Version, number: int, accepted: bool = True) -> Item:
     """Return an outcome as an item of the change at `version`.
 
-    :param accepted: whether the change was accepted; False if it was finally refused.
+    :param accepted: whether the change was accepted; False if it was permanently refused.
     """
     outcome = Outcome(digest, version if accepted else INITIAL_VERSION, number)
     return (OUTCOME_PREFIX + change_id, version, tuple(outcome))
--- a/silverglade/control/register.py
+++ b/silverglade/control/register.py
@@ -163,12 +163,12 @@
             case Rejected():
                 return Preempted(message.promised)
             case Promise() if self.value is None:
-                return self.promised(sender, message)
+                return self.on_promise(sender, message)
             case Accepted() if self.value is not None:
-                return self.accepted(sender, message, self.value)
+                return self.on_accepted(sender, message, self.value)
         return None
 
-    def promised(self, sender: str, promise: Promise) -> Accept | Superseded | None:
+    def on_promise(self, sender: str, promise: Promise) -> Accept | Superseded | None:
         """Count a promise; once there are enough, propose a value."""
         if promise.base is not None and epoch(promise.base) > epoch(self.base):
             return Superseded(promise.base)
@@ -186,7 +186,7 @@
         follows = [p for p in self.promises.values() if epoch(p.view) == epoch(self.base) + 1]
         return max(follows, key=lambda p: p.accepted).view if follows else None
 
-    def accepted(self, sender: str, message: Accepted, value: View) -> Chosen | None:
+    def on_accepted(self, sender: str, message: Accepted, value: View) -> Chosen | None:
         """Count an acceptance; the value is chosen once a majority of the voters accepted it."""
         voters = disks(self.base or value)
         if voters.get(sender) == message.disk:
--- a/silverglade/control/seek.py
+++ b/silverglade/control/seek.py
@@ -22,7 +22,7 @@
 """Minimum delay before the next attempt after a failed one."""
 
 COPY_TIMEOUT_TAKEOVERS = 8
-"""Time-out for recruits that are up to sync their copy of the store, in multiples of the setting `takeover`."""
+"""How long an attempt waits for recruits that are up to sync their copy of the store, in multiples of the setting `takeover`."""
 
 BALLOT_RANDOM_BITS = 20
 """Ballot numbers increase by a random step of this many bits. Two successive processes of a core, of which the first left nothing on
--- a/silverglade/control/serving.py
+++ b/silverglade/control/serving.py
@@ -37,9 +37,9 @@
     The items on disk must be complete up to the version on disk, even after a failed write.
     """
     state = core.state
-    if state.committed_write_under_way:
+    if state.committed_write_in_progress:
         return
-    operations, state.committed_unwritten, state.committed_write_under_way = state.committed_unwritten, {}, True
+    operations, state.committed_unwritten, state.committed_write_in_progress = state.committed_unwritten, {}, True
     written = CommittedItemsWritten(state.committed_version, tuple(operations.values()))
     core.write([*operations.values(), *meta_puts(shown=state.committed_version)], written, now)
 
@@ -47,7 +47,7 @@
 def on_committed_items_written(core: CoreContext, written: CommittedItemsWritten, succeeded: bool, now: timedelta) -> None:
     """Continue after a write of committed items; operations that failed are repeated with the next write."""
     state = core.state
-    state.committed_write_under_way = False
+    state.committed_write_in_progress = False
     if not succeeded:
         failed = {key_of(operation): operation for operation in written.operations}
         state.committed_unwritten = {**failed, **state.committed_unwritten}
--- a/silverglade/control/spread.py
+++ b/silverglade/control/spread.py
@@ -28,13 +28,13 @@
     -1 means that there are too few even without a loss.
     """
 
-    def max_losses(sizes: Sequence[int], top: int) -> int:
+    def max_losses(sizes: Sequence[int], limit: int) -> int:
         left = len(names)
-        for lost in range(top + 1):
+        for lost in range(limit + 1):
             if left < need:
                 return lost - 1
             left -= sizes[lost] if lost < len(sizes) else 0
-        return top
+        return limit
 
     zones, regions = (sorted(Counter(places.get(name, UNKNOWN_PLACE)[level:] for name in names).values(), reverse=True) for level in (0, 1))
     return (max_losses([1] * len(names), tolerance[0]), max_losses(zones, tolerance[1]), max_losses(regions, tolerance[2]))
--- a/silverglade/control/state.py
+++ b/silverglade/control/state.py
@@ -167,7 +167,7 @@
     stamp_origin: int
     # committed items not yet on disk, by key, and whether a write of committed items is in progress
     committed_unwritten: dict[str, DiskOperation] = field(default_factory=dict)
-    committed_write_under_way: bool = False
+    committed_write_in_progress: bool = False
     known_cores: set[str] = field(default_factory=set)  # learnt from membership or from a heartbeat
     leaving: set[str] = field(default_factory=set)  # cores that announced their departure and have not returned
     live: dict[str, str] = field(default_factory=dict)  # cores that a view may name, with their disks; unchanged since `live_since`
--- a/silverglade/control/values.py
+++ b/silverglade/control/values.py
@@ -48,20 +48,20 @@
     names = mutable_fields(kind)
     if not names:
         return value
-    twin: Any = object.__new__(kind)
+    clone: Any = object.__new__(kind)
     for name in names:
         held = getattr(value, name)
-        setattr(twin, name, held if name == SHARED_FIELD else copy_state(held))
-    return twin
+        setattr(clone, name, held if name == SHARED_FIELD else copy_state(held))
+    return clone
 
 
 def copy_random(rng: random.Random) -> random.Random:
     """Return a copy of a random number generator that will yield the same numbers as the original."""
     if type(rng) is not random.Random:
         return copy.deepcopy(rng)
-    twin = random.Random(0)
-    twin.setstate(rng.getstate())
-    return twin
+    clone = random.Random(0)
+    clone.setstate(rng.getstate())
+    return clone
 
 
 def canonical_form(value: Any) -> Any:
--- a/silverglade/control/writes.py
+++ b/silverglade/control/writes.py
@@ -97,7 +97,7 @@
 Continuation = CommittedItemsWritten | SendIfSynced | WholeStoreWritten | ChangeWrittenByPrimary | ChangeWrittenByBackup | EpochSealed
 
 
-class WriteUnderWay(NamedTuple):
+class WriteInProgress(NamedTuple):
     """The start time of a write, and its continuation."""
 
     started_at: timedelta
@@ -120,7 +120,7 @@
 
     tuning: Mapping[str, Any]
     last: int = 0
-    in_progress: dict[int, WriteUnderWay] = field(default_factory=dict)
+    in_progress: dict[int, WriteInProgress] = field(default_factory=dict)
     is_disk_writable: bool = True
     leaving: bool = False
     probed_at: timedelta = ZERO
@@ -133,7 +133,7 @@
     def begin(self, operations: Iterable[DiskOperation], continuation: Continuation | None, now: timedelta) -> Effect:
         """Register a write; return the effect that starts it."""
         self.last += 1
-        self.in_progress[self.last] = WriteUnderWay(now, continuation)
+        self.in_progress[self.last] = WriteInProgress(now, continuation)
         return WriteToDisk((Component.CONTROL.value, self.last), tuple(operations))
 
     def check(self, now: timedelta) -> list[Effect]:
--- a/tests/testbed/test_check_model.py
+++ b/tests/testbed/test_check_model.py
@@ -52,13 +52,13 @@
 
 def votes_count_whatever_the_disk(mp):
     old = "sum(voters.get(name) == p.disk for", "if voters.get(sender) == message.disk:"
-    without_in_methods(mp, old, ("sum(name in voters for", "if sender in voters:"), "promised", "accepted")
+    without_in_methods(mp, old, ("sum(name in voters for", "if sender in voters:"), "on_promise", "on_accepted")
 
 
 def votes_count_under_an_older_base(mp):
     cut("register", " or epoch(base) < epoch(register.base)", "", "register.accept")(mp)
     old = "        if promise.base is not None and epoch(promise.base) > epoch(self.base):\n            return Superseded(promise.base)\n"
-    without_in_methods(mp, (old,), ("",), "promised")
+    without_in_methods(mp, (old,), ("",), "on_promise")
 
 
 def unconfirmed(kind):
@@ -117,8 +117,8 @@
         {"acknowledged-lost"},
         cut(
             "replication",
-            "    gone = store.apply(state.store, change.items)\n",
-            "    core.send_outgoing(confirmation)\n    gone = store.apply(state.store, change.items)\n",
+            "    pruned = store.apply(state.store, change.items)\n",
+            "    core.send_outgoing(confirmation)\n    pruned = store.apply(state.store, change.items)\n",
             "replication.on_replicate",
         ),
     ),
--- a/tests/testbed/test_control_cluster.py
+++ b/tests/testbed/test_control_cluster.py
@@ -131,8 +131,8 @@
         the_slower_backup_alone_is_left,
         {"both-won", "read-old"},
         REPLICATION,
-        ("    gone = store.apply(state.store, change.items)", "    if succeeded:\n        core.send_outgoing(written.outgoing)"),
-        ("    core.send_outgoing(confirmation)\n    gone = store.apply(state.store, change.items)", ""),
+        ("    pruned = store.apply(state.store, change.items)", "    if succeeded:\n        core.send_outgoing(written.outgoing)"),
+        ("    core.send_outgoing(confirmation)\n    pruned = store.apply(state.store, change.items)", ""),
         (REPLICATION + ".on_replicate", REPLICATION + ".on_written_by_backup"),
     ),
     (
