--- a/tests/control/test_view_register.py
+++ b/tests/control/test_view_register.py
@@ -30,36 +30,38 @@
         """Start a round in which a member of a chosen view proposes the next one, as a core would."""
         r, e = self.rng, max(self.chosen)
         v = self.chosen[max(1, e - (r.random() < 0.5))]
-        me = r.choice(rg.members(v))
-        if dict(v[3])[me] != self.disk[me]:
+        proposer_name = r.choice(rg.members(v))
+        if dict(v[3])[proposer_name] != self.disk[proposer_name]:
             return
         names = set(rg.disks(v))
         if r.random() < 0.5:  # several witnesses join and leave at once
             names ^= set(r.sample(NAMES, r.randrange(1, 4)))
-        names |= {me}
+        names |= {proposer_name}
         if len(names) < 3:
             return
-        ds = {c: rg.disks(v).get(c, self.disk[c]) for c in names}
+        named_disks = {c: rg.disks(v).get(c, self.disk[c]) for c in names}
         if r.random() < 0.7:  # name the present disks
-            ds = {c: self.disk[c] for c in names}
-        pool = sorted(names - {me})
+            named_disks = {c: self.disk[c] for c in names}
+        pool = sorted(names - {proposer_name})
         self.highest_ballot += r.randrange(1, 3)
-        b = Ballot(self.highest_ballot, me)
-        want = View(v[0] + 1, me, tuple(r.sample(pool, r.randrange(1, min(3, len(pool)) + 1))), tuple(sorted(ds.items())))
+        b = Ballot(self.highest_ballot, proposer_name)
+        want = View(
+            v[0] + 1, proposer_name, tuple(r.sample(pool, r.randrange(1, min(3, len(pool)) + 1))), tuple(sorted(named_disks.items()))
+        )
         assert is_view(want)
-        near = [c for c in rg.disks(v) if r.random() < self.reach]  # the witnesses reachable in this round
-        self.rounds[b] = (rg.Round(ballot=b, base=v, want=want), near)
+        reachable = [c for c in rg.disks(v) if r.random() < self.reach]  # the witnesses reachable in this round
+        self.rounds[b] = (rg.Round(ballot=b, base=v, want=want), reachable)
         self.post(b, self.rounds[b][0].begin())
 
-    def post(self, b, msg):
-        match msg:
+    def post(self, b, message):
+        match message:
             case Prepare() | Accept():
-                self.mail = self.mail[-40:] + [(b, c, msg) for c in self.rounds[b][1]]
+                self.mail = self.mail[-40:] + [(b, c, message) for c in self.rounds[b][1]]
             case rg.Chosen(view):
                 assert self.chosen.setdefault(view.epoch, view) == view, "two views of one epoch"
             case rg.Superseded(view):
                 assert self.chosen[view.epoch] == view, "a base that was not chosen"
-        if isinstance(msg, rg.Chosen | rg.Preempted | rg.Superseded):
+        if isinstance(message, rg.Chosen | rg.Preempted | rg.Superseded):
             self.rounds.pop(b, None)
 
     def emptied_disks(self):
@@ -85,18 +87,18 @@
         if not self.mail:
             return None
         i = r.randrange(len(self.mail))
-        b, c, msg = self.mail[i]
+        b, c, message = self.mail[i]
         if r.random() < 0.85:
             self.mail.pop(i)
         if r.random() < self.loss:
             return None
-        if not isinstance(msg, Prepare | Accept):  # a witness's answer
+        if not isinstance(message, Prepare | Accept):  # a witness's answer
             if b in self.rounds:
-                self.post(b, self.rounds[b][0].answer(c, msg))
+                self.post(b, self.rounds[b][0].answer(c, message))
             return None
-        f = rg.prepare if isinstance(msg, Prepare) else rg.accept
-        self.reg[c], ans = f(self.reg[c], msg, disk=self.disk[c])
-        self.mail.append((b, c, ans))
+        f = rg.prepare if isinstance(message, Prepare) else rg.accept
+        self.reg[c], answer = f(self.reg[c], message, disk=self.disk[c])
+        self.mail.append((b, c, answer))
         return None
 
 
@@ -168,8 +170,8 @@
     v3, v3b = View(3, "c", ("d",), v2.witnesses), View(3, "b", ("a",), v2.witnesses)
     reg = {c: rg.Register(base=v1 if c in "abc" else None) for c in names}
 
-    def run(me, n, base, want, prep, acc):
-        proposer = rg.Round(ballot=Ballot(n, me), base=base, want=want)
+    def run(proposer_name, n, base, want, prep, acc):
+        proposer = rg.Round(ballot=Ballot(n, proposer_name), base=base, want=want)
         got = None
         for c in prep:
             reg[c], answer = rg.prepare(reg[c], proposer.begin(), disk=c)
