--- a/silverglade/control/decisions.py
+++ b/silverglade/control/decisions.py
@@ -176,7 +176,7 @@
         return base_mismatch(operation.base, held, horizon) or base_conflict(held)
     configuration, faults = schema.parse_configuration(operation.raw)
     if not faults and not operation.number == configuration["number"] > held:
-        faults = (("number", f"wants to be above {held}"),)
+        faults = (("number", f"must be above {held}"),)
     if faults:
         return refuse_invalid_configuration(faults)
     return apply_if_store_fits(store, version, ((CONFIGURATION_KEY, configuration), (SOURCE_KEY, operation.source)))
