--- a/silverglade/control/decisions.py
+++ b/silverglade/control/decisions.py
@@ -1,7 +1,7 @@
-"""What the primary makes of an operation on the store as it stands (design 5.3, 5.4).
+"""The primary's evaluation of operations against the current store (design 5.3, 5.4).
 
-`decide` judges one operation alone; `settle` also knows operations that come again by their change id, and notes outcomes. Both
-are pure: they return the items to write, and change nothing.
+`decide` evaluates a single operation. `settle` also recognises repeated operations by their change id and records outcomes. Both
+are pure: they return the items to write and change nothing.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from ..runtime.errors import SilvergladeError
 from ..transport import framing
 from . import outcomes
-from .judgements import AheadOfBase, Decision, Read, Take, Values
+from .judgements import Apply, Decision, FutureBase, Read, Values
 from .operation_results import Acknowledged, Refused, Result, SourceRead, Stale
 from .operations import (
     AssignRole,
@@ -53,8 +53,8 @@
     version_of,
 )
 
-MAX_FAULTS_TEXT = 2000
-"""Characters of the faults of a configuration that its sender is told."""
+MAX_FAULTS_CHARS = 2000
+"""Maximum length, in characters, of the list of faults returned to the sender of an invalid configuration."""
 
 
 def settle(
@@ -67,72 +67,72 @@
     previous: Version,
     aged: Version = INITIAL_VERSION,
 ) -> tuple[Result, Items]:
-    """Judge an operation, or find the outcome of one whose change id was settled before.
-
-    :param change_id: the operator's own name of the change; "" for none.
-    :param digest: of the operation's text: one change id stands for one text.
-    :param version: the one that the change will carry if it is taken.
-    :param previous: the version of the store now.
-    :param aged: the newest version whose outcomes were kept long enough.
-    :returns: what the client is told, and the items that the store gets.
+    """Evaluate an operation, or return the recorded outcome if its change id was settled before.
+
+    :param change_id: the change id given by the operator, an idempotency key; "" for none.
+    :param digest: digest of the operation's text; a change id belongs to one text.
+    :param version: the version that the change gets if it is accepted.
+    :param previous: the current version of the store.
+    :param aged: the newest version whose outcomes have been kept for the retention time.
+    :returns: the result for the client, and the items to write to the store.
     """
-    known = outcomes.find(store, change_id)
+    known = outcomes.find_outcome(store, change_id)
     if known is not None:
-        return known_result(store, operation, change_id, digest, known), ()
+        return repeated_result(store, operation, change_id, digest, known), ()
     decision = decide(store, operation, version)
     match decision:
         case Read(source):
             return SourceRead(previous, source), ()
-        case Take(values):
+        case Apply(values):
             items = tuple((key, version, value) for key, value in values)
             if change_id:
                 number = operation.number if isinstance(operation, TableChange) else 0
-                items += (outcomes.item(change_id=change_id, digest=digest, version=version, number=number),)
-                items += outcomes.moved_horizon(store, version=version, aged=aged)
+                items += (outcomes.outcome_item(change_id=change_id, digest=digest, version=version, number=number),)
+                items += outcomes.advanced_horizon(store, version=version, aged=aged)
             return Acknowledged(version), items
-        case AheadOfBase():
-            return ahead_of_base(store, operation), refusal_items(store, change_id, digest, version, aged)
+        case FutureBase():
+            return refuse_future_base(store, operation), refusal_items(store, change_id, digest, version, aged)
         case Refused() | Stale():
             return decision, ()
 
 
-def known_result(store: StoreView, operation: ControlOperation, change_id: str, digest: str, known: outcomes.Outcome) -> Result:
-    """Return the result of an operation whose change id has the outcome `known`."""
+def repeated_result(store: StoreView, operation: ControlOperation, change_id: str, digest: str, known: outcomes.Outcome) -> Result:
+    """Return the result of a repeated operation whose change id has the recorded outcome `known`."""
     if known.digest != digest:
         return Refused(result_codes.CHANGE_USED, change_id)
-    return Acknowledged(known.version) if known.version != INITIAL_VERSION else ahead_of_base(store, operation)
+    return Acknowledged(known.version) if known.version != INITIAL_VERSION else refuse_future_base(store, operation)
 
 
 def refusal_items(store: StoreView, change_id: str, digest: str, version: Version, aged: Version) -> Items:
-    """Return the note that a change was refused for good: a late copy of it must not be taken once its base has come."""
+    """Return items that record a permanent refusal: a late duplicate of the change must not be accepted once its base exists."""
     if not change_id:
         return ()
-    note = outcomes.item(change_id=change_id, digest=digest, version=version, number=0, taken=False)
-    return (note, *outcomes.moved_horizon(store, version=version, aged=aged))
+    outcome = outcomes.outcome_item(change_id=change_id, digest=digest, version=version, number=0, accepted=False)
+    return (outcome, *outcomes.advanced_horizon(store, version=version, aged=aged))
 
 
-def ahead_of_base(store: StoreView, operation: ControlOperation) -> Refused:
-    """Refuse an operation on a base that is still to come, and name the one in force."""
+def refuse_future_base(store: StoreView, operation: ControlOperation) -> Refused:
+    """Refuse an operation whose base does not exist yet, and name the version or number in force."""
     if isinstance(operation, TableChange):
-        return not_in_force(configuration_number(store))
-    return not_in_force(version_text(version_of(store, CONFIGURATION_KEY)))
+        return base_conflict(configuration_number(store))
+    return base_conflict(version_text(version_of(store, CONFIGURATION_KEY)))
 
 
 def version_text(version: Version) -> str:
-    """Return a version as operators read it."""
+    """Return a version in the form shown to operators."""
     epoch, number = version
     return f"{epoch}.{number}"
 
 
-def not_in_force(in_force: int | str) -> Refused:
-    """Refuse an operation whose base is not the one in force."""
+def base_conflict(in_force: int | str) -> Refused:
+    """Refuse an operation because its base is not the one in force."""
     return Refused(result_codes.CONFLICT, f"in force is {in_force}")
 
 
 def decide(store: StoreView, operation: ControlOperation, version: Version) -> Decision:
-    """Judge one operation. The primary alone calls this.
+    """Evaluate one operation. Only the primary calls this.
 
-    :param version: the one that the change will carry if it is taken.
+    :param version: the version that the change gets if it is accepted.
     """
     match operation:
         case ConfigurationChange():
@@ -157,62 +157,62 @@
 
 
 def decide_configuration(store: StoreView, operation: ConfigurationChange, version: Version) -> Decision:
-    """Judge a configuration that names the version which it replaces."""
+    """Evaluate a configuration change whose base is the version that it replaces."""
     held = version_of(store, CONFIGURATION_KEY)
     if operation.base != held:
         horizon, _ = outcomes.horizon(store)
-        return other_base(operation.base, held, horizon) or not_in_force(version_text(held))
+        return base_mismatch(operation.base, held, horizon) or base_conflict(version_text(held))
     configuration, faults = schema.parse_configuration(operation.raw)
     if faults:
-        return bad_configuration(faults)
-    return take_if_store_fits(store, version, ((CONFIGURATION_KEY, configuration),))
+        return refuse_invalid_configuration(faults)
+    return apply_if_store_fits(store, version, ((CONFIGURATION_KEY, configuration),))
 
 
 def decide_table(store: StoreView, operation: TableChange, version: Version) -> Decision:
-    """Judge a configuration that is told apart by the operator's own numbers (design 15.2)."""
+    """Evaluate a configuration change whose versions the operator numbers (design 15.2)."""
     held = configuration_number(store)
     if operation.base != held:
         _, horizon = outcomes.horizon(store)
-        return other_base(operation.base, held, horizon) or not_in_force(held)
+        return base_mismatch(operation.base, held, horizon) or base_conflict(held)
     configuration, faults = schema.parse_configuration(operation.raw)
     if not faults and not operation.number == configuration["number"] > held:
-        faults = (("number", f"wants to be above {held}"),)
+        faults = (("number", f"must be above {held}"),)
     if faults:
-        return bad_configuration(faults)
-    return take_if_store_fits(store, version, ((CONFIGURATION_KEY, configuration), (SOURCE_KEY, operation.source)))
+        return refuse_invalid_configuration(faults)
+    return apply_if_store_fits(store, version, ((CONFIGURATION_KEY, configuration), (SOURCE_KEY, operation.source)))
 
 
-def other_base(base: Any, held: Any, horizon: Any) -> Stale | AheadOfBase | None:
-    """Judge a change on another base than the one held; None where it is surely refused.
+def base_mismatch(base: Any, held: Any, horizon: Any) -> Stale | FutureBase | None:
+    """Return the decision on a change whose base is not the current one; None for an ordinary refusal.
 
-    :param horizon: a change on a base below it may have been taken, with its outcome forgotten.
+    :param horizon: a change with a base below it may have been accepted earlier and its outcome since forgotten, so it is stale.
     """
     if base < horizon:
         return Stale()
-    return AheadOfBase() if base > held else None
+    return FutureBase() if base > held else None
 
 
-def bad_configuration(faults: Any) -> Refused:
-    """Refuse a configuration, with the path and the sentence of each fault."""
+def refuse_invalid_configuration(faults: Any) -> Refused:
+    """Refuse a configuration; the detail lists the path and the description of each fault."""
     text = "; ".join(f"{path}: {sentence}" for path, sentence in faults)
-    return Refused(result_codes.BAD_CONFIG, text[:MAX_FAULTS_TEXT])
+    return Refused(result_codes.BAD_CONFIG, text[:MAX_FAULTS_CHARS])
 
 
-def take_if_store_fits(store: StoreView, version: Version, values: Values) -> Decision:
-    """Take a configuration only if the store with it fits a frame: it travels whole between members, and to daemons."""
+def apply_if_store_fits(store: StoreView, version: Version, values: Values) -> Decision:
+    """Accept a configuration only if the resulting store fits in one frame, since the store is sent whole to members and daemons."""
     rows = {**store, **{key: (version, value) for key, value in values}}
     try:
         fits = framing.fits_in_frame(tuple((key, item_version, value) for key, (item_version, value) in rows.items()))
     except SilvergladeError as error:
         return Refused(result_codes.BAD_CONFIG, error.detail)
-    return Take(values) if fits else Refused(result_codes.CHANGE_TOO_LARGE, "")
+    return Apply(values) if fits else Refused(result_codes.CHANGE_TOO_LARGE, "")
 
 
 def fencing_token(store: StoreView, operation: FencedOperation) -> Version:
-    """Return the version on which an operation without a base of its own rests (design 5.4).
+    """Return the fencing token of an operation that has no base of its own: the version it depends on (design 5.4).
 
-    Every change of what the operation concerns makes a new one, above all before it; so does one of the configuration for an
-    evacuation, since the configuration decides whether the zone is known.
+    Every change to the item that the operation concerns yields a new, higher token. For an evacuation so does a change of the
+    configuration, which determines whether the zone is known.
     """
     if isinstance(operation, Evacuate):
         return fencing_token_of(store, (evacuation_key(operation.zone), CONFIGURATION_KEY))
@@ -220,60 +220,63 @@
 
 
 def decide_evacuation(store: StoreView, operation: Evacuate) -> Decision:
-    """Judge an evacuation. What is so already may be said again: it makes a new version, and so fences others out."""
+    """Evaluate an evacuation. Setting the current value again is accepted; it makes a new version and so fences out other operations."""
     configuration = value_of(store, CONFIGURATION_KEY)
     if not configuration or operation.zone not in configuration["zones"]:
         return Refused(result_codes.UNKNOWN_ZONE, operation.zone)
     key = evacuation_key(operation.zone)
-    says_what_is_so = operation.base is not None and value_of(store, key, False) == operation.drained
-    if operation.base != fencing_token(store, operation) and not says_what_is_so:
+    is_unchanged = operation.base is not None and value_of(store, key, False) == operation.drained
+    if operation.base != fencing_token(store, operation) and not is_unchanged:
         return Stale()
-    return Take(((key, operation.drained),))
+    return Apply(((key, operation.drained),))
 
 
 def decide_assignment(store: StoreView, operation: AssignRole) -> Decision:
-    """Judge the naming of a role's holder, which rests on the role's epoch."""
+    """Evaluate the assignment of a role, which is conditional on the role's epoch."""
     held = role_assignment(store, operation.kind, operation.name)
     if (held.epoch if held else 0) != operation.base_epoch:
         return Refused(result_codes.CONFLICT, operation.name)
     floor = 0 if held else epoch_floor(store, operation.kind)
     assignment = RoleAssignment(max(operation.base_epoch, floor) + 1, operation.holder, operation.follower)
-    return Take(((role_key(operation.kind, operation.name), tuple(assignment)),))
+    return Apply(((role_key(operation.kind, operation.name), tuple(assignment)),))
 
 
 def decide_assignments(store: StoreView, operation: AssignRoles) -> Decision:
-    """Take those of several assignments whose base stands."""
+    """Accept those of several assignments whose base epoch is still current."""
     decisions = [decide_assignment(store, assignment) for assignment in operation.assignments]
-    return Take(tuple(value for decision in decisions if isinstance(decision, Take) for value in decision.values))
+    return Apply(tuple(value for decision in decisions if isinstance(decision, Apply) for value in decision.values))
 
 
 def decide_drop(store: StoreView, operation: DropRoles) -> Decision:
-    """Drop the roles that there are, and raise the floor of their kind to the highest epoch among them."""
+    """Drop those of the named roles that exist, and raise the epoch floor of their kind to the highest epoch among them."""
     held = {name: role_assignment(store, operation.kind, name) for name in operation.names}
     epochs = {name: assignment.epoch for name, assignment in held.items() if assignment}
     if not epochs:
-        return Take(())
+        return Apply(())
     floor = max(epoch_floor(store, operation.kind), *epochs.values())
     dropped = tuple((role_key(operation.kind, name), None) for name in sorted(epochs))
-    return Take(((epoch_floor_key(operation.kind), floor), *dropped))
+    return Apply(((epoch_floor_key(operation.kind), floor), *dropped))
 
 
 def decide_reopening(store: StoreView, operation: ReopenShard) -> Decision:
-    """Judge the reopening of a shard without its follower: an operator accepts that claims are lost (design 6.4)."""
+    """Evaluate the reopening of a shard without its follower, by which an operator accepts the loss of claims (design 6.4)."""
     held = role_assignment(store, SHARD_ROLE, operation.name)
     if operation.base != fencing_token(store, operation):
         return Stale()
     if held is None:
         return Refused(result_codes.NOT_FOUND, operation.name)
-    return Take(((role_key(SHARD_ROLE, operation.name), tuple(RoleAssignment(held.epoch + 1, held.holder, ""))),))
+    return Apply(((role_key(SHARD_ROLE, operation.name), tuple(RoleAssignment(held.epoch + 1, held.holder, ""))),))
 
 
 def decide_usage(store: StoreView, operation: RecordUsage) -> Decision:
-    """Judge a usage report: only the holder's, and each window once, so that no window is ever sent with two contents (design 18.2)."""
+    """Evaluate a usage report (design 18.2).
+
+    Only the holder of the duty may record one, and each window once, so that no window is ever sent with two contents.
+    """
     held = role_assignment(store, DUTY_ROLE, Duty.USAGE)
     if held is None or held.epoch != operation.base_epoch:
         return Refused(result_codes.CONFLICT, Duty.USAGE)
     recorded = usage_record(store)
     if recorded is not None and operation.window <= recorded.window:
         return Refused(result_codes.CONFLICT, f"recorded is {recorded.window}")
-    return Take(((USAGE_KEY, tuple(UsageRecord(operation.window, operation.counts))),))
+    return Apply(((USAGE_KEY, tuple(UsageRecord(operation.window, operation.counts))),))
--- a/silverglade/control/liveness.py
+++ b/silverglade/control/liveness.py
@@ -1,4 +1,4 @@
-"""Heartbeats between cores, and the proof that the primary is still primary (design 5.10, 5.7)."""
+"""Heartbeats between cores, and the proof that the primary still leads (design 5.10, 5.7)."""
 
 from __future__ import annotations
 
@@ -21,30 +21,31 @@
         Heartbeat(
             epoch=core.epoch,
             committed=state.committed_version,
-            able=state.writes.is_able,
+            eligible=state.writes.is_eligible,
             disk=core.settings.disk,
             sealed=state.sealed,
-            blank=state.view is None and state.register.view is None and core.settings.may_form,
+            can_form=state.view is None and state.register.view is None and core.settings.may_form,
             stamp=state.stamp_origin + to_milliseconds(now),
             echo=state.peers.echo(to),
-            age=-1 if core.led_view() and not core.open_view() else serving.proof_age(core, now),
+            age=-1 if core.led_view() and not core.open_view() else serving.proof_age_ms(core, now),
         ),
     )
 
 
 def own_echo(core: CoreContext, echo: int, now: timedelta) -> int:
-    """Return when this process sent the stamp that came back, in ms of its clock; -1 where it did not send it.
+    """Return when this process sent an echoed stamp, in ms of its clock; -1 if it did not send it.
 
-    It may be a stamp of an earlier process, whose clock stood elsewhere, or of another core that had this address before.
+    The stamp may be from an earlier process with a different clock, or from another core that had this address before.
     """
     sent = echo - core.state.stamp_origin
     return sent if 0 <= sent <= to_milliseconds(now) else -1
 
 
 def gets_regular_heartbeats(core: CoreContext, name: str, now: timedelta) -> bool:
-    """Tell whether this core sends heartbeats to that one regularly (design 5.10).
+    """Return whether this core sends regular heartbeats to the core `name` (design 5.10).
 
-    The primary does to all, all do to the primary; one that misses the primary, or seeks a view, does to all.
+    The primary sends them to all cores, and every core sends them to the primary. A core that does not receive the primary's
+    heartbeats, or that seeks a view, sends them to all.
     """
     state, view = core.state, core.state.view
     if view is None or state.seeker is not None:
@@ -57,7 +58,7 @@
     interval, sent = core.settings.tuning["heartbeat"], core.state.heartbeat_sent
     backed, opened = core.backed_view(), core.open_view()
     for name in core.others():
-        # a backup answers its primary at once; the primary tells the rest when its proof is new
+        # a backup answers its primary's heartbeats at once; the primary sends to the other cores when it has a new proof
         sent_anyway = backed is not None and name == backed.primary or opened is not None and name not in opened.backups
         wait = interval * (0.5 + sent_anyway)
         if gets_regular_heartbeats(core, name, now) and now - sent.get(name, -2 * interval) >= wait:
@@ -65,35 +66,35 @@
 
 
 def on_heartbeat(core: CoreContext, sender: str, heartbeat: Heartbeat, now: timedelta) -> None:
-    """Take in the heartbeat of another core; answer it, and draw the proof from it, where that applies."""
+    """Handle a heartbeat of another core: answer it if needed, and update the proof that the primary leads."""
     state = core.state
     heartbeat = heartbeat._replace(echo=own_echo(core, heartbeat.echo, now))
     is_new, was_up = state.peers.disk(sender) != heartbeat.disk, state.peers.is_up(sender, now)
-    state.peers.heard(sender, heartbeat, now)
-    state.met.add(sender)
+    state.peers.record_heartbeat(sender, heartbeat, now)
+    state.known_cores.add(sender)
     if not was_up and state.peers.is_up(sender, now):
         view_change.look_for_better_view(core, now)
     if heartbeat.epoch < core.epoch:
         core.send(sender, ChosenView(state.view))
-    if is_new or wants_answer(core, sender, heartbeat, now):
+    if is_new or needs_reply(core, sender, heartbeat, now):
         send_heartbeat(core, sender, now)
     if state.view is None or heartbeat.epoch != state.view.epoch or heartbeat.echo < 0:
         return
     opened = core.open_view()
     if opened is not None and sender in opened.backups and heartbeat.sealed < heartbeat.epoch:
-        note_proof(core, opened, sender, heartbeat, now)
-    if heartbeat.committed > state.committed_version:  # what any core of this view shows was acknowledged
+        record_proof(core, opened, sender, heartbeat, now)
+    if heartbeat.committed > state.committed_version:  # any core of this view reports only what was acknowledged
         pull_committed_items(core, sender, now)
     elif heartbeat.age >= 0:
-        age = 0 if is_proof_itself(core, state.view, sender, heartbeat) else heartbeat.age
-        state.proven_at = max(state.proven_at or ZERO, milliseconds(heartbeat.echo - age))
+        age = 0 if is_sole_confirming_backup(core, state.view, sender, heartbeat) else heartbeat.age
+        state.proved_at = max(state.proved_at or ZERO, milliseconds(heartbeat.echo - age))
 
 
-def wants_answer(core: CoreContext, sender: str, heartbeat: Heartbeat, now: timedelta) -> bool:
-    """Tell whether a heartbeat is answered at once.
+def needs_reply(core: CoreContext, sender: str, heartbeat: Heartbeat, now: timedelta) -> bool:
+    """Return whether a heartbeat must be answered at once.
 
-    That of the primary is, since the answer is the proof that it leads; so is that of a core which has not heard this process
-    yet. One that expects an answer for another reason gets it, but not too often.
+    A backup always answers the primary, since the answer is the proof that the primary leads. A core that has not yet received a
+    heartbeat of this process always gets an answer too. In other cases answers are rate-limited.
     """
     backed, interval = core.backed_view(), core.settings.tuning["heartbeat"]
     if backed is not None and sender == backed.primary or heartbeat.echo < 0:
@@ -102,19 +103,22 @@
     return bool(asks and now - core.state.heartbeat_sent.get(sender, -interval) >= interval / 2)
 
 
-def note_proof(core: CoreContext, view: View, backup: str, heartbeat: Heartbeat, now: timedelta) -> None:
-    """Note that a backup which has not sealed its epoch has heard the primary; when all have, tell the other cores."""
+def record_proof(core: CoreContext, view: View, backup: str, heartbeat: Heartbeat, now: timedelta) -> None:
+    """Record that a backup which has not sealed its epoch has received the primary's heartbeat.
+
+    Once every backup has confirmed, send the new proof to the other cores.
+    """
     state, interval = core.state, core.settings.tuning["heartbeat"]
     state.proofs[backup] = max(state.proofs.get(backup, ZERO), milliseconds(heartbeat.echo))
     if len(state.proofs) == len(view.backups):
-        state.proven_at = max(state.proven_at or ZERO, min(state.proofs.values()))
+        state.proved_at = max(state.proved_at or ZERO, min(state.proofs.values()))
         for name in core.others():
             if name not in view.backups and now - state.heartbeat_sent.get(name, ZERO) >= interval / 2:
                 send_heartbeat(core, name, now)
 
 
 def pull_committed_items(core: CoreContext, sender: str, now: timedelta) -> None:
-    """Ask the sender for committed items that this core lacks; not at once, since they may be on their way."""
+    """Request missing committed items from the sender, after a short wait since they may already be in transit."""
     state, interval = core.state, core.settings.tuning["heartbeat"]
     late = state.pulled_at is not None and now - state.pulled_at >= interval / 2
     if state.committed_version == INITIAL_VERSION or late:
@@ -123,10 +127,10 @@
     state.pulled_at = state.pulled_at or now
 
 
-def is_proof_itself(core: CoreContext, view: View, sender: str, heartbeat: Heartbeat) -> bool:
-    """Tell whether this core, as the only backup, is itself the proof that the primary led when it sent this heartbeat.
+def is_sole_confirming_backup(core: CoreContext, view: View, sender: str, heartbeat: Heartbeat) -> bool:
+    """Return whether this core, as the only backup, proves by itself that the primary led when it sent this heartbeat.
 
-    Without this backup's seal no later view can have begun.
+    No later view can have started without this backup's seal.
     """
     unsealed = max(heartbeat.sealed, core.state.sealed) < heartbeat.epoch
     return sender == view.primary and view.backups == (core.name,) and core.backed_view() is not None and unsealed
--- a/silverglade/control/replication.py
+++ b/silverglade/control/replication.py
@@ -1,4 +1,4 @@
-"""Replication of changes (design 5.4): one in flight, synced by the primary, then by all backups, then answered."""
+"""Replication of changes (design 5.4): one in flight, synced by the primary, then by all backups, then acknowledged."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from .writes import ChangeWrittenByBackup, ChangeWrittenByPrimary, Outgoing
 
 MAX_QUEUED = 256
-"""Operations that wait at the primary; beyond it they are dropped, and their clients ask again."""
+"""Maximum number of operations queued at the primary; further ones are dropped, and their clients retry."""
 
 NONCE_BITS = 48
 
@@ -28,8 +28,8 @@
         core.send(daemon, OperationResult(number, result.encode()))
 
 
-def abandon(core: CoreContext) -> None:
-    """Answer all pending and queued operations by "unknown": a later view may have taken them or not."""
+def abandon_operations(core: CoreContext) -> None:
+    """Answer all pending and queued operations with "unknown": a later view may or may not include them."""
     state = core.state
     if state.pending:
         for pending_answer in state.pending.answers:
@@ -43,29 +43,29 @@
 def on_operation(core: CoreContext, sender: str, message: Operation) -> None:
     """Queue a client's operation.
 
-    One that is sent again while it waits counts once. With a full queue there is no answer, so that the client asks again.
+    A repeat of one that is queued or in flight is ignored. If the queue is full there is no answer, so the client retries.
     """
     state, client = core.state, (sender, message.number)
-    if core.led_view() is None or not state.writes.is_able:
+    if core.led_view() is None or not state.writes.is_eligible:
         redirect(core, sender, message.number)
     elif len(state.queue) < MAX_QUEUED and not is_waiting(core, client):
         state.queue.append(QueuedOperation(client, message.change, decode_operation(message.operation), message.digest))
 
 
 def redirect(core: CoreContext, sender: str, number: int) -> None:
-    """Name the primary to a client, since this core takes no operations."""
+    """Redirect a client to the primary, since this core does not accept operations."""
     primary = core.state.view.primary if core.state.view else ""
     answer(core, (sender, number), Redirected(primary))
 
 
 def on_fence(core: CoreContext, sender: str, message: Fence) -> None:
-    """Tell a client the version on which its operation would rest.
+    """Send a client the fencing token for its operation.
 
-    It is told from memory, without asking the backups: a version that is too old, or that will not last, makes the operation
-    stale, and none that is still to come can be told.
+    The token is read from memory, without confirmation by the backups. That is safe: a token that is too old, or whose change does
+    not survive, only makes the operation stale, and a token of a later version cannot be returned.
     """
     state, view = core.state, core.open_view()
-    if core.led_view() is None or not state.writes.is_able:
+    if core.led_view() is None or not state.writes.is_eligible:
         redirect(core, sender, message.number)
     elif view is not None and state.sealed < view.epoch:
         operation = decode_operation(message.operation)
@@ -74,35 +74,36 @@
 
 
 def is_waiting(core: CoreContext, client: Client) -> bool:
-    """Tell whether the operation of this client is queued or in flight."""
+    """Return whether the operation of this client is queued or in flight."""
     state = core.state
     in_flight = state.pending is not None and any(pending.client == client for pending in state.pending.answers)
     return in_flight or any(queued.client == client for queued in state.queue)
 
 
-def on_roles_wanted(core: CoreContext, event: AssignRoles | DropRoles, now: timedelta) -> None:
-    """Queue what the role assigner wants."""
+def on_role_operations(core: CoreContext, event: AssignRoles | DropRoles, now: timedelta) -> None:
+    """Queue an operation requested by the role assigner."""
     match event:
         case AssignRoles():
             assignments = tuple([AssignRole(*assignment) for assignment in event.assignments])
-            queue_own(core, operations.AssignRoles(assignments), now)
+            queue_internal(core, operations.AssignRoles(assignments), now)
         case DropRoles():
-            queue_own(core, operations.DropRoles(event.kind, event.names), now)
+            queue_internal(core, operations.DropRoles(event.kind, event.names), now)
 
 
-def queue_own(core: CoreContext, operation: operations.AssignRoles | operations.DropRoles, now: timedelta) -> None:
-    """Queue an operation of this primary itself; it is dropped while others wait, since the role assigner decides again.
+def queue_internal(core: CoreContext, operation: operations.AssignRoles | operations.DropRoles, now: timedelta) -> None:
+    """Queue an operation issued by this primary itself.
 
-    It is taken only in touch with the backups: a primary that is cut off knows too little of which daemons live.
+    It is dropped while other operations are queued or in flight, since the role assigner will decide again. It is accepted only
+    if the backups confirmed recently that this core leads: a partitioned primary knows too little about which daemons are live.
     """
     state, takeover = core.state, core.settings.tuning["takeover"]
-    in_touch = state.proven_at is not None and now - state.proven_at <= takeover
-    if core.open_view() and in_touch and not state.queue and not state.pending:
+    is_leadership_recent = state.proved_at is not None and now - state.proved_at <= takeover
+    if core.open_view() and is_leadership_recent and not state.queue and not state.pending:
         state.queue.append(QueuedOperation(None, "", operation, ""))
 
 
 def begin_next(core: CoreContext, now: timedelta) -> None:
-    """Begin the next change if operations wait, none is in flight, and this primary's view is open (design 5.4)."""
+    """Start the next change if operations are queued, none is in flight, and this primary's view is open (design 5.4)."""
     state = core.state
     if not state.queue or state.pending:
         return
@@ -114,14 +115,15 @@
 
 
 def begin(core: CoreContext, view: View, now: timedelta) -> None:
-    """Settle the operations that wait, each on the store that the one before left, as one change.
+    """Settle the queued operations, in order, as one change.
 
-    So one round with the backups serves many clients. The change is written to the primary's own disk first. Without items the
-    backups are asked at once to confirm the view, since reads and refusals rest on it too.
+    Each operation is evaluated on the store that the previous one left, so one round trip to the backups serves many clients. The
+    change is written to the primary's own disk first. If there are no items, the backups are asked at once to confirm the view,
+    since reads and refusals depend on it too.
     """
     state = core.state
     previous = newest_version(state.store)
-    answers, items, gone = settle_queue(core, view, now)
+    answers, items, pruned = settle_queue(core, view, now)
     if not answers:
         return
     state.pending = pending = PendingChange(
@@ -134,17 +136,17 @@
         sent=now,
     )
     if items:
-        core.write(store.changed(items, gone), ChangeWrittenByPrimary(pending.nonce), now)
+        core.write(store.change_operations(items, pruned), ChangeWrittenByPrimary(pending.nonce), now)
     else:
         replicate(core, view, pending)
 
 
 def settle_queue(core: CoreContext, view: View, now: timedelta) -> tuple[tuple[Answer, ...], Items, set[str]]:
-    """Take the operations from the queue that go together, and change the store by them.
+    """Remove the next group of operations from the queue and apply them to the store.
 
-    A group ends with a configuration, since two may not fit one frame.
+    A group ends with a configuration change, since two configurations may not fit in one frame.
 
-    :returns: the answers, the items of the changes, the keys that were pruned.
+    :returns: the answers, the items of the change, the keys that were pruned.
     """
     state = core.state
     answers: list[Answer] = []
@@ -153,19 +155,19 @@
     while state.queue:
         operation = state.queue.pop(0)
         result, new_items = settle(core, view, operation, now)
-        if isinstance(result, Stale):  # says nothing of the store, so the backups need not confirm it
+        if isinstance(result, Stale):  # asserts nothing about the store, so the backups need not confirm it
             answer(core, operation.client, result)
             continue
         answers.append(Answer(operation.client, result))
         items.extend(new_items)
-        pruned.update(store.take(state.store, new_items))
+        pruned.update(store.apply(state.store, new_items))
         if any(key == CONFIGURATION_KEY for key, _, _ in new_items):
             break
     return tuple(answers), tuple(items), pruned - state.store.keys()
 
 
 def settle(core: CoreContext, view: View, operation: QueuedOperation, now: timedelta) -> tuple[Result, Items]:
-    """Judge one operation on the store as it stands; return its result and the items of its change."""
+    """Evaluate one operation on the current store; return its result and the items of its change."""
     state = core.state
     previous = newest_version(state.store)
     return decisions.settle(
@@ -180,20 +182,20 @@
 
 
 def next_version(view: View, previous: Version) -> Version:
-    """Return the version of the change that follows `previous` in this view; the numbers of a view begin at 1."""
+    """Return the version of the change that follows `previous` in this view; the numbers of each view start at 1."""
     epoch, number = previous
     return (view.epoch, number + 1 if epoch == view.epoch else 1)
 
 
-def note_change_written(core: CoreContext, succeeded: bool) -> None:
-    """Note a failed write of a change: the store on disk is incomplete until it is written whole."""
+def record_change_write(core: CoreContext, succeeded: bool) -> None:
+    """Record the result of writing a change: after a failure the store on disk is incomplete until it is rewritten."""
     if not succeeded and core.state.store_on_disk is StoreOnDisk.WHOLE:
         core.state.store_on_disk = StoreOnDisk.TORN
 
 
 def on_written_by_primary(core: CoreContext, written: ChangeWrittenByPrimary, succeeded: bool) -> None:
     """Send the change to the backups once the primary's own disk has synced it."""
-    note_change_written(core, succeeded)
+    record_change_write(core, succeeded)
     view, pending = core.state.view, core.state.pending
     if view is not None and pending is not None and pending.nonce == written.nonce:
         pending.synced_here = succeeded
@@ -210,7 +212,7 @@
 
 
 def replicate_again(core: CoreContext, view: View, now: timedelta) -> None:
-    """Send the change in flight again when a backup's answer is late; only what the primary itself has synced."""
+    """Resend the change in flight if a backup's answer is late; only once the primary itself has synced it."""
     pending = core.state.pending
     if pending and pending.synced_here and now - pending.sent >= core.settings.tuning["takeover"] / 2:
         pending.sent = now
@@ -218,31 +220,31 @@
 
 
 def on_replicate(core: CoreContext, sender: str, change: Replicate, now: timedelta) -> None:
-    """Take a change as a backup, or confirm that the view still holds where it has no items."""
+    """As a backup, apply and sync a change; if it has no items, only confirm that the view still holds."""
     state, view = core.state, core.backed_view()
     if view is None or change.epoch != view.epoch or sender != view.primary:
         return
     if state.served != change.epoch or state.sealed >= change.epoch:
         return
     if newest_version(state.store) not in (change.previous, change.version):
-        return  # the primary will copy afresh on its next opening
+        return  # a gap: the primary sends a whole snapshot when it next opens a view
     confirmation = Outgoing(sender, Replicated(change.epoch, change.nonce))
     if not change.items:
         core.send_outgoing(confirmation)
         return
-    gone = store.take(state.store, change.items)
-    core.write(store.changed(change.items, gone), ChangeWrittenByBackup(confirmation), now)
+    pruned = store.apply(state.store, change.items)
+    core.write(store.change_operations(change.items, pruned), ChangeWrittenByBackup(confirmation), now)
 
 
 def on_written_by_backup(core: CoreContext, written: ChangeWrittenByBackup, succeeded: bool) -> None:
     """Confirm a change to the primary once this backup's disk has synced it."""
-    note_change_written(core, succeeded)
+    record_change_write(core, succeeded)
     if succeeded:
         core.send_outgoing(written.outgoing)
 
 
 def on_replicated(core: CoreContext, sender: str, done: Replicated, now: timedelta) -> None:
-    """Note that a backup has synced the change in flight, and commit it when all members have."""
+    """Record that a backup has synced the change in flight, and commit it once all members have."""
     pending, led = core.state.pending, core.led_view()
     if pending is None or led is None or done.epoch != led.epoch or done.nonce != pending.nonce:
         return
@@ -253,7 +255,7 @@
 
 
 def commit(core: CoreContext, view: View, pending: PendingChange, now: timedelta) -> None:
-    """Commit the change that all members have synced: answer its clients, and tell the other cores."""
+    """Commit a change that all members have synced: answer its clients and notify the other cores."""
     state = core.state
     state.pending = None
     if pending.items:
@@ -263,4 +265,4 @@
             core.send(name, CommittedItems(view.epoch, pending.previous, state.committed_version, items))
     for pending_answer in pending.answers:
         answer(core, pending_answer.client, pending_answer.result)
-    serving.answer_held(core, now)
+    serving.answer_held_requests(core, now)
--- a/silverglade/control/seek.py
+++ b/silverglade/control/seek.py
@@ -1,7 +1,7 @@
-"""Seeking a new view (design 5.4): seal, copy to the recruits, then the register's round.
+"""Proposing a new view (design 5.4): seal the epoch, copy the store to the recruits, then run a round of the register.
 
-The seeker is a state machine of its own: it is advanced at each timer event and given each answer, and returns typed actions
-for the core to carry out. It never writes or sends itself.
+The seeker is a state machine of its own. The core advances it at each timer event and passes it each answer; it returns typed
+actions, which the core runs. It never writes or sends by itself.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 
 from ..runtime.effects import milliseconds
 from .messages import Accept, Accepted, Prepare, Promise, Rejected
-from .register import Behind, Chosen, Lost, Round
+from .register import Chosen, Preempted, Round, Superseded
 from .view import NO_BALLOT, Ballot, View, disks
 
-PAUSE = milliseconds(50)
-"""The least wait after an attempt that failed."""
+MIN_RETRY_DELAY = milliseconds(50)
+"""Minimum delay before the next attempt after a failed one."""
 
-LONGEST_COPY = 8
-"""For so many times `takeover` an attempt waits for recruits that are heard to sync their copy."""
+COPY_TIMEOUT_TAKEOVERS = 8
+"""How long an attempt waits for recruits that are up to sync their copy of the store, in multiples of the setting `takeover`."""
 
-BALLOT_SPREAD_BITS = 20
-"""Ballots rise by a random step: two processes of a core, of which the first left nothing on disk, must not use the same ballot,
-or a late acceptance of the first would count for the second."""
+BALLOT_RANDOM_BITS = 20
+"""Ballot numbers increase by a random step of this many bits. Two successive processes of a core, of which the first left nothing on
+disk, must not use the same ballot, or a late acceptance for the first would count for the second."""
 
 
 class Goal(NamedTuple):
-    """The view sought after `base`; its recruits get a copy of the store first."""
+    """The view to propose as the successor of `base`. Its recruits get a copy of the store first."""
 
     base: View | None
     view: View
@@ -38,63 +38,63 @@
 
 
 class Step(Enum):
-    """How far an attempt has come."""
+    """The stage of an attempt."""
 
-    REST = "rest"
+    IDLE = "rest"
     SEAL = "seal"
     COPY = "copy"
     ROUND = "round"
 
 
 class Seal(NamedTuple):
-    """Action: seal the epoch on disk, then confirm it to the seeker by this nonce."""
+    """Action: seal the epoch on disk, then call `Seeker.seal_written` with this nonce."""
 
     goal: Goal
     nonce: int
 
 
-class CopyTo(NamedTuple):
-    """Action: send the whole store to these recruits."""
+class SendSnapshot(NamedTuple):
+    """Action: send a snapshot of the store to these recruits."""
 
     recruits: tuple[str, ...]
     epoch: int
     nonce: int
 
 
-class Ask(NamedTuple):
+class AskWitnesses(NamedTuple):
     """Action: send this message to these witnesses."""
 
     witnesses: tuple[str, ...]
     message: Prepare | Accept
 
 
-class Learn(NamedTuple):
-    """Action: take this view, which is chosen."""
+class AdoptView(NamedTuple):
+    """Action: adopt this view, which is known to be chosen."""
 
     view: View
 
 
-Action = Seal | CopyTo | Ask | Learn
+Action = Seal | SendSnapshot | AskWitnesses | AdoptView
 
 
 @dataclass(slots=True)
 class Seeker:
     """One member's attempts to have a new view chosen.
 
-    `goal` is set in every step but REST, `round` in ROUND once the witnesses were asked.
+    `goal` is set in every step but IDLE; `round` is set in ROUND once the prepare request was sent.
 
-    :ivar next_attempt_at: when the next attempt may begin.
-    :ivar begun: when this attempt began, or its round.
-    :ivar nonce: of the seal and the copies of this attempt.
+    :ivar next_attempt_at: the earliest time of the next attempt.
+    :ivar started_at: when this attempt started, or its round once that has started.
+    :ivar nonce: identifies the seal and the copies of this attempt.
     :ivar sealed: whether the seal with that nonce is on disk.
     :ivar copied_at: when the store was last sent to the recruits.
     :ivar highest: the highest ballot seen.
     """
 
     next_attempt_at: timedelta
-    step: Step = Step.REST
+    step: Step = Step.IDLE
     goal: Goal | None = None
-    begun: timedelta | None = None
+    started_at: timedelta | None = None
     nonce: int = 0
     sealed: bool = False
     copied_at: timedelta | None = None
@@ -102,12 +102,12 @@
     highest: Ballot = NO_BALLOT
 
     def may_begin(self, now: timedelta) -> bool:
-        """Tell whether a new attempt may begin."""
-        return self.step is Step.REST and now >= self.next_attempt_at
+        """Return whether a new attempt may start."""
+        return self.step is Step.IDLE and now >= self.next_attempt_at
 
     def begin(self, goal: Goal, now: timedelta, rng: random.Random) -> list[Action]:
-        """Begin an attempt; return what is to be done first."""
-        self.goal, self.begun, self.nonce, self.round, self.sealed = goal, now, rng.getrandbits(48), None, False
+        """Start an attempt; return its first actions."""
+        self.goal, self.started_at, self.nonce, self.round, self.sealed = goal, now, rng.getrandbits(48), None, False
         if not goal.recruits:
             self.step = Step.ROUND
             return []
@@ -115,11 +115,11 @@
         return [Seal(goal, self.nonce)]
 
     def awaits(self, epoch: int, nonce: int) -> bool:
-        """Tell whether a confirmation of a synced copy belongs to the attempt under way; late ones are dropped."""
+        """Return whether a confirmation of a synced copy belongs to the current attempt; late ones are dropped."""
         return self.goal is not None and (epoch, nonce) == (self.goal.view.epoch, self.nonce)
 
     def seal_written(self, nonce: int) -> None:
-        """Note that a seal is on disk; only that of the attempt under way counts."""
+        """Record that a seal is on disk; only the seal of the current attempt counts."""
         self.sealed = self.sealed or nonce == self.nonce
 
     def advance(
@@ -132,12 +132,12 @@
         tuning: Mapping[str, Any],
         rng: random.Random,
     ) -> list[Action]:
-        """Go on with the attempt as far as possible; end it when it has taken too long.
+        """Continue the attempt as far as possible, and end it when it times out.
 
-        :param recruits_synced: (core, epoch, nonce) of each copy that was synced, and on which disk.
-        :param is_up: whether a core is heard.
+        :param recruits_synced: maps (core, epoch, nonce) of each synced copy to the disk that holds it.
+        :param is_up: returns whether a core is up.
         """
-        if self.goal is None or self.begun is None:
+        if self.goal is None or self.started_at is None:
             return []
         actions: list[Action] = []
         if self.step is Step.SEAL and self.sealed:
@@ -145,33 +145,37 @@
         if self.step is Step.COPY:
             actions += self.copy(self.goal, now, recruits_synced, tuning)
         if self.step is Step.ROUND and self.round is None:
-            number = self.highest.number + 1 + rng.getrandbits(BALLOT_SPREAD_BITS)
-            self.begun = now
+            number = self.highest.number + 1 + rng.getrandbits(BALLOT_RANDOM_BITS)
+            self.started_at = now
             self.round = Round(ballot=Ballot(number, own_name), base=self.goal.base, want=self.goal.view)
             actions.append(self.ask(self.goal, self.round.begin()))
-        if self.step is Step.COPY and now - self.begun <= LONGEST_COPY * tuning["takeover"] and all(map(is_up, self.goal.recruits)):
-            return actions  # a large copy on a slow link: begun anew it would come no sooner
-        if self.step is not Step.REST and now - self.begun > tuning["takeover"]:
+        if (
+            self.step is Step.COPY
+            and now - self.started_at <= COPY_TIMEOUT_TAKEOVERS * tuning["takeover"]
+            and all(map(is_up, self.goal.recruits))
+        ):
+            return actions  # a large copy on a slow link would not arrive sooner if it were restarted
+        if self.step is not Step.IDLE and now - self.started_at > tuning["takeover"]:
             self.retry_later(now, tuning, rng)
         return actions
 
     def copy(
         self, goal: Goal, now: timedelta, recruits_synced: Mapping[tuple[str, int, int], str], tuning: Mapping[str, Any]
     ) -> list[Action]:
-        """Copy the store, again from time to time, to the recruits that have not synced it; when all have, go on to the round."""
+        """Send the store, repeatedly, to the recruits that have not synced it; once all have, proceed to the round."""
         epoch, wanted_disks = goal.view.epoch, disks(goal.view)
         missing = tuple(name for name in goal.recruits if recruits_synced.get((name, epoch, self.nonce)) != wanted_disks[name])
         if not missing:
             self.step = Step.ROUND
         elif self.copied_at is None or now - self.copied_at >= tuning["takeover"] / 2:
             self.copied_at = now
-            return [CopyTo(missing, epoch, self.nonce)]
+            return [SendSnapshot(missing, epoch, self.nonce)]
         return []
 
     def answer(
         self, sender: str, message: Promise | Accepted | Rejected, now: timedelta, tuning: Mapping[str, Any], rng: random.Random
     ) -> list[Action]:
-        """Take in a witness's answer to the round; return what follows."""
+        """Handle a witness's answer to the round; return the next actions."""
         if self.step is not Step.ROUND or self.round is None or self.goal is None:
             return []
         if isinstance(message, Rejected):
@@ -179,18 +183,18 @@
         match self.round.answer(sender, message):
             case Accept() as accept:
                 return [self.ask(self.goal, accept)]
-            case Chosen(view) | Behind(view):
-                self.step, self.next_attempt_at = Step.REST, now + tuning["settle"]
-                return [Learn(view)]
-            case Lost():
+            case Chosen(view) | Superseded(view):
+                self.step, self.next_attempt_at = Step.IDLE, now + tuning["settle"]
+                return [AdoptView(view)]
+            case Preempted():
                 self.retry_later(now, tuning, rng)
         return []
 
     def retry_later(self, now: timedelta, tuning: Mapping[str, Any], rng: random.Random) -> None:
-        """End the attempt and wait for a random time, so that two seekers do not overtake each other for ever."""
-        self.step, self.next_attempt_at = Step.REST, now + tuning["settle"] * rng.random() + PAUSE
+        """End the attempt and back off for a random time, so that two seekers do not pre-empt each other forever."""
+        self.step, self.next_attempt_at = Step.IDLE, now + tuning["settle"] * rng.random() + MIN_RETRY_DELAY
 
     @staticmethod
-    def ask(goal: Goal, message: Prepare | Accept) -> Ask:
-        """Return the action that asks the witnesses who decide: those of the base, or of the view itself where there is none."""
-        return Ask(tuple(sorted(disks(goal.base or goal.view))), message)
+    def ask(goal: Goal, message: Prepare | Accept) -> AskWitnesses:
+        """Return the action that sends a request to the voters: the witnesses of the base, or of the view itself if there is no base."""
+        return AskWitnesses(tuple(sorted(disks(goal.base or goal.view))), message)
--- a/tests/duties/test_usage_record.py
+++ b/tests/duties/test_usage_record.py
@@ -3,7 +3,7 @@
 import pytest
 
 from silverglade.control import decisions
-from silverglade.control.judgements import Take
+from silverglade.control.judgements import Apply
 from silverglade.control.operation_results import Refused
 from silverglade.control.operations import RecordUsage, decode_operation
 from silverglade.control.replicated_state import items_since, usage_record
@@ -26,8 +26,8 @@
 
 
 def test_the_holder_records_a_window():
-    assert decided(store()) == Take((("usage", (7, COUNTS)),))
-    assert decided(store(recorded=6)) == Take((("usage", (7, COUNTS)),))
+    assert decided(store()) == Apply((("usage", (7, COUNTS)),))
+    assert decided(store(recorded=6)) == Apply((("usage", (7, COUNTS)),))
 
 
 # Guards against: a former holder and its successor report one window with different counts.
@@ -50,7 +50,7 @@
         ("False", "False"),
         "silverglade.control.decisions.decide_usage",
     )
-    assert isinstance(decided(store(epoch=5)), Take) and isinstance(decided(store(recorded=7)), Take)
+    assert isinstance(decided(store(epoch=5)), Apply) and isinstance(decided(store(recorded=7)), Apply)
 
 
 def test_usage_records_are_sent_to_cores_only():
--- a/tests/membership/test_growth.py
+++ b/tests/membership/test_growth.py
@@ -83,7 +83,7 @@
 
 def test_backups_prune_outcomes_like_the_primary(monkeypatch):
     monkeypatch.setattr(outcomes, "MAX_OUTCOMES", 256)
-    monkeypatch.setattr(outcomes, "FORGOTTEN_AT_ONCE", 64)
+    monkeypatch.setattr(outcomes, "EVICTION_BATCH", 64)
     scene = Scene(town="hamlet")
     scene.settle()
     for i in range(296):
@@ -93,7 +93,7 @@
     stores = [scene.w.nodes[core].disk.data["book"] for core in (view[1], *view[2])]
     outcome_keys = [sorted(key for key in store if key.startswith("change/")) for store in stores]
     assert all(keys == outcome_keys[0] for keys in outcome_keys) and 256 - 64 <= len(outcome_keys[0]) <= 256
-    assert all(store[outcomes.HORIZON] == stores[0][outcomes.HORIZON] for store in stores)
+    assert all(store[outcomes.HORIZON_KEY] == stores[0][outcomes.HORIZON_KEY] for store in stores)
 
 
 def test_a_forgotten_replica_may_return_with_its_incarnation_and_a_clock_jump_forgets_none():
--- a/tests/membership/test_zone_relay_partitions.py
+++ b/tests/membership/test_zone_relay_partitions.py
@@ -147,7 +147,7 @@
     for _ in range(100):
         scene.w.run(0.1)
         relay_proved_at = relay.store_proved_at
-        assert relay_proved_at <= scene.w.nodes[core].control.proven_at + milliseconds(
+        assert relay_proved_at <= scene.w.nodes[core].control.proved_at + milliseconds(
             1
         )  # a core's age is in whole milliseconds, not rounded up
         assert all(node.store_proved_at <= relay_proved_at for node in zone_members)
