--- a/silverglade/routing/__init__.py
+++ b/silverglade/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Forwarded requests: routes, replicas and attempts (design 15, 16)."""
+"""Forwarding of requests: routes, replica selection, attempts and retries (design 15, 16)."""
--- a/silverglade/routing/attempt_outcomes.py
+++ b/silverglade/routing/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""What may become of an attempt (design 15.3), as the request forwarder reports it (server/request_forwarding.py)."""
+"""Outcomes of an attempt (design 15.3), as reported by the request forwarder (server/request_forwarding.py)."""
 
 from __future__ import annotations
 
@@ -6,38 +6,38 @@
 
 
 class AttemptOutcome(StrEnum):
-    """What happened to an attempt; reports hold the plain value."""
+    """Outcome of an attempt; reports carry the plain string value."""
 
     BEGAN = "began"
-    """The head of a streamed response came."""
+    """The head of a streamed response arrived."""
     FIRST = "first"
-    """The first token came."""
+    """The first token arrived."""
     DONE = "done"
-    """The response was handed on to its end."""
+    """The complete response was forwarded."""
     UNSENT = "unsent"
-    """Not one byte of the request was sent. Details: why."""
+    """No byte of the request was sent. Details: the reason."""
     NOT_RUN = "not-run"
-    """The replica says that it did not run the request. Details: its status, and after how many seconds to come back."""
+    """The replica reported that it did not run the request. Details: its status, and the seconds after which to retry."""
     FAILED = "failed"
-    """The replica answered with an error. Details: its status."""
+    """The replica responded with an error. Details: its status."""
     LOST = "lost"
-    """The connection broke before a response; the request may have run. Details: why."""
+    """The connection broke before a response; the request may have run. Details: the reason."""
     CUT = "cut"
-    """The response broke off. Details: the id of its last event."""
+    """The response ended prematurely. Details: the id of its last event."""
     SILENT = "silent"
-    """The replica says nothing on any connection for longer than the attempt allows. Details: the id of its last event."""
+    """The replica sent nothing on any connection for longer than the attempt allows. Details: the id of the last event."""
     GONE = "gone"
-    """The client has closed its connection."""
+    """The client closed its connection."""
 
 
 class UnsentReason(StrEnum):
-    """Why nothing was sent, where it matters which."""
+    """Reasons for `AttemptOutcome.UNSENT` that the router distinguishes."""
 
     POOL_FULL = "pool-full"
-    """This daemon's own limit of connections to the replica."""
+    """This daemon's own limit of connections to the replica was reached."""
     CONNECT_TIMEOUT = "connect-timeout"
-    """The replica took no connection in time."""
+    """The connection to the replica was not established in time."""
 
 
 READ_ERROR = "ReadError"
-"""Detail of `AttemptOutcome.LOST`: the connection broke while the response was awaited; the machine may be down."""
+"""Detail of `AttemptOutcome.LOST`: the connection broke while waiting for the response; the machine may be down."""
--- a/silverglade/routing/attempt_progress.py
+++ b/silverglade/routing/attempt_progress.py
@@ -1,4 +1,4 @@
-"""What follows from the outcome of an attempt (design 15.3)."""
+"""Handling of attempt outcomes (design 15.3)."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
 Details = tuple[Any, ...]
 Handler = Callable[[Request, ReplicaState | None, AttemptProgressed, timedelta], None]
 
-REFUSAL_HOLD_OFF = milliseconds(200)
-"""So long others go first after a replica has refused a request."""
+REFUSAL_BACKOFF = milliseconds(200)
+"""For how long other replicas are preferred after a replica has refused a request."""
 
-OUTCOMES_OF_OLD_ATTEMPTS = frozenset({AttemptOutcome.DONE, AttemptOutcome.GONE})
-"""They count also where the attempt was given up for another."""
-UNFINISHED_OUTCOMES = frozenset({AttemptOutcome.BEGAN, AttemptOutcome.FIRST, AttemptOutcome.SILENT})
-"""The attempt goes on after them."""
+OUTCOMES_OF_SUPERSEDED_ATTEMPTS = frozenset({AttemptOutcome.DONE, AttemptOutcome.GONE})
+"""Outcomes that are also handled for an attempt that a later one has superseded."""
+ONGOING_OUTCOMES = frozenset({AttemptOutcome.BEGAN, AttemptOutcome.FIRST, AttemptOutcome.SILENT})
+"""Outcomes after which the attempt stays open."""
 ANSWERED_OUTCOMES = frozenset(
     {AttemptOutcome.BEGAN, AttemptOutcome.FIRST, AttemptOutcome.DONE, AttemptOutcome.NOT_RUN, AttemptOutcome.FAILED}
 )
-"""The replica was reached."""
+"""Outcomes that show that the replica was reached."""
 
 
 class AttemptProgress:
     """Handles reports of the request forwarder.
 
-    :ivar counts_usage: whether each caller's request that begins to run is told to the usage counter (design 18.4).
+    :ivar counts_usage: whether the usage counter is notified when a caller's request starts to run (design 18.4).
     """
 
     __slots__ = ("attempts", "context", "counts_usage", "feedback", "handlers")
@@ -61,12 +61,12 @@
         }
 
     def on_progress(self, request: Request, progress: AttemptProgressed, now: timedelta) -> None:
-        """Handle one report."""
+        """Handle one report of the request forwarder."""
         outcome = progress.outcome
-        if progress.attempt != request.attempt_number and outcome not in OUTCOMES_OF_OLD_ATTEMPTS:
-            return  # an attempt that was given up for another
+        if progress.attempt != request.attempt_number and outcome not in OUTCOMES_OF_SUPERSEDED_ATTEMPTS:
+            return  # a superseded attempt
         replica = self.context.replica_of(request, progress.attempt)
-        if outcome not in UNFINISHED_OUTCOMES:
+        if outcome not in ONGOING_OUTCOMES:
             self.context.close_attempt(request, progress.attempt)
         if replica and outcome in ANSWERED_OUTCOMES:
             self.context.reachability.on_answer(now, replica.region)
@@ -75,8 +75,8 @@
             handler(request, replica, progress, now)
 
     def on_response_began(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
-        """The head of a response, or its first token."""
-        message = self.context.placement.on_read(request)
+        """Handle the head of a response, or its first token."""
+        message = self.context.placement.end_prefill(request)
         if message is not None:
             self.context.effects.append(message)
         request.response_begun = request.response_begun or request.is_streaming
@@ -87,7 +87,7 @@
             self.feedback.on_served(replica, now)
 
     def on_done(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
-        """The response has ended."""
+        """Handle a complete response."""
         if replica:
             self.feedback.on_served(replica, now)
         seconds = (now - request.sent_at).total_seconds()
@@ -97,7 +97,7 @@
         self.context.finish(request)
 
     def on_unsent(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
-        """Nothing of the request arrived: the next replica gets it."""
+        """Handle an attempt of which nothing was sent: send the request to the next replica."""
         request.counted_attempts -= 1
         request.arrivals -= 1
         reason = progress.details[0] if progress.details else ""
@@ -111,7 +111,7 @@
         self.attempts.send_next(request, now)
 
     def on_not_run(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
-        """The replica did not run the request, by its own word: the next one gets it while attempts are left."""
+        """Handle a replica's report that it did not run the request: send it to the next replica while attempts are left."""
         if replica:
             self.note_refusal(request, replica, progress.details[0], now)
         details = progress.details
@@ -124,22 +124,22 @@
         self.attempts.send_next(request, now)
 
     def note_refusal(self, request: Request, replica: ReplicaState, status: int, now: timedelta) -> None:
-        """Note what a refusal says of the replica."""
-        if status != HTTPStatus.MISDIRECTED_REQUEST:  # full: until the next health check or response
+        """Update the replica's state after a refusal."""
+        if status != HTTPStatus.MISDIRECTED_REQUEST:  # full, until the next health check or response shows otherwise
             replica.active = max(replica.active, replica.slots)
-            replica.hold_off(now + REFUSAL_HOLD_OFF)
+            replica.extend_backoff(now + REFUSAL_BACKOFF)
             return
         request.counted_attempts -= 1
-        if request.facts.get("version"):  # another incarnation, or other weights: both say so alike
-            replica.hold_off(now + REFUSAL_HOLD_OFF)
+        if request.facts.get("version"):  # another incarnation or other weights: the response does not tell which
+            replica.extend_backoff(now + REFUSAL_BACKOFF)
             return
-        # another incarnation has the address: the request never came to a replica of ours; the retry budget pays all the same
+        # another incarnation has the address: the request reached no known replica, but is still charged to the retry budget
         replica.gone_since = now
         self.feedback.accuse(replica, now)
         self.context.effects.append(ForgetReplica(replica.id))
 
     def on_failed(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
-        """The replica answered with an error."""
+        """Handle an error response: retry if possible, else pass it on to the client."""
         is_server_error = progress.details[0] >= HTTPStatus.INTERNAL_SERVER_ERROR
         if replica and is_server_error:
             self.feedback.accuse(replica, now)
@@ -148,29 +148,29 @@
             request.last_failure = AttemptOutcome.LOST
             self.attempts.send_next(request, now)
             return
-        if request.response_begun:  # the rest of a stream was refused: it ends as broken
+        if request.response_begun:  # the continuation of a stream was refused: the stream is broken off
             self.attempts.give_up(request, RESPONSE_LOST)
             return
         self.context.effects.append(PassResponse(request.id, progress.attempt))
         self.context.finish(request)
 
     def on_lost(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
-        """The connection broke before a response."""
+        """Handle a connection that broke before a response."""
         if replica:
-            self.feedback.on_doubt(replica, now, may_be_down=progress.details[:1] == (READ_ERROR,))
+            self.feedback.on_suspected(replica, now, may_be_down=progress.details[:1] == (READ_ERROR,))
             self.feedback.accuse(replica, now)
         self.after_loss(request, replica, progress, now)
 
     def on_cut(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
-        """The response broke off."""
+        """Handle a response that ended prematurely."""
         if replica:
-            self.feedback.on_doubt(replica, now, may_be_down=False)
+            self.feedback.on_suspected(replica, now, may_be_down=False)
             self.feedback.accuse(replica, now)
         self.note_last_event(request, progress.details)
         self.after_loss(request, replica, progress, now)
 
     def after_loss(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
-        """Send a request on that may have run, if it is repeatable."""
+        """Retry a request that may have run if it is repeatable; else report it as lost."""
         request.last_failure = AttemptOutcome(progress.outcome)
         if request.is_repeatable:
             self.attempts.send_next(request, now)
@@ -185,19 +185,19 @@
         self.attempts.give_up(request, RESPONSE_LOST)
 
     def on_silent(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
-        """The replica says nothing: what is repeatable goes to another one, if there is one; all else is waited for."""
+        """Handle a silent replica: retry a repeatable request elsewhere if possible; otherwise keep waiting."""
         self.note_last_event(request, progress.details)
         if replica:
-            self.feedback.on_doubt(replica, now, may_be_down=True)
+            self.feedback.on_suspected(replica, now, may_be_down=True)
         if request.is_repeatable:
             self.attempts.try_next(request, now)
 
     def on_client_gone(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
-        """Nobody waits for the response any more."""
+        """Drop a request whose client has disconnected."""
         self.context.finish(request)
 
     @staticmethod
     def note_last_event(request: Request, details: Details) -> None:
-        """Note the last event that was passed on, if there was any."""
+        """Record the id of the last forwarded event, if there was any."""
         if details and details[0] is not None:
             request.last_event_id = details[0]
--- a/silverglade/routing/attempts.py
+++ b/silverglade/routing/attempts.py
@@ -1,7 +1,7 @@
-"""Attempts of the router (design 15.3): which replica gets a request next, and what its client is told when none does.
+"""Attempts of the router (design 15.3): the choice of the next replica for a request, and the answer if there is none.
 
-At most once: each attempt of a client has an id of its own, so this daemon decides alone. A request that may not be repeated
-goes to a second replica only if the first said that it did not run it, or was sent not one byte.
+At-most-once execution: each attempt of a client has an id of its own, so this daemon decides alone. A request that must not be
+repeated is sent to a second replica only if the first one reported that it did not run it, or was sent no byte of it.
 """
 
 from __future__ import annotations
@@ -19,35 +19,35 @@
 from .callers import effective_homes
 from .context import RouterContext
 from .graceful_shutdown import RETRY_ELSEWHERE_S
-from .replica_selection import SelectionContext, order, usable
+from .replica_selection import SelectionContext, eligible_replicas, order
 from .replicas import ReplicaState
 from .request import Request, attempt_target, work_of
 from .route_table import Route, ServiceConfiguration, choose_service, find_route
 
-MOST_UNSENT = 4
-"""Replicas that could not be reached, for one request."""
-MOST_UNREACHABLE = 3
-"""Of these such that took no connection in time: each costs that time."""
+MAX_UNSENT_ATTEMPTS = 4
+"""Maximum number of replicas per request that could not be reached."""
+MAX_CONNECT_TIMEOUTS = 3
+"""Maximum number of connect time-outs per request; each one costs the full time-out."""
 RESPONSE_MARGIN = milliseconds(15)
-"""What is left of a deadline for the way back."""
+"""Part of the deadline reserved for the return of the response."""
 RETRY_WHEN_PROVED_S = 0.5
-"""Seconds until the configuration is likely to be proved anew."""
+"""Seconds until the configuration is likely to be proved again."""
 RETRY_WHEN_SERVING_S = 1.0
-"""Seconds until a daemon that has just started is likely to serve."""
+"""Seconds until a daemon that has just started is likely to be ready."""
 RETRY_AFTER_ATTEMPTS_S = 0.25
-"""Seconds until a request may come back whose attempts are used up."""
+"""Retry delay in seconds after a request has used up its attempts."""
 RETRY_AFTER_BUDGET_S = 0.5
-"""Seconds until a request may come back that the retry budget did not allow."""
+"""Retry delay in seconds after a retry that the retry budget did not allow."""
 RETRY_WHEN_BUSY_S = 0.5
-"""Seconds until a request may come back that no replica may get now."""
+"""Retry delay in seconds if no replica may take the request now."""
 RETRY_WITHOUT_REPLICA_S = 1.0
-"""Seconds until a request may come back for which there is no replica at all."""
+"""Retry delay in seconds if there is no replica at all."""
 
 
 class Refusal(NamedTuple):
-    """Why a request goes to no replica now.
+    """Answer to a request that is sent to no replica.
 
-    :ivar retry_after: seconds until the client may come back, or None.
+    :ivar retry_after: seconds after which the client may retry, or None.
     :ivar code: a result code.
     """
 
@@ -73,15 +73,15 @@
 
 
 def attempts_exhausted(retry_after: float) -> Refusal:
-    """The refusal after the last replica said that it did not run the request.
+    """Return the refusal to use after the last replica reported that it did not run the request.
 
-    :param retry_after: seconds, as that replica says.
+    :param retry_after: seconds, as given by that replica.
     """
     return Refusal(HTTPStatus.SERVICE_UNAVAILABLE.value, retry_after, result_codes.FULL)
 
 
 class Attempts:
-    """Starts attempts, or tells the client that there is none."""
+    """Starts attempts, or answers the client if there can be none."""
 
     __slots__ = ("context",)
 
@@ -89,7 +89,7 @@
         self.context = context
 
     def begin(self, request: Request, now: timedelta) -> None:
-        """Set the route, service and deadline of a new request, and send it to a replica."""
+        """Set the route, caller, service and deadline of a new request, and send it to a replica or answer it."""
         context, facts = self.context, request.facts
         if context.configuration is None or not context.has_endpoint_list:
             context.answer(request, *NOT_SERVING)
@@ -118,9 +118,9 @@
         self.send_next(request, now)
 
     def identify_caller(self, request: Request, route: Route, now: timedelta) -> Refusal | None:
-        """Set who holds the request's key, and with it where it may be served (design 17).
+        """Set the caller that holds the request's key, and the regions where the request may be served (design 17).
 
-        :returns: why it is refused, if its route wants a key; None where it may go on.
+        :returns: the refusal if the route requires a valid key; None if the request is accepted.
         """
         context = self.context
         request.homes = route["homes"]
@@ -140,15 +140,15 @@
         return None
 
     def send_next(self, request: Request, now: timedelta) -> None:
-        """Send a request to the next replica, or give it up at once."""
+        """Send a request to the next replica, or give it up immediately."""
         refusal = self.try_next(request, now)
         if refusal is not None:
             self.give_up(request, refusal)
 
     def try_next(self, request: Request, now: timedelta) -> Refusal | None:
-        """Send a request to the next replica, if there is one and everything allows.
+        """Send a request to the next replica if there is one and deadline, limits and retry budget permit.
 
-        :returns: why it was not sent; None where it was, or will be once prefill backlogs are known.
+        :returns: the refusal if it was not sent; None if it was, or will be once prefill backlogs are known.
         """
         refusal = self.refusal_before_choice(request, now)
         if refusal is not None:
@@ -157,7 +157,7 @@
         service = context.services.get(request.service)
         if service is None:
             return NO_REPLICA
-        candidates = usable(
+        candidates = eligible_replicas(
             context.replicas.values(),
             service=request.service,
             homes=request.homes,
@@ -167,8 +167,8 @@
         selection = self.selection_context(request, context.ejection.avoided(now, candidates))
         on_trial = context.ejection.replica_to_try(now, candidates) if request.is_repeatable else None
         groups = context.reachability.groups(candidates, request.unreachable_by_region)
-        if request.prompt and not request.arrivals and groups and self.asks_for_backlogs(request, groups[0], selection, now):
-            return None  # the answers, or the time for them, send it on
+        if request.prompt and not request.arrivals and groups and self.query_backlogs(request, groups[0], selection, now):
+            return None  # it is sent once the replies arrive or time out
         replica = self.first_choice(request, groups, service, selection, on_trial, now)
         if replica is None:
             return REPLICAS_BUSY if candidates else NO_REPLICA
@@ -178,20 +178,20 @@
         return None
 
     def refusal_before_choice(self, request: Request, now: timedelta) -> Refusal | None:
-        """Why the request may go to no replica, whichever there are."""
+        """Return the refusal that applies whichever replicas there are, or None."""
         if self.context.shutdown.has_begun and not request.response_begun and not self.can_end_before_shutdown(request, now):
             return LEAVING
         if request.deadline - now - RESPONSE_MARGIN <= ZERO:
             return DEADLINE_PASSED
         unsent = len(request.tried_replicas) - request.counted_attempts
-        if request.counted_attempts >= request.route["tries"] or unsent >= MOST_UNSENT:
+        if request.counted_attempts >= request.route["tries"] or unsent >= MAX_UNSENT_ATTEMPTS:
             return ATTEMPTS_USED
-        if request.unreachable_by_region and request.unreachable_by_region.total() >= MOST_UNREACHABLE:
+        if request.unreachable_by_region and request.unreachable_by_region.total() >= MAX_CONNECT_TIMEOUTS:
             return ATTEMPTS_USED
         return None
 
     def can_end_before_shutdown(self, request: Request, now: timedelta) -> bool:
-        """Whether the request can be expected to end before this daemon does."""
+        """Return whether the request can be expected to end before this daemon's shutdown."""
         name = request.route["name"]
         running = (
             (now - other.received_at, other.work)
@@ -203,7 +203,7 @@
         )
 
     def selection_context(self, request: Request, avoided: frozenset[str]) -> SelectionContext:
-        """What the order of replicas for this request rests on."""
+        """Return the inputs of the replica order for this request."""
         context = self.context
         return SelectionContext(
             region=context.region,
@@ -216,8 +216,8 @@
             switched_off=context.switched_off,
         )
 
-    def asks_for_backlogs(self, request: Request, candidates: Sequence[ReplicaState], selection: SelectionContext, now: timedelta) -> bool:
-        """Ask for prefill backlogs where that helps; whether an answer is waited for."""
+    def query_backlogs(self, request: Request, candidates: Sequence[ReplicaState], selection: SelectionContext, now: timedelta) -> bool:
+        """Query prefill backlogs where useful; return whether the request must wait for replies."""
         messages = self.context.placement.ask(now, request, order(candidates, selection, now))
         self.context.effects.extend(messages)
         return bool(messages)
@@ -231,23 +231,23 @@
         on_trial: ReplicaState | None,
         now: timedelta,
     ) -> ReplicaState | None:
-        """The replica that gets the request, or None; what it takes of a slow start is counted.
+        """Return the replica for the request, or None; if it is in slow start, count the request.
 
-        :param on_trial: the replica that this daemon is to try after an ejection; it goes first.
+        :param on_trial: a replica that this daemon must test after an ejection; preferred over all others.
         """
         per_second = service["cold_per_s"]
         for candidates in groups:
-            if on_trial in candidates and on_trial and not on_trial.attempts and self.may_get(on_trial, per_second, now):
+            if on_trial in candidates and on_trial and not on_trial.attempts and self.take_slow_start_quota(on_trial, per_second, now):
                 return on_trial
             for replica in self.context.placement.preferred(request, order(candidates, selection, now)):
-                if self.may_get(replica, per_second, now):
+                if self.take_slow_start_quota(replica, per_second, now):
                     return replica
         return None
 
-    def may_get(self, replica: ReplicaState, per_second: float, now: timedelta) -> bool:
-        """Whether the replica's slow start allows one more request; counted if so.
+    def take_slow_start_quota(self, replica: ReplicaState, per_second: float, now: timedelta) -> bool:
+        """Return whether the replica's slow start allows one more request; if so, count it.
 
-        :param per_second: what a replica of the service bears in its slow start; 0: everything.
+        :param per_second: limit in requests per second of the service's replicas in slow start; 0 for no limit.
         """
         if not per_second:
             return True
@@ -255,9 +255,9 @@
         return self.context.slow_start.take(now, replica.id, per_second=bears)
 
     def start(self, request: Request, replica: ReplicaState, service: ServiceConfiguration, now: timedelta) -> None:
-        """Send the request to the replica."""
+        """Start an attempt of the request at the replica."""
         context = self.context
-        for attempt in list(request.open_attempts):  # a silent one, which may have run it: no promise can be given any more
+        for attempt in list(request.open_attempts):  # of a silent replica, which may have run the request
             context.close_attempt(request, attempt)
             request.last_failure = AttemptOutcome.LOST
         request.attempt_number += 1
@@ -285,7 +285,10 @@
         context.effects.append(StartAttempt(request.id, request.attempt_number, target))
 
     def give_up(self, request: Request, refusal: Refusal) -> None:
-        """Answer the client now: nothing more can be done, and no more is promised than is known."""
+        """Answer the client without a further attempt.
+
+        A request that may have run is never answered with a status that says that it did not.
+        """
         context = self.context
         if request.response_begun:
             context.finish(request)
--- a/silverglade/routing/callers.py
+++ b/silverglade/routing/callers.py
@@ -1,19 +1,19 @@
-"""Callers of forwarded requests (design 17): who holds which key, and what that means for a request."""
+"""Callers of forwarded requests (design 17): identification by key, home regions and rank."""
 
 from __future__ import annotations
 
 from collections.abc import Collection, Mapping
 from typing import Any, NamedTuple
 
-NOWHERE: Collection[str] = ("",)
-"""Regions of which none exists: a name has a letter at least. No regions at all would mean any."""
+NO_REGION: Collection[str] = ("",)
+"""A set of regions that matches none: a region name is never empty. An empty set would mean any region."""
 
 
 class Caller(NamedTuple):
-    """A caller as the configuration has it.
+    """A caller of the configuration.
 
-    :ivar homes: regions where its requests may be served; none: any.
-    :ivar rank_offset: what its rank adds to that of a route: all ranks of routes for each rank of callers that goes first.
+    :ivar homes: regions where its requests may be served; empty for any.
+    :ivar rank_offset: added to the rank of a route: the number of route ranks for each caller rank that comes first.
     """
 
     name: str
@@ -22,11 +22,11 @@
 
 
 CallerTable = dict[str, Caller]
-"""Digest of a key to the caller that holds it."""
+"""Key digest to the caller that holds the key."""
 
 
 def build_caller_table(configuration: Mapping[str, Any] | None, /) -> CallerTable | None:
-    """Build the table of a configuration; None where it wants no keys."""
+    """Build the caller table of a configuration; None if it requires no keys."""
     callers = (configuration or {}).get("callers")
     if callers is None:
         return None
@@ -40,21 +40,21 @@
 
 
 def rank_offsets(configuration: Mapping[str, Any], /) -> dict[int, int]:
-    """Return each rank of a caller with its offset: a caller's rank goes before any rank of a route."""
+    """Return the offset of each caller rank, such that the caller's rank takes precedence over the route's rank."""
     ranks_of_routes = 1 + max((route["rank"] for route in configuration["routes"]), default=0)
     ranks = sorted({fields["rank"] or 0 for fields in configuration["callers"].values()})
     return {rank: index * ranks_of_routes for index, rank in enumerate(ranks)}
 
 
 def effective_homes(route_homes: Collection[str], caller: Caller | None, /) -> Collection[str]:
-    """Return the regions where a request may be served; none: any. Where route and caller have homes, both bind."""
+    """Return the regions where a request may be served; empty for any. If both route and caller have homes, both apply."""
     if caller is None or not caller.homes:
         return route_homes
     if not route_homes:
         return caller.homes
-    return caller.homes.intersection(route_homes) or NOWHERE
+    return caller.homes.intersection(route_homes) or NO_REGION
 
 
 def effective_rank(route_rank: int, caller: Caller | None, /) -> int:
-    """Return the rank of a request: among those of one caller's rank the route's decides."""
+    """Return the rank of a request: the caller's rank first, then the route's."""
     return route_rank if caller is None else caller.rank_offset + route_rank
--- a/silverglade/routing/context.py
+++ b/silverglade/routing/context.py
@@ -1,4 +1,4 @@
-"""What the modules of the router work on: its state, and the effects of the event that is being handled."""
+"""The state that the router's modules share, and the effects of the event being handled."""
 
 from __future__ import annotations
 
@@ -21,31 +21,31 @@
 from .route_table import RouteTable, ServiceConfiguration
 from .slow_start import SlowStart
 
-FEWEST_DAEMONS = 3
-"""Among which shares are divided: a daemon that knows nobody yet is not alone."""
+MIN_DAEMON_COUNT = 3
+"""Lower bound of the number of daemons that share a limit: a daemon that knows no other yet must not assume that it is alone."""
 
 
 class RouterContext:
     """The router's state.
 
-    :ivar own_name: this daemon.
+    :ivar own_name: name of this daemon.
     :ivar region: its region.
     :ivar tuning: the time settings and limits (runtime/settings.py).
-    :ivar switched_off: mechanisms that are switched off.
-    :ivar effects: those of the event that is being handled.
-    :ivar requests: requests under way, by id.
-    :ivar replicas: replicas that are listed, or still have attempts of ours, by id.
+    :ivar switched_off: names of disabled mechanisms.
+    :ivar effects: effects of the event being handled.
+    :ivar requests: open requests by id.
+    :ivar replicas: replicas that are listed or still have open attempts of this daemon, by id.
     :ivar has_endpoint_list: whether a list of replicas was ever received.
     :ivar routes: the route table of the configuration.
-    :ivar callers: who holds which key; None where the configuration wants no keys (design 17).
-    :ivar configuration: the one in force, or None.
-    :ivar services: its services by name.
-    :ivar drained_zones: zones in which nothing new is started.
+    :ivar callers: key digest to caller; None if the configuration requires no keys (design 17).
+    :ivar configuration: the configuration in force, or None.
+    :ivar services: services of the configuration by name.
+    :ivar drained_zones: zones in which no new attempts are started.
     :ivar proved_at: when the configuration was last proved to be the newest, or None.
-    :ivar refused_routes: requests on routes that are not known, for the log.
-    :ivar short_services: (region, service) that have fewer ready replicas than they need.
-    :ivar peers: live daemons of the own region that forward requests, at least 1.
-    :ivar daemons: live daemons that forward requests, or did lately; at least `FEWEST_DAEMONS`.
+    :ivar refused_routes: counts of requests on unknown routes, for the log.
+    :ivar short_services: (region, service) pairs with fewer ready replicas than required.
+    :ivar peers: number of live daemons of the local region that forward requests; at least 1.
+    :ivar daemons: number of daemons that forward requests and are, or recently were, live; at least `MIN_DAEMON_COUNT`.
     """
 
     __slots__ = (
@@ -93,7 +93,7 @@
         self.refused_routes = RefusedRoutes()
         self.short_services: frozenset[tuple[str, str]] = frozenset()
         self.peers = 1
-        self.daemons = FEWEST_DAEMONS
+        self.daemons = MIN_DAEMON_COUNT
         self.retry_budget = RetryBudget(tuning=tuning)
         self.slow_start = SlowStart(own_name=own_name, tuning=tuning)
         self.reachability = RegionReachability()
@@ -102,48 +102,54 @@
         self.placement = PrefillPlacement(own_name=own_name, region=region, is_enabled="prefill-ledger" not in self.switched_off)
 
     def log(self, event: str, **pairs: Any) -> None:
-        """Write a line of the log."""
+        """Emit a log record."""
         self.effects.append(log_record(event, **pairs))
 
     def connect_timeout(self, replica: ReplicaState) -> timedelta:
-        """How long a connection to the replica is waited for."""
+        """Return the time-out for establishing a connection to the replica."""
         timeout: timedelta = self.tuning["connect_near" if replica.region == self.region else "connect_wait"]
         return timeout
 
     def is_configuration_certain(self, now: timedelta) -> bool:
-        """Whether the configuration is surely as new as all that must be in force by now; else "no such route" says too much."""
+        """Return whether the configuration was proved recently enough to refuse unknown routes and keys for certain.
+
+        Otherwise a route or key that this daemon does not know may already be in force elsewhere.
+        """
         return self.proved_at is not None and now - self.proved_at <= self.tuning["certain"]
 
     def are_keys_certain(self, now: timedelta) -> bool:
-        """Whether no key that is known here can have been taken away too long ago to be let in (design 17.3)."""
+        """Return whether the configuration was proved recently enough to accept the keys in it (design 17.3).
+
+        A key revoked longer ago than the limit must no longer be accepted.
+        """
         limit = self.tuning["keys_alone"]
         return limit is None or self.proved_at is not None and now - self.proved_at < limit
 
     def note_refused_route(self, now: timedelta) -> None:
-        """Note a request on a route that is not known."""
+        """Count a request on an unknown route."""
         proof_age = None if self.proved_at is None else now - self.proved_at
         self.refused_routes.note(proof_age=proof_age, is_certain=self.is_configuration_certain(now))
 
     def log_refused_routes(self) -> None:
-        """Write the line of the log about requests on routes that are not known, if there were any."""
+        """Log the requests on unknown routes since the last call, if there were any."""
         line = self.refused_routes.take_line(self.configuration or {})
         if line is not None:
             self.log("routes-unknown", **line)
 
     def answer(self, request: Request, status: int, retry_after: float | None, code: int) -> None:
-        """Answer a request with a status and a result code of our own."""
+        """Answer a request with a status and result code generated by this daemon."""
         self.finish(request)
         self.effects.append(AnswerClient(request.id, status, retry_after, code))
 
     def finish(self, request: Request) -> None:
-        """Forget a request and its attempts."""
+        """Remove a request and close its attempts."""
         self.requests.pop(request.id, None)
         for attempt in list(request.open_attempts):
             self.close_attempt(request, attempt)
 
     def close_attempt(self, request: Request, attempt: int) -> None:
-        """Forget an attempt: what it meant for the load of its replica."""
-        message = self.placement.on_read(request)
+        """Close an attempt and remove its work from the load of its replica."""
+        message = self.placement.end_prefill(request)
         if message is not None:
             self.effects.append(message)
         replica = self.replica_of(request, attempt)
@@ -152,18 +158,18 @@
             replica.work = max(0.0, replica.work - request.work) if replica.attempts else 0.0
 
     def replica_of(self, request: Request, attempt: int) -> ReplicaState | None:
-        """The replica of an attempt under way, if it is still known."""
+        """Return the replica of an open attempt, or None if the replica is no longer known."""
         replica_id = request.open_attempts.get(attempt)
         return None if replica_id is None else self.replicas.get(replica_id)
 
     def test_unreachable_regions(self, now: timedelta) -> None:
-        """Test connections to replicas of regions that take none, until one comes up."""
+        """Start the connection tests that are due for unreachable regions."""
         present = [replica for replica in self.replicas.values() if replica.gone_since is None]
         for replica in self.reachability.due_tests(now, present):
             self.effects.append(TestReachability(replica.id, replica.address, self.connect_timeout(replica)))
 
     def publish_accusations(self) -> bool:
-        """Publish what this daemon has to say of replicas; whether there was anything."""
+        """Publish this daemon's pending accusation rows; return whether there were any."""
         rows = self.ejection.take_rows()
         for row in rows:
             self.effects.append(Post(Component.MEMBERSHIP, SoftStatePublished(SUSPECT, row.key, row.rank, row.value)))
--- a/silverglade/routing/endpoint_list.py
+++ b/silverglade/routing/endpoint_list.py
@@ -1,7 +1,7 @@
-"""Which replicas there are and how they do, read by few daemons and told to all (design 15.4).
+"""Replicas and their load, read by few daemons and published to all (design 15.4).
 
-The list that somebody else keeps is read by the first two live daemons in an agreed order, of two regions where it may
-be; each replica is health-checked by one daemon of its region (16.4). What changes travels as soft state.
+The platform's endpoint list is read by the first two live daemons in rendezvous order, of two different regions if possible;
+each replica is health-checked by one daemon of its region (design 16.4). Changes are published as soft state.
 """
 
 from __future__ import annotations
@@ -36,23 +36,23 @@
 LISTED = "listed"
 """Kind of soft state: replica to its record, or None once it is gone."""
 LOAD = "load"
-"""Kind of soft state of a region: replica to its `ReplicaLoad`."""
-MISSED_LISTS = 4
-"""Lists in a row without it, before a replica counts as gone for good. The list trails, each reading by another time: with a reading
-each half second, one that was listed is lost by mistake only if a reading trails by over two seconds."""
-READERS = 2
-"""Daemons that read the list."""
-FAILURES_UNTIL_BLIND = 2
-"""Readings that failed in a row, before a daemon says that it cannot read the list."""
-BLIND = "blind"
-"""Attribute of a member record: this daemon cannot read the list."""
-IDLE_LISTS = 4
-"""Without anything to do the component looks again after the time of so many readings."""
+"""Kind of soft state within a region: replica to its `ReplicaLoad`."""
+MISSED_LISTS_UNTIL_GONE = 4
+"""Number of consecutive lists without a replica after which it is permanently gone. The list is stale, each reading by a different
+amount: with a reading every half second a listed replica is dropped by mistake only if a reading is stale by over two seconds."""
+READER_COUNT = 2
+"""Number of daemons that read the list."""
+FAILURES_UNTIL_UNREADABLE = 2
+"""Number of consecutive failed readings after which a daemon reports that it cannot read the list."""
+LIST_UNREADABLE = "blind"
+"""Attribute of a member record: whether the daemon cannot read the list."""
+IDLE_INTERVALS = 4
+"""An idle component wakes up after this many reading intervals."""
 LOGGED_LENGTH = 80
 
 
 class ListedState(IntEnum):
-    """How a replica is listed; a later state outranks any number of rows of an earlier one."""
+    """State of a replica in the list; rows of a later state outrank all rows of an earlier one."""
 
     PRESENT = 0
     LEAVING = 1
@@ -60,21 +60,21 @@
 
 
 class LoadState(IntEnum):
-    """Whether a row of the kind `LOAD` holds a load; a later state outranks any number of rows of an earlier one."""
+    """Whether a row of kind `LOAD` holds a load; rows of a later state outrank all rows of an earlier one."""
 
     REPORTED = 0
     GONE = 1
 
 
 class RowRank(NamedTuple):
-    """Rank of a row of soft state: a `ListedState` or `LoadState`, then a number that rises with each row."""
+    """Rank of a row of soft state: a `ListedState` or `LoadState`, then a number that increases with each row."""
 
     state: int
     number: int
 
 
 class ReplicaLoad(NamedTuple):
-    """What a health check brought; `active` and `queued` are -1 without an answer."""
+    """Result of a health check; `active` and `queued` are -1 if the replica did not answer."""
 
     active: int
     queued: int
@@ -87,31 +87,31 @@
 
 
 def list_readers(members: Iterable[MemberRecord], /) -> tuple[str, ...]:
-    """The daemons that read the list: the first in order that can, and the next of another region."""
+    """Return the daemons that read the list: the first in rendezvous order that can, and the next one, of another region if possible."""
     live = {member.name: member for member in members if not member.is_core and member.is_ready}
-    sighted = [name for name, member in live.items() if not member.attribute(BLIND)]
-    order: tuple[str, ...] = rank_nodes("list", sighted or live)
+    able_to_read = [name for name, member in live.items() if not member.attribute(LIST_UNREADABLE)]
+    order: tuple[str, ...] = rank_nodes("list", able_to_read or live)
     if not order:
         return ()
     first, others = order[0], order[1:]
     elsewhere = tuple(name for name in others if live[name].region != live[first].region)
-    return (first, *(elsewhere or others)[: READERS - 1])
+    return (first, *(elsewhere or others)[: READER_COUNT - 1])
 
 
 class EndpointList:
-    """Reads the endpoint list and checks replicas where that falls to this daemon, and tells the router and all others.
-
-    :ivar region: this daemon's.
-    :ivar has_source: whether the platform gives this daemon a list at all.
-    :ivar is_reader: whether this daemon goes on reading.
-    :ivar has_read: whether it has read the list once.
-    :ivar is_reading: whether a reading is under way.
-    :ivar next_reading: when the next one is due.
-    :ivar failed_readings: how many in a row.
-    :ivar records: replica to its record; None once it is gone, which is not taken back.
-    :ivar missed_lists: replica to how many lists in a row lacked it.
+    """Reads the endpoint list and health-checks replicas if assigned to this daemon, and reports changes to the router and other daemons.
+
+    :ivar region: region of this daemon.
+    :ivar has_source: whether the platform provides this daemon with a list.
+    :ivar is_reader: whether this daemon reads the list periodically.
+    :ivar has_read: whether it has read the list at least once.
+    :ivar is_reading: whether a reading is in progress.
+    :ivar next_reading: when the next reading is due.
+    :ivar failed_readings: number of consecutive failed readings.
+    :ivar records: replica to its record; None once it is gone, which is permanent.
+    :ivar missed_lists: replica to the number of consecutive lists without it.
     :ivar loads: replica to its load.
-    :ivar published_loads: replica to the load that this daemon has published.
+    :ivar published_loads: replica to the load last published by this daemon.
     :ivar ranks: (kind, replica) to the highest rank seen of a row.
     """
 
@@ -154,24 +154,24 @@
         return effects
 
     def present(self) -> list[EndpointRecord]:
-        """The records of the replicas that are not gone."""
+        """Return the records of the replicas that are not gone."""
         return [record for record in self.records.values() if record is not None]
 
     # daemons
 
     def on_membership_changed(self, event: MembershipChanged, now: timedelta) -> None:
-        """Take the live daemons: who reads the list, and who checks which replica."""
+        """Update the list readers and the health checkers from the live daemons."""
         members = members_of(event.members)
         self.is_reader = self.own_name in list_readers(members)
         self.health_checks.set_live_daemons((member.name, member.region) for member in members if not member.is_core and member.is_ready)
 
     def on_process_paused(self, event: ProcessPaused, now: timedelta) -> None:
-        """Begin anew after a pause of this process: what was under way is lost."""
+        """Reset readings and health checks after a pause of this process: those in progress are lost."""
         self.health_checks.on_process_paused()
         self.is_reading = False
 
     def publish(self, kind: str, replica: str, state: int, value: Any, scope: str = "") -> None:
-        """Publish a row that outranks what was told of the replica."""
+        """Publish a row that outranks all earlier rows about the replica."""
         number = self.ranks.get((kind, replica), RowRank(0, 0)).number + 1
         self.ranks[kind, replica] = RowRank(state, number)
         row = SoftStatePublished(kind, replica, (int(state), number), value, scope)
@@ -180,35 +180,35 @@
     # the list
 
     def on_endpoint_list_read(self, event: EndpointListRead, now: timedelta) -> None:
-        """A reading of the list has ended."""
+        """Handle the result of a reading of the list."""
         self.is_reading = False
         if event.records is None:
             self.on_reading_failed()
             return
-        if self.failed_readings >= FAILURES_UNTIL_BLIND:
-            self.set_blind(False)
+        if self.failed_readings >= FAILURES_UNTIL_UNREADABLE:
+            self.set_list_unreadable(False)
         self.failed_readings = 0
         self.has_read = True
         seen = {name for row in event.records if (name := self.on_row_read(row)) is not None}
         self.count_missing(seen)
-        self.share_regions()
+        self.update_health_checks()
         self.effects.append(Post(Component.ROUTER, EndpointsListed(tuple(self.present()), True)))
 
     def on_reading_failed(self) -> None:
-        """Say so when it has failed again."""
+        """Count a failed reading; report that the list is unreadable after several in a row."""
         self.failed_readings += 1
-        if self.failed_readings == FAILURES_UNTIL_BLIND:
-            self.set_blind(True)
+        if self.failed_readings == FAILURES_UNTIL_UNREADABLE:
+            self.set_list_unreadable(True)
             self.effects.append(log_record("endpoint-list-unreadable", fails=self.failed_readings))
 
-    def set_blind(self, is_blind: bool) -> None:
-        """Say in the member record whether this daemon can read the list."""
-        self.effects.append(Post(Component.MEMBERSHIP, AttributeSet(BLIND, is_blind)))
+    def set_list_unreadable(self, is_unreadable: bool) -> None:
+        """Publish in the member record whether this daemon cannot read the list."""
+        self.effects.append(Post(Component.MEMBERSHIP, AttributeSet(LIST_UNREADABLE, is_unreadable)))
 
     def on_row_read(self, row: Any) -> str | None:
-        """Take one row of the list, and publish it if it differs.
+        """Apply one row of the list, and publish it if it differs.
 
-        :returns: the replica's id, or None for a row that is malformed.
+        :returns: the replica's id, or None if the row is malformed.
         """
         if not is_endpoint_row(row):
             self.effects.append(log_record("endpoint-record-invalid", why="unsound", record=str(row)[:LOGGED_LENGTH]))
@@ -218,7 +218,7 @@
         self.missed_lists.pop(name, None)
         is_known, known = name in self.records, self.records.get(name)
         if is_known and known is None:
-            return name  # gone is not taken back within an incarnation
+            return name  # gone is permanent for an incarnation
         if known and known.is_leaving:
             record = record._replace(is_leaving=True)
         self.records[name] = record
@@ -228,16 +228,16 @@
         return name
 
     def count_missing(self, seen: set[str]) -> None:
-        """Drop the replicas that several lists in a row lacked."""
+        """Drop the replicas that were missing from several consecutive lists."""
         for record in [record for record in self.present() if record.name not in seen]:
             name = record.name
             self.missed_lists[name] = self.missed_lists.get(name, 0) + 1
-            if self.missed_lists[name] >= MISSED_LISTS:
+            if self.missed_lists[name] >= MISSED_LISTS_UNTIL_GONE:
                 self.drop(name)
                 self.publish(LISTED, name, ListedState.GONE, None)
 
     def drop(self, replica: str) -> None:
-        """Note that a replica is gone; it is remembered, so that it does not come back."""
+        """Mark a replica as gone; the mark is kept so that the replica is not listed again."""
         self.records[replica] = None
         self.missed_lists.pop(replica, None)
         self.loads.pop(replica, None)
@@ -245,14 +245,14 @@
             self.publish(LOAD, replica, LoadState.GONE, None, self.region)
             self.published_loads.pop(replica)
 
-    def share_regions(self) -> None:
-        """Tell the health checks which replicas there are."""
+    def update_health_checks(self) -> None:
+        """Set the replicas of the health checks."""
         self.health_checks.set_replicas({record.name: record.region for record in self.present()})
 
-    # what other daemons tell
+    # rows of other daemons
 
     def on_soft_state_changed(self, event: SoftStateChanged, now: timedelta) -> None:
-        """Take rows of soft state, of any daemon."""
+        """Apply rows of soft state, published by any daemon."""
         if event.kind == LISTED:
             self.note_ranks(LISTED, event.rows)
             self.on_listed_rows(event.rows)
@@ -261,14 +261,14 @@
             self.on_load_rows(event.rows)
 
     def note_ranks(self, kind: str, rows: Mapping[str, tuple[Any, Any]]) -> None:
-        """Note the ranks that our own rows must exceed."""
+        """Record the ranks that this daemon's own rows must exceed."""
         for name, (row_rank, _) in rows.items():
-            state, number = (*row_rank, 0)[:2]  # a rank of another program may have fewer or more numbers
+            state, number = (*row_rank, 0)[:2]  # another version of the program may use fewer or more numbers per rank
             rank = RowRank(state, number)
             self.ranks[kind, name] = max(rank, self.ranks.get((kind, name), rank))
 
     def on_listed_rows(self, rows: Mapping[str, tuple[Any, Any]]) -> None:
-        """Take records, and which replicas are gone."""
+        """Apply endpoint records and removals published by other daemons."""
         new = []
         for name, (_, row) in rows.items():
             if row is None:
@@ -278,14 +278,14 @@
                 record = EndpointRecord.of(row)
                 self.records[name] = record
                 new.append(record)
-        self.share_regions()
+        self.update_health_checks()
         self.effects.append(Post(Component.ROUTER, EndpointsListed(tuple(new), False)))
         gone = tuple(name for name, (_, row) in rows.items() if row is None)
         if gone:
             self.effects.append(Post(Component.ROUTER, EndpointsRemoved(gone)))
 
     def on_load_rows(self, rows: Mapping[str, tuple[Any, Any]]) -> None:
-        """Take the loads of replicas that other daemons check."""
+        """Apply the loads of replicas that other daemons check."""
         for name, (_, row) in rows.items():
             if row is not None and name not in self.health_checks.own_replicas:
                 self.loads[name] = ReplicaLoad(*row)
@@ -294,11 +294,11 @@
     # health checks
 
     def on_replica_suspected(self, event: ReplicaSuspected, now: timedelta) -> None:
-        """A request to the replica failed: it is asked out of turn."""
+        """Request a health check out of turn for a replica that failed a request."""
         self.health_checks.suspect(event.replica)
 
     def on_replica_report_read(self, event: ReplicaReportRead, now: timedelta) -> None:
-        """A health check has ended: its region is told when the load differs."""
+        """Handle the result of a health check; publish the load in the region if it differs."""
         name, report = event.replica, event.report
         record = self.records.get(name)
         if record is None:
@@ -317,7 +317,7 @@
         self.report_loads()
 
     def report_loads(self) -> None:
-        """Tell the router and the scaler what is known of each replica's load."""
+        """Report the known loads of all replicas to the router and the service scaler."""
         self.effects.append(Post(Component.ROUTER, LoadsReported(dict(self.loads))))
         by_replica = {}
         for record in self.present():
@@ -331,13 +331,13 @@
     # time
 
     def on_timer_fired(self, event: TimerFired, now: timedelta) -> None:
-        """Read the list and check replicas, as far as that is due."""
+        """Start the reading of the list and the health checks that are due."""
         if not self.has_source:
             self.effects.append(WakeAt(IDLE))
             return
-        goes_on_reading = self.is_reader or not self.has_read
+        keeps_reading = self.is_reader or not self.has_read
         interval = self.tuning["list_every"]
-        if now >= self.next_reading and not self.is_reading and goes_on_reading:
+        if now >= self.next_reading and not self.is_reading and keeps_reading:
             self.next_reading = now + interval
             self.is_reading = True
             self.effects.append(ReadEndpointList())
@@ -345,12 +345,12 @@
             record = self.records.get(name)
             if record is not None:
                 self.effects.append(ReadReplicaReport(name, record.address))
-        next_reading = self.next_reading if goes_on_reading else IDLE
-        next_checks = self.health_checks.next_turn.values()
-        self.effects.append(WakeAt(min([next_reading, *next_checks, now + IDLE_LISTS * interval])))
+        next_reading = self.next_reading if keeps_reading else IDLE
+        next_checks = self.health_checks.next_check_at.values()
+        self.effects.append(WakeAt(min([next_reading, *next_checks, now + IDLE_INTERVALS * interval])))
 
 
 def differs(known: EndpointRecord, record: EndpointRecord) -> bool:
-    """Whether a record says something new: a slow start that goes on is nothing new."""
+    """Return whether a record differs from the known one; a slow start that merely continues or a new `gone_in_ms` does not count."""
     unchanged = known._replace(slow_start_ms=record.slow_start_ms, gone_in_ms=record.gone_in_ms)
     return unchanged != record or record.slow_start_ms > known.slow_start_ms
--- a/silverglade/routing/endpoints.py
+++ b/silverglade/routing/endpoints.py
@@ -1,4 +1,4 @@
-"""The router's replicas: what the endpoint list, health checks and the configuration say of them (design 15.4)."""
+"""Updates of the router's replicas from the endpoint list, health checks and the configuration (design 15.4)."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
         self.context = context
 
     def on_listed(self, rows: Iterable[tuple[Any, ...]], is_complete: bool, now: timedelta) -> None:
-        """Take endpoint records.
+        """Add and update replicas from endpoint records.
 
-        :param is_complete: replicas that are not among them are gone.
+        :param is_complete: whether replicas without a record are gone.
         """
         self.context.has_endpoint_list = True
         seen = set()
@@ -46,13 +46,13 @@
         self.context.log("replica-listed", id=record.name, service=record.service, zone=record.zone, slow_start_ms=record.slow_start_ms)
 
     def update(self, replica: ReplicaState, record: EndpointRecord, now: timedelta) -> None:
-        """Take a newer record of a replica."""
+        """Apply a newer record of a replica."""
         if record.is_leaving and not replica.is_leaving:
             self.context.log("replica-draining", id=replica.id)
         replica.update(record, now)
 
     def on_removed(self, names: Iterable[str], now: timedelta) -> None:
-        """Drop replicas that are gone; one with attempts under way is kept until it is reported again without any."""
+        """Drop replicas that are gone; one with open attempts is kept until it is reported gone again without any."""
         replicas = self.context.replicas
         for name in [name for name in names if name in replicas]:
             replica = replicas[name]
@@ -64,7 +64,7 @@
         self.context.slow_start.keep_only(replicas)
 
     def on_loads(self, loads: Mapping[str, tuple[int, int, int]]) -> None:
-        """Take what health checks brought: replica to (active, queued, slots); active is -1 where it gave no answer."""
+        """Apply health check results: replica to (active, queued, slots); active is -1 if it did not answer."""
         uses_loads = "probed-load" not in self.context.switched_off
         for name, (active, queued, _) in loads.items():
             replica = self.context.replicas.get(name)
@@ -79,14 +79,14 @@
                 replica.queued = max(0, queued)
 
     def set_slots(self) -> None:
-        """Take the services' slots from the configuration, where it states them."""
+        """Set the replicas' slots from the configuration where it specifies them."""
         for name, service in self.context.services.items():
             for replica in self.context.replicas.values():
                 if replica.service == name and service["slots"]:
                     replica.slots = service["slots"]
 
     def on_zone_returned(self, zone: str, now: timedelta) -> None:
-        """Begin the slow start of a zone's replicas that takes work again: they may have been started meanwhile (15.6)."""
+        """Restart the slow start of all replicas of a zone that is no longer drained: they may be newly started (design 15.6)."""
         if self.context.configuration is None:
             return
         for replica in self.context.replicas.values():
--- a/silverglade/routing/graceful_shutdown.py
+++ b/silverglade/routing/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Which requests a daemon that shuts down still sends on (design 15.9): those that are known, or can be expected, to end in time."""
+"""Graceful shutdown (design 15.9): a stopping daemon still forwards requests that are known or expected to end in time."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from .route_table import Route
 
 WINDOW = timedelta(seconds=10)
-"""The slowest responses are remembered for one to two of these."""
+"""The slowest responses are kept for one to two windows."""
 RETRY_ELSEWHERE_S = 0.1
-"""Seconds until a request that a daemon refuses at its end may come back: another daemon takes it."""
+"""Retry delay in seconds for a request refused during shutdown; another daemon takes it."""
 SAFETY_FACTOR = 1.25
-"""A response that must end in time may take so many times as long as the slowest lately."""
+"""Allowance for a non-streaming response: it may take this many times as long as the slowest recent one."""
 
 
 class SlowestResponses:
-    """The longest response of a route, and the slowest one for its work.
+    """The longest response time of a route, in total and per unit of work.
 
-    :ivar longest: from a request's arrival to the end of its response.
-    :ivar per_work: the same for each unit of work.
+    :ivar longest: time from a request's arrival to the end of its response.
+    :ivar per_work: the same divided by the request's work.
     """
 
     __slots__ = ("longest", "per_work")
@@ -30,20 +30,20 @@
         self.per_work = ZERO
 
     def add(self, took: timedelta, work: float) -> None:
-        """Count one response."""
+        """Add one response."""
         self.longest = max(self.longest, took)
         self.per_work = max(self.per_work, took / work)
 
     def expected(self, work: float) -> timedelta:
-        """How long a response of so much work takes at most, by what was seen."""
+        """Return the expected upper bound of the response time for this much work."""
         return min(self.longest, self.per_work * work)
 
 
 class ResponseTimes:
-    """How long the requests of each route took lately, from their arrival to the end of their response.
+    """Recent response times of each route, from a request's arrival to the end of its response.
 
     :ivar recent: route to its slowest responses since `window_began_at`.
-    :ivar previous: the same of the window before.
+    :ivar previous: the same for the window before.
     """
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
         self.window_began_at = ZERO
 
     def add(self, now: timedelta, route: str, took: timedelta, work: float) -> None:
-        """Count a request of this route and so much work (weighed tokens) that was answered in full after so long."""
+        """Add a complete response of this route with its response time and work (weighted tokens)."""
         if now - self.window_began_at >= WINDOW:
             self.previous = self.recent if now - self.window_began_at < 2 * WINDOW else {}
             self.recent = {}
@@ -60,7 +60,7 @@
         self.recent.setdefault(route, SlowestResponses()).add(took, work)
 
     def expected(self, now: timedelta, route: str, work: float) -> timedelta | None:
-        """How long a request of this route takes at most, by what was seen lately; None: nothing was."""
+        """Return the expected upper bound of the response time, or None without a recent response of the route."""
         age = now - self.window_began_at
         tables: tuple[dict[str, SlowestResponses], ...] = ()
         if age < WINDOW:
@@ -71,12 +71,12 @@
 
 
 class GracefulShutdown:
-    """What a daemon knows of its own end; one that goes on takes everything.
+    """Limits on requests during a daemon's shutdown; before it there are none.
 
-    :ivar response_times: how long requests took lately.
-    :ivar streams_until: new streams are taken until then; None before the shutdown, as the two below.
-    :ivar answer_at: by then what is no stream is answered.
-    :ivar end_at: the daemon's end.
+    :ivar response_times: recent response times.
+    :ivar streams_until: until then new streams are accepted; None before the shutdown, like the two below.
+    :ivar answer_at: by then all non-streaming requests must be answered.
+    :ivar end_at: when the daemon ends.
     """
 
     def __init__(self) -> None:
@@ -86,18 +86,18 @@
         self.end_at: timedelta | None = None
 
     def begin(self, *, streams_until: timedelta, answer_at: timedelta, end_at: timedelta) -> None:
-        """Note the moments of the shutdown (runtime/shutdown_timetable.py)."""
+        """Start the shutdown with its times (runtime/shutdown_timetable.py)."""
         self.streams_until = streams_until
         self.answer_at = answer_at
         self.end_at = end_at
 
     @property
     def has_begun(self) -> bool:
-        """Whether the daemon was told to stop."""
+        """Whether the shutdown has started."""
         return self.answer_at is not None
 
     def deadline(self, deadline: timedelta, route: Route) -> timedelta:
-        """The deadline of a request, no later than the daemon's own end: a stream may run on until it, all else is answered before."""
+        """Return a request's deadline, limited by the shutdown: `end_at` for a stream, `answer_at` for all others."""
         if self.answer_at is None or self.end_at is None:
             return deadline
         return min(deadline, self.end_at if route["kind"] == "streaming" else self.answer_at)
@@ -111,14 +111,14 @@
         work: float,
         running: Iterable[tuple[timedelta, float]],
     ) -> bool:
-        """Whether a request of this route may be sent to a replica now.
+        """Return whether a request of this route may be sent to a replica now.
 
-        A response that is handed on as it comes (a stream) can't be taken back: late in a shutdown it starts only
-        if its deadline comes before our end.
+        A stream that has begun cannot be answered otherwise: after `streams_until` one is started only if its deadline is not
+        after `answer_at`.
 
-        :param deadline: the request's own.
-        :param work: its weighed tokens.
-        :param running: how long it has taken so far, and its work, of each request of this route that is under way.
+        :param deadline: the request's own deadline.
+        :param work: its weighted tokens.
+        :param running: elapsed time and work of each open request of this route.
         """
         if self.answer_at is None or deadline <= self.answer_at:
             return True
--- a/silverglade/routing/messages.py
+++ b/silverglade/routing/messages.py
@@ -1,7 +1,7 @@
-"""The messages between routers about prefill backlogs, one class a kind (design 15.11). All are advice.
+"""Messages between routers about prefill backlogs, one class per kind (design 15.11). All of them are advisory.
 
-On the wire each is an array of its kind and its fields in the order given here (transport/message_schemas.py checks the shapes
-of all kinds before any component sees them). `decode` checks a body once; behind it messages are matched by class.
+On the wire each message is an array of its kind and its fields in the order given here. transport/message_schemas.py checks the
+shapes of all kinds before any component receives them. `decode` validates a body once; after that messages are matched by class.
 """
 
 from __future__ import annotations
@@ -9,11 +9,11 @@
 from typing import Any, NamedTuple
 
 SharedParts = tuple[tuple[str, int], ...]
-"""The parts of a prompt that other requests share, (id, tokens) each, in order."""
+"""The parts of a prompt that are shared with other requests, (id, tokens) each, in order."""
 
 
 class BacklogRequest(NamedTuple):
-    """Asks the holder of a replica's backlog what would be read there until this prompt's first token."""
+    """Asks the holder of a replica's backlog how many tokens would be prefilled there before this prompt's first token."""
 
     number: int
     replica: str
@@ -22,7 +22,7 @@
 
 
 class BacklogReply(NamedTuple):
-    """Answers a `BacklogRequest`: so many tokens."""
+    """Answers a `BacklogRequest` with the number of tokens."""
 
     number: int
     replica: str
@@ -30,7 +30,7 @@
 
 
 class PrefillStarted(NamedTuple):
-    """A prompt was sent to the replica, to be read there."""
+    """Reports that a prompt was sent to the replica."""
 
     replica: str
     number: int
@@ -39,7 +39,7 @@
 
 
 class PrefillEnded(NamedTuple):
-    """The prompt's first token came, or the attempt is over."""
+    """Reports that the prompt's first token arrived or its attempt ended."""
 
     replica: str
     number: int
@@ -57,12 +57,12 @@
 
 
 def encode(message: PrefillMessage) -> tuple[Any, ...]:
-    """The array that travels."""
+    """Return the message as an array for the wire."""
     return (NAMES[type(message)], *message)
 
 
 def decode(body: tuple[Any, ...]) -> PrefillMessage | None:
-    """The message of a body; None for another kind, or one that is not well formed."""
+    """Return the message of a body; None if its kind is unknown or it is malformed."""
     message_class = KINDS.get(body[0])
     if message_class is None or len(body) != 1 + len(message_class._fields):
         return None
@@ -73,7 +73,7 @@
 
 
 def is_prompt(shared: SharedParts, own_tokens: int) -> bool:
-    """Whether a prompt's shared parts and the tokens of its own are as a message should bring them."""
+    """Return whether the shared parts and own tokens of a received prompt are valid."""
     return own_tokens >= 0 and all(
         type(part) is tuple and len(part) == 2 and type(part[0]) is str and type(part[1]) is int and part[1] >= 0 for part in shared
     )
--- a/silverglade/routing/outlier_ejection.py
+++ b/silverglade/routing/outlier_ejection.py
@@ -1,13 +1,15 @@
-"""What daemons tell each other of replicas that fail their requests (design 15.10): ejection by a quorum of accusers.
+"""Outlier detection across daemons (design 15.10): a replica is ejected when a quorum of daemons accuses it.
 
-A daemon of a large fleet sends a replica few requests, so alone it learns late that one hangs, and learns it with a request of
-its own. Here each daemon tells the others what it met (soft state, rows of kind `SUSPECT`), and passes over a replica that enough
-others accuse. One daemon's accusation never takes a replica from all, and all accusations together never take more than half of a
-service's replicas in a region. After a while one daemon, the same for all, tries the replica again and acquits it if it answers.
+A daemon of a large fleet sends few requests to each replica, so alone it detects a hanging replica late, and only by losing a
+request of its own. Each daemon therefore publishes its accusations as soft state (rows of kind `SUSPECT`) and avoids replicas that
+enough daemons accuse. A single daemon's accusation never ejects a replica for all, and at most half of a service's replicas in a
+region are ejected at a time. After the ejection one daemon, which all daemons agree on, tries the replica and acquits it if it
+answers.
 
-Silence is no accusation: a busy replica is silent to some for long, and where it was one, load ejected replicas and so grew.
+Silence does not lead to an accusation: a busy replica may be silent on some connections for long. When silence counted, load
+ejected replicas, which increased the load on the others.
 
-Pure state: no clock is read, nothing is sent. All times are timedeltas on the caller's monotonic clock.
+This module is pure state: it reads no clock and sends nothing. All times are timedeltas on the caller's monotonic clock.
 """
 
 from __future__ import annotations
@@ -22,48 +24,48 @@
 from .replicas import ReplicaIdentity
 
 SUSPECT = "suspect"
-"""Kind of soft state: "REPLICA DAEMON" -> (for how many ms the accusation counts,)."""
+"""Kind of soft state: "REPLICA DAEMON" -> (validity of the accusation in ms,)."""
 ACQUITTAL = (0,)
-"""The same row: this daemon tried the replica, which ends all that was said."""
+"""Value of the same row after a successful trial by this daemon; it clears all accusations."""
 QUORUM = 2
-"""Daemons whose accusations eject a replica."""
-EJECTION = timedelta(seconds=1)
-"""How long the first ejection lasts; doubled each time."""
-LONGEST_EJECTION = timedelta(seconds=8)
-MOST_DOUBLINGS = 8
-TRIAL = timedelta(seconds=2)
-"""How long after an ejection one daemon alone may try the replica."""
-CALM = timedelta(seconds=10)
-"""After so long without an accusation the next ejection is short again."""
+"""Number of accusing daemons that ejects a replica."""
+FIRST_EJECTION = timedelta(seconds=1)
+"""Duration of the first ejection; doubled with each further one."""
+MAX_EJECTION = timedelta(seconds=8)
+MAX_DOUBLINGS = 8
+TRIAL_DURATION = timedelta(seconds=2)
+"""Duration of the trial after an ejection, in which a single daemon may use the replica."""
+EJECTION_HISTORY_RETENTION = timedelta(seconds=10)
+"""After this time without an accusation the number of ejections is forgotten, so that the next one is short again."""
 REPLICAS_PER_EJECTION = 2
-"""One of so many replicas of a service in a region may be ejected, no more."""
+"""At most one in this many replicas of a service in a region is ejected."""
 
 AnyReplica = TypeVar("AnyReplica", bound=ReplicaIdentity)
 
 
-class DaemonPlace(NamedTuple):
-    """Where a daemon stands that forwards requests."""
+class DaemonLocation(NamedTuple):
+    """Location of a daemon that forwards requests."""
 
     zone: str
     region: str
 
 
 class AccusationRow(NamedTuple):
-    """A row of soft state of the kind `SUSPECT` that this daemon wants told to all; the value None takes it back."""
+    """A row of soft state of kind `SUSPECT` to be published; the value None withdraws it."""
 
     key: str
     rank: tuple[int]
     value: tuple[int] | None
 
 
-class Case:
-    """What speaks against one replica.
+class EjectionState:
+    """Accusations and ejections of one replica.
 
-    :ivar accusers: daemon to until when its accusation counts.
-    :ivar ejections: how often it was ejected, by which the next ejection's length goes.
-    :ivar ejected_until: the end of this ejection; None while it is not ejected.
-    :ivar trial_until: the end of the trial that follows it.
-    :ivar last_accused_at: when it was accused last.
+    :ivar accusers: daemon to the expiry of its accusation.
+    :ivar ejections: number of ejections so far, which determines the duration of the next one.
+    :ivar ejected_until: end of the current ejection, or None.
+    :ivar trial_until: end of the trial that follows the ejection.
+    :ivar last_accused_at: time of the latest accusation.
     """
 
     __slots__ = ("accusers", "ejections", "ejected_until", "trial_until", "last_accused_at")
@@ -76,179 +78,185 @@
         self.last_accused_at = now
 
     def eject(self, now: timedelta) -> None:
-        """Begin an ejection, and the trial after it."""
-        length = min(LONGEST_EJECTION, EJECTION * 2 ** min(self.ejections, MOST_DOUBLINGS))
+        """Start an ejection, and schedule the trial after it."""
+        length = min(MAX_EJECTION, FIRST_EJECTION * 2 ** min(self.ejections, MAX_DOUBLINGS))
         self.ejections += 1
         self.ejected_until = now + length
-        self.trial_until = self.ejected_until + TRIAL
+        self.trial_until = self.ejected_until + TRIAL_DURATION
 
-    def is_open(self, now: timedelta) -> bool:
-        """Whether it is ejected, or on trial."""
+    def is_active(self, now: timedelta) -> bool:
+        """Return whether the replica is ejected or on trial."""
         return self.trial_until is not None and now < self.trial_until
 
     def is_on_trial(self, now: timedelta) -> bool:
-        """Whether one daemon may try it."""
-        return self.is_open(now) and self.ejected_until is not None and now >= self.ejected_until
+        """Return whether the ejection is over and the replica is on trial."""
+        return self.is_active(now) and self.ejected_until is not None and now >= self.ejected_until
 
-    def close(self) -> None:
-        """Drop what was said: it was found healthy. How often it was ejected is remembered for `CALM`."""
+    def clear(self) -> None:
+        """Clear accusations and ejection of a replica found healthy. The number of ejections is kept for `EJECTION_HISTORY_RETENTION`."""
         self.accusers.clear()
         self.ejected_until = None
         self.trial_until = None
 
 
 class OutlierEjection:
-    """One daemon's view of all accusations.
+    """One daemon's accusations and those that it received.
 
-    :ivar own_name: this daemon.
-    :ivar daemons: the live daemons that forward requests, with their places.
-    :ivar regions: those of these daemons.
-    :ivar cases: replica to what speaks against it.
+    :ivar own_name: name of this daemon.
+    :ivar daemons: the live daemons that forward requests, with their locations.
+    :ivar regions: the regions of these daemons.
+    :ivar ejection_states: replica to its accusations and ejections.
     :ivar row_numbers: replica to the highest number seen of this daemon's rows about it.
-    :ivar own_rows: replica to until when this daemon's own row about it stands.
-    :ivar unpublished: rows to be published.
+    :ivar own_rows: replica to the expiry of this daemon's own row about it.
+    :ivar unpublished: rows that are still to be published.
     """
 
     def __init__(self, *, own_name: str) -> None:
         self.own_name = own_name
-        self.daemons: Mapping[str, DaemonPlace] = {}
+        self.daemons: Mapping[str, DaemonLocation] = {}
         self.regions: set[str] = set()
-        self.cases: dict[str, Case] = {}
+        self.ejection_states: dict[str, EjectionState] = {}
         self.row_numbers: dict[str, int] = {}
         self.own_rows: dict[str, timedelta] = {}
         self.unpublished: list[AccusationRow] = []
 
-    def set_daemons(self, daemons: Mapping[str, DaemonPlace]) -> None:
-        """Take the live daemons that forward requests."""
+    def set_daemons(self, daemons: Mapping[str, DaemonLocation]) -> None:
+        """Set the live daemons that forward requests."""
         self.daemons = daemons
-        self.regions = {place.region for place in daemons.values()}
+        self.regions = {location.region for location in daemons.values()}
 
-    def is_witness(self, daemon: str, replica: ReplicaIdentity) -> bool:
-        """Whether the daemon's accusations of the replica count: a region's own daemons judge it, others may be cut off from it."""
-        place = self.daemons.get(daemon)
-        return place is not None and (place.region == replica.region or replica.region not in self.regions)
+    def is_eligible_accuser(self, daemon: str, replica: ReplicaIdentity) -> bool:
+        """Return whether the daemon may accuse the replica.
+
+        Only daemons of the replica's region may, if there are any: others may be partitioned from it.
+        """
+        location = self.daemons.get(daemon)
+        return location is not None and (location.region == replica.region or replica.region not in self.regions)
 
     def take_rows(self) -> list[AccusationRow]:
-        """The rows to publish since the last call."""
+        """Return the rows to be published since the last call, and clear them."""
         rows, self.unpublished = self.unpublished, []
         return rows
 
     def publish(self, replica: str, value: tuple[int] | None) -> None:
-        """Publish this daemon's row about the replica."""
+        """Queue this daemon's row about the replica for publication."""
         number = self.row_numbers[replica] = self.row_numbers.get(replica, 0) + 1
         self.unpublished.append(AccusationRow(f"{replica} {self.own_name}", (number,), value))
 
-    # what this daemon meets itself
+    # this daemon's own observations
 
     def accuse(self, now: timedelta, replica: AnyReplica, replicas: Iterable[AnyReplica]) -> None:
-        """Accuse a replica that failed a request for no reason of the request's own.
+        """Accuse a replica that failed a request, where the request itself is not the cause.
 
-        :param replicas: all that there are.
+        :param replicas: all known replicas.
         """
-        if replica.id in self.own_rows or not self.is_witness(self.own_name, replica):
+        if replica.id in self.own_rows or not self.is_eligible_accuser(self.own_name, replica):
             return
-        case = self.case_of(now, replica.id)
-        if case.is_open(now) and not case.is_on_trial(now) or self.is_accused_enough(now, case):
-            return  # known already
+        state = self.state_of(now, replica.id)
+        if state.is_active(now) and not state.is_on_trial(now) or self.is_sufficiently_accused(now, state):
+            return  # already ejected or sufficiently accused
         peers = [other for other in replicas if other.service == replica.service and other.region == replica.region]
         if sum(peer.id in self.own_rows for peer in peers) >= max(1, len(peers) // REPLICAS_PER_EJECTION):
-            return  # one that finds most replicas unhealthy is likely to be cut off itself
-        self.own_rows[replica.id] = now + EJECTION
-        self.publish(replica.id, (to_milliseconds(EJECTION),))
-        self.add_accusation(now, replica, self.own_name, EJECTION)
+            return  # a daemon that finds so many replicas unhealthy is probably partitioned itself
+        self.own_rows[replica.id] = now + FIRST_EJECTION
+        self.publish(replica.id, (to_milliseconds(FIRST_EJECTION),))
+        self.add_accusation(now, replica, self.own_name, FIRST_EJECTION)
 
     def on_answer(self, now: timedelta, replica: ReplicaIdentity) -> None:
-        """Note that it answered a request of this daemon's well."""
-        case = self.cases.get(replica.id)
-        if case is None:
+        """Record a successful response: acquit a replica that this daemon tests, else withdraw its own accusation."""
+        state = self.ejection_states.get(replica.id)
+        if state is None:
             return
-        if case.is_on_trial(now) and self.tester(replica) == self.own_name:
-            case.close()
-            self.own_rows[replica.id] = now + EJECTION
+        if state.is_on_trial(now) and self.tester(replica) == self.own_name:
+            state.clear()
+            self.own_rows[replica.id] = now + FIRST_EJECTION
             self.publish(replica.id, ACQUITTAL)
-        elif case.accusers.pop(self.own_name, None) is not None:  # an acquittal stands until it is old: others are to hear it
+        elif state.accusers.pop(self.own_name, None) is not None:  # an acquittal is kept until it expires, so that all daemons receive it
             self.withdraw(replica.id)
 
     def withdraw(self, replica: str) -> None:
-        """Take this daemon's row about the replica back."""
+        """Withdraw this daemon's row about the replica."""
         if self.own_rows.pop(replica, None) is not None:
             self.publish(replica, None)
 
-    # what others tell
+    # rows of other daemons
 
     def on_rows(self, now: timedelta, rows: Mapping[str, tuple[Any, Any]], replicas: Mapping[str, ReplicaIdentity]) -> None:
-        """Take rows of soft state, key to (rank, value).
+        """Apply rows of soft state, key to (rank, value).
 
-        :param replicas: those that are listed, by id; rows about others are passed over.
+        :param replicas: the listed replicas by id; rows about others are ignored.
         """
         for key, (rank, value) in rows.items():
             replica, _, daemon = key.partition(" ")
-            if daemon == self.own_name:  # an earlier process's, perhaps: ours must outrank it
+            if daemon == self.own_name:  # possibly of an earlier process of this daemon: new rows must outrank it
                 self.row_numbers[replica] = max(self.row_numbers.get(replica, 0), rank[0])
-            elif replica in replicas and self.is_witness(daemon, replicas[replica]):
+            elif replica in replicas and self.is_eligible_accuser(daemon, replicas[replica]):
                 self.on_row(now, replicas[replica], daemon, value)
 
     def on_row(self, now: timedelta, replica: ReplicaIdentity, daemon: str, value: Any) -> None:
-        """Take one daemon's row about one replica."""
+        """Apply one daemon's row about one replica."""
         if value is None:
-            if replica.id in self.cases:
-                self.cases[replica.id].accusers.pop(daemon, None)
+            if replica.id in self.ejection_states:
+                self.ejection_states[replica.id].accusers.pop(daemon, None)
         elif value == ACQUITTAL:
-            if replica.id in self.cases:
-                self.cases[replica.id].close()
+            if replica.id in self.ejection_states:
+                self.ejection_states[replica.id].clear()
         elif is_accusation(value):
-            self.case_of(now, replica.id)
-            self.add_accusation(now, replica, daemon, min(LONGEST_EJECTION, milliseconds(value[0])))
+            self.state_of(now, replica.id)
+            self.add_accusation(now, replica, daemon, min(MAX_EJECTION, milliseconds(value[0])))
 
-    def case_of(self, now: timedelta, replica: str) -> Case:
-        """The case of a replica; a new one where there is none."""
-        return self.cases.setdefault(replica, Case(now))
+    def state_of(self, now: timedelta, replica: str) -> EjectionState:
+        """Return the state of a replica; create it if there is none."""
+        return self.ejection_states.setdefault(replica, EjectionState(now))
 
     def add_accusation(self, now: timedelta, replica: ReplicaIdentity, accuser: str, counts_for: timedelta) -> None:
-        """Add to the replica's case; eject it if that makes a quorum, or if its trial has failed."""
-        case = self.cases[replica.id]
-        case.last_accused_at = now
-        case.accusers[accuser] = now + counts_for
-        if case.is_on_trial(now) or not case.is_open(now) and self.has_quorum(now, replica, case):
-            case.eject(now)
+        """Add an accusation; eject the replica if that makes a quorum or if it is on trial."""
+        state = self.ejection_states[replica.id]
+        state.last_accused_at = now
+        state.accusers[accuser] = now + counts_for
+        if state.is_on_trial(now) or not state.is_active(now) and self.has_quorum(now, replica, state):
+            state.eject(now)
 
     @staticmethod
-    def live_accusers(now: timedelta, case: Case) -> list[str]:
-        """The daemons whose accusations count now."""
-        return [daemon for daemon, until in case.accusers.items() if now < until]
+    def live_accusers(now: timedelta, state: EjectionState) -> list[str]:
+        """Return the daemons whose accusations have not expired."""
+        return [daemon for daemon, until in state.accusers.items() if now < until]
 
     def zones_of(self, daemons: Iterable[str]) -> set[str]:
-        """The zones in which these daemons stand, as far as they are live."""
+        """Return the zones of those of these daemons that are live."""
         return {self.daemons[daemon].zone for daemon in daemons if daemon in self.daemons}
 
-    def has_quorum(self, now: timedelta, replica: ReplicaIdentity, case: Case) -> bool:
-        """Whether enough daemons accuse it, of two zones or one of the replica's own: those of one zone may be cut off together."""
-        accusers = self.live_accusers(now, case)
+    def has_quorum(self, now: timedelta, replica: ReplicaIdentity, state: EjectionState) -> bool:
+        """Return whether enough daemons accuse the replica, from two zones or from its own zone.
+
+        Daemons of a single other zone do not suffice, as a partition may cut off the whole zone.
+        """
+        accusers = self.live_accusers(now, state)
         zones = self.zones_of(accusers)
         return len(accusers) >= QUORUM and (len(zones) > 1 or replica.zone in zones)
 
-    def is_accused_enough(self, now: timedelta, case: Case) -> bool:
-        """Whether another accusation from this daemon's zone would add nothing."""
-        accusers = self.live_accusers(now, case)
+    def is_sufficiently_accused(self, now: timedelta, state: EjectionState) -> bool:
+        """Return whether a further accusation from this daemon's zone would make no difference."""
+        accusers = self.live_accusers(now, state)
         return len(accusers) >= QUORUM and self.daemons[self.own_name].zone in self.zones_of(accusers)
 
-    # the decision
+    # ejection and trial
 
     def tester(self, replica: ReplicaIdentity) -> str | None:
-        """The daemon that tries the replica after this ejection; another one after the next."""
-        near = [daemon for daemon, place in self.daemons.items() if place.region == replica.region] or list(self.daemons)
-        tester: str | None = highest_ranked(f"{replica.id} {self.cases[replica.id].ejections}", near)
+        """Return the daemon that tests the replica after the current ejection; the choice changes with each ejection."""
+        near = [daemon for daemon, location in self.daemons.items() if location.region == replica.region] or list(self.daemons)
+        tester: str | None = highest_ranked(f"{replica.id} {self.ejection_states[replica.id].ejections}", near)
         return tester
 
     def avoided(self, now: timedelta, replicas: Collection[ReplicaIdentity]) -> frozenset[str]:
-        """Of these replicas of one service, the ids of those that this daemon does not choose now."""
-        if not self.cases:
+        """Return the ids of those of a service's replicas that this daemon must not choose now."""
+        if not self.ejection_states:
             return frozenset()
         counts = Counter(replica.region for replica in replicas)
         accused: dict[str, list[ReplicaIdentity]] = {}
         for replica in replicas:
-            case = self.cases.get(replica.id)
-            if case and case.is_open(now):
+            state = self.ejection_states.get(replica.id)
+            if state and state.is_active(now):
                 accused.setdefault(replica.region, []).append(replica)
         return frozenset(
             replica.id
@@ -258,34 +266,34 @@
         )
 
     def ejected(self, accused: list[ReplicaIdentity], count: int) -> list[ReplicaIdentity]:
-        """Those of the accused among `count` replicas of a region that are avoided: the bound on how many."""
-        accused.sort(key=lambda replica: (-len(self.cases[replica.id].accusers), replica.id))
+        """Return the accused replicas that are avoided: at most a fixed fraction of the region's `count` replicas."""
+        accused.sort(key=lambda replica: (-len(self.ejection_states[replica.id].accusers), replica.id))
         return accused[: count // REPLICAS_PER_EJECTION]
 
     def is_tester(self, now: timedelta, replica: ReplicaIdentity) -> bool:
-        """Whether this daemon is the one to try the replica now."""
-        return self.cases[replica.id].is_on_trial(now) and self.tester(replica) == self.own_name
+        """Return whether the replica is on trial and this daemon is the one that tests it."""
+        return self.ejection_states[replica.id].is_on_trial(now) and self.tester(replica) == self.own_name
 
     def replica_to_try(self, now: timedelta, replicas: Iterable[AnyReplica]) -> AnyReplica | None:
-        """Of these the one that this daemon is to try now, or None."""
-        if not self.cases:
+        """Return a replica that this daemon must test now, or None."""
+        if not self.ejection_states:
             return None
-        return next((replica for replica in replicas if replica.id in self.cases and self.is_tester(now, replica)), None)
+        return next((replica for replica in replicas if replica.id in self.ejection_states and self.is_tester(now, replica)), None)
 
     def expire(self, now: timedelta, replicas: Collection[str]) -> None:
-        """Forget what has grown old; own rows about it are taken back.
+        """Drop expired state and state of unlisted replicas; withdraw this daemon's rows about them.
 
-        :param replicas: the ids that are listed.
+        :param replicas: ids of the listed replicas.
         """
-        for replica in [r for r, until in self.own_rows.items() if now >= until + TRIAL or r not in replicas]:
+        for replica in [r for r, until in self.own_rows.items() if now >= until + TRIAL_DURATION or r not in replicas]:
             self.withdraw(replica)
-        for replica, case in list(self.cases.items()):
-            if replica not in replicas or now - case.last_accused_at > CALM and not case.is_open(now):
-                del self.cases[replica]
+        for replica, state in list(self.ejection_states.items()):
+            if replica not in replicas or now - state.last_accused_at > EJECTION_HISTORY_RETENTION and not state.is_active(now):
+                del self.ejection_states[replica]
         for replica in [r for r in self.row_numbers if r not in replicas]:
             del self.row_numbers[replica]
 
 
 def is_accusation(value: object) -> TypeGuard[tuple[int]]:
-    """Whether it is what an accusation says: for how many milliseconds it counts."""
+    """Return whether a row's value is an accusation: its validity in milliseconds."""
     return type(value) is tuple and len(value) >= 1 and type(value[0]) is int and value[0] > 0
--- a/silverglade/routing/prefill_backlog.py
+++ b/silverglade/routing/prefill_backlog.py
@@ -1,11 +1,11 @@
-"""Where a long prompt is read: what waits to be read at each replica, known by one daemon a replica (design 15.11).
+"""Prefill backlogs: the tokens waiting for prefill at each replica, tracked by one daemon per replica (design 15.11).
 
-Reading a long prompt (prefill) delays everybody else at its replica: streams pause, and prompts that come meanwhile wait. In a
-large fleet each daemon sees a small part of what goes to a replica, so none can tell which one is reading. One daemon a replica,
-its health checker, holds its backlog: what the others have sent there to be read and hasn't been answered yet, and which parts of
-prompts were sent lately, so that they are likely to be in its prefix cache. Before a daemon sends a long prompt it asks for the
-backlogs of the first two replicas in its order, and takes the one with less to read. It is advice only: without an answer the
-first goes.
+The prefill of a long prompt delays all other requests at its replica: streams pause, and prompts that arrive meanwhile wait. In a
+large fleet each daemon sees only a small part of a replica's requests, so none can tell which replica is busy with prefill. One
+daemon per replica, its health checker, holds its backlog: the prompts sent there by all daemons that have no first token yet, and
+the prompt parts that were sent recently and so are probably in its prefix cache. Before a daemon sends a long prompt, it queries
+the backlogs of the first two replicas in its order and uses the one with less to prefill. The answers are advisory: without them
+the first replica is used.
 
 Pure state, as in outlier_ejection.py.
 """
@@ -19,19 +19,19 @@
 
 from .messages import SharedParts
 
-FORGOTTEN_AFTER = timedelta(seconds=4)
-"""What was sent and never reported as read counts for so long."""
-MOST_PARTS = 4096
-"""Parts remembered of one replica, whatever its memory."""
-SMOOTHING = 32
-"""Requests over which the mean length of prompts is taken."""
+PREFILL_EXPIRY = timedelta(seconds=4)
+"""A prompt whose prefill is never reported as ended is dropped after this time."""
+MAX_CACHED_PARTS = 4096
+"""Maximum number of cached parts tracked per replica, whatever its memory."""
+REQUESTS_PER_MEAN = 32
+"""Number of requests over which the moving average of prompt lengths is taken."""
 
 
 class Prompt(NamedTuple):
-    """What a request's prompt takes to read.
+    """The size of a request's prompt.
 
     :ivar shared: its shared parts, (id, tokens) each, in order.
-    :ivar own_tokens: those behind them.
+    :ivar own_tokens: number of tokens after the shared parts.
     """
 
     shared: SharedParts
@@ -39,15 +39,15 @@
 
     @property
     def tokens(self) -> int:
-        """All its tokens."""
+        """Total number of tokens."""
         return self.own_tokens + sum(tokens for _, tokens in self.shared)
 
 
 def prompt_of(prefix: Sequence[tuple[str, int]], tokens: tuple[int, int] | None) -> Prompt:
     """Build the prompt of a request.
 
-    :param prefix: (id, tokens) of each part, the last part the request's own.
-    :param tokens: those of the prompt, and the most of an answer; None where they are not known.
+    :param prefix: (id, tokens) of each part; the last part is the request's own.
+    :param tokens: tokens of the prompt and the maximum of the response; None if unknown.
     """
     shared = tuple(prefix[:-1])
     total = tokens[0] if tokens else sum(part_tokens for _, part_tokens in prefix)
@@ -55,38 +55,38 @@
 
 
 class PromptLengths:
-    """The mean length of a service's prompts, as this daemon meets them: what is longer is long."""
+    """Moving average of each service's prompt lengths at this daemon; a prompt above it counts as long."""
 
     def __init__(self) -> None:
         self.means: dict[str, float] = {}
 
     def is_long(self, service: str, tokens: int) -> bool:
-        """Count a prompt; whether it is among the long ones."""
+        """Add a prompt to the average, and return whether it is long."""
         mean = self.means.setdefault(service, float(tokens))
-        self.means[service] = mean + (tokens - mean) / SMOOTHING
+        self.means[service] = mean + (tokens - mean) / REQUESTS_PER_MEAN
         return tokens > mean
 
 
 class PrefillId(NamedTuple):
-    """A prompt that is being read: the daemon that sent it, and its number there."""
+    """Identifies a prompt in prefill: the daemon that sent it, and its number there."""
 
     daemon: str
     number: int
 
 
 class ExpectedPrefill(NamedTuple):
-    """What is to be read of a prompt, and until when it counts if nobody reports it as read."""
+    """Uncached tokens of a prompt in prefill, and when the entry expires if the end of prefill is not reported."""
 
     tokens: int
     counts_until: timedelta
 
 
 class ReplicaBacklog:
-    """What is known of one replica.
+    """Prefill backlog and estimated prefix cache of one replica.
 
-    :ivar reading: what is to be read there.
-    :ivar cached: parts that are likely to be in its prefix cache: id to tokens, oldest first.
-    :ivar cached_tokens: their sum.
+    :ivar reading: prompts in prefill or waiting for it.
+    :ivar cached: parts that are probably in its prefix cache: id to tokens, least recently used first.
+    :ivar cached_tokens: total tokens of these parts.
     """
 
     __slots__ = ("reading", "cached", "cached_tokens")
@@ -96,8 +96,8 @@
         self.cached: OrderedDict[str, int] = OrderedDict()
         self.cached_tokens = 0
 
-    def missing(self, prompt: Prompt) -> int:
-        """Tokens that are to be read: parts count as cached while all before them are."""
+    def uncached_tokens(self, prompt: Prompt) -> int:
+        """Return the prompt's tokens that need prefill: a part counts as cached only if all parts before it are."""
         cached = 0
         for part, tokens in prompt.shared:
             if part not in self.cached:
@@ -106,49 +106,49 @@
         return prompt.tokens - cached
 
     def add_to_cache(self, prompt: Prompt, capacity: int) -> None:
-        """Count the prompt's shared parts as cached, and drop the oldest parts that have no room.
+        """Mark the prompt's shared parts as cached, and evict the least recently used parts beyond the capacity.
 
-        :param capacity: tokens that the replica's memory holds; 0: not known.
+        :param capacity: tokens that fit in the replica's memory; 0 if unknown.
         """
         for part, tokens in prompt.shared:
             self.cached_tokens += tokens - self.cached.get(part, 0)
             self.cached[part] = tokens
             self.cached.move_to_end(part)
-        while self.cached and (len(self.cached) > MOST_PARTS or capacity and self.cached_tokens > capacity):
+        while self.cached and (len(self.cached) > MAX_CACHED_PARTS or capacity and self.cached_tokens > capacity):
             self.cached_tokens -= self.cached.popitem(last=False)[1]
 
 
 class PrefillBacklogs:
-    """The backlogs of the replicas that this daemon is asked about, by the replica's id."""
+    """The prefill backlogs that this daemon holds, by replica id."""
 
     def __init__(self) -> None:
         self.replicas: dict[str, ReplicaBacklog] = {}
 
     def cost(self, now: timedelta, replica: str, prompt: Prompt) -> int:
-        """Tokens that would be read there until this prompt's first token: those of others, and its own that are not cached."""
+        """Return the tokens to prefill there before this prompt's first token: the backlog and the prompt's own uncached tokens."""
         backlog = self.replicas.get(replica)
         if backlog is None:
             return prompt.tokens
         waiting = sum(expected.tokens for expected in backlog.reading.values() if now < expected.counts_until)
-        return waiting + backlog.missing(prompt)
+        return waiting + backlog.uncached_tokens(prompt)
 
     def add(self, now: timedelta, replica: str, prefill: PrefillId, prompt: Prompt, capacity: int) -> None:
-        """Note that the prompt was sent there.
+        """Add a prompt that was sent to the replica.
 
-        :param capacity: tokens that the replica's memory holds; 0: not known.
+        :param capacity: tokens that fit in the replica's memory; 0 if unknown.
         """
         backlog = self.replicas.setdefault(replica, ReplicaBacklog())
-        backlog.reading[prefill] = ExpectedPrefill(backlog.missing(prompt), now + FORGOTTEN_AFTER)
+        backlog.reading[prefill] = ExpectedPrefill(backlog.uncached_tokens(prompt), now + PREFILL_EXPIRY)
         backlog.add_to_cache(prompt, capacity)
 
     def remove(self, replica: str, prefill: PrefillId) -> None:
-        """Note that the prompt's first token came, or that it is over."""
+        """Remove a prompt whose first token arrived or whose attempt ended."""
         backlog = self.replicas.get(replica)
         if backlog is not None:
             backlog.reading.pop(prefill, None)
 
     def expire(self, now: timedelta, replicas: Collection[str]) -> None:
-        """Keep only what is listed, and what counts."""
+        """Drop the backlogs of unlisted replicas and expired prompts."""
         for replica in [replica for replica in self.replicas if replica not in replicas]:
             del self.replicas[replica]
         for backlog in self.replicas.values():
@@ -157,7 +157,7 @@
 
 
 class OngoingPrefill(NamedTuple):
-    """A prompt of this daemon that is being read at a replica; `holder` has its backlog, and knows the prompt by its number."""
+    """A prompt of this daemon in prefill at a replica; the daemon `holder` tracks it in the replica's backlog by its number."""
 
     replica: str
     holder: str
@@ -167,9 +167,9 @@
 class BacklogQuery:
     """One request's query for the backlogs of two replicas.
 
-    :ivar replicas: in the order of preference.
-    :ivar costs: replica to the tokens that its backlog's holder answered.
-    :ivar deadline: the first replica is taken then, whatever was answered.
+    :ivar replicas: ids in order of preference.
+    :ivar costs: replica to the number of tokens in the holder's reply.
+    :ivar deadline: when the request is sent without waiting for further replies.
     """
 
     __slots__ = ("replicas", "costs", "deadline")
@@ -181,17 +181,17 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether all answers are there."""
+        """Whether all replies have arrived."""
         return len(self.costs) == len(self.replicas)
 
     def on_answer(self, replica: str, cost: int) -> bool:
-        """Take an answer; whether all are there."""
+        """Record a reply, and return whether all replies have arrived."""
         if replica in self.replicas:
             self.costs[replica] = cost
         return self.is_complete
 
     def best(self) -> str:
-        """The replica with least to read; the first of them while an answer lacks."""
+        """Return the replica with the fewest tokens to prefill; the first replica while a reply is missing."""
         if not self.is_complete:
             return self.replicas[0]
         return min(self.replicas, key=lambda replica: (self.costs[replica], self.replicas.index(replica)))
--- a/silverglade/routing/prefill_placement.py
+++ b/silverglade/routing/prefill_placement.py
@@ -1,4 +1,4 @@
-"""One daemon's side of placing long prompts (design 15.11): which backlogs it asks for, what it reports, and what it holds itself."""
+"""Placement of long prompts by one daemon (design 15.11): the backlogs that it queries, reports to and holds itself."""
 
 from __future__ import annotations
 
@@ -13,51 +13,51 @@
 from .replicas import ReplicaState
 from .request import Request
 
-ANSWER_WITHIN = timedelta(milliseconds=30)
-"""A holder's answer; it is of the own region."""
-SILENT_FOR = timedelta(seconds=2)
-"""A holder that did not answer is not asked for so long."""
-CHOICES = 2
-"""Replicas whose backlogs are asked for."""
+REPLY_TIMEOUT = timedelta(milliseconds=30)
+"""Time-out of a holder's reply; the holder is in the local region."""
+UNRESPONSIVE_HOLDER_BACKOFF = timedelta(seconds=2)
+"""For how long a holder is not queried after it did not reply in time."""
+REPLICAS_PER_QUERY = 2
+"""Number of replicas whose backlogs are queried."""
 
 
 class ReplicaOfService(Protocol):
-    """A replica, as far as a message about it needs it."""
+    """The attribute of a replica that messages about it need."""
 
     @property
     def service(self) -> str:
-        """The service that it belongs to."""
+        """The service that the replica serves."""
 
 
 AnyReplica = TypeVar("AnyReplica", bound=ReplicaState)
 
 
 class OpenQuery(NamedTuple):
-    """A `BacklogRequest` without an answer: for which request, and whom it was sent to."""
+    """A `BacklogRequest` without a reply: the request that it is for, and the daemon that it was sent to."""
 
     request: Request
     holder: str
 
 
 def message_to(daemon: str, message: PrefillMessage) -> Send:
-    """The effect that sends a message."""
+    """Return the effect that sends a message."""
     return Send(daemon, encode(message))
 
 
 class PrefillPlacement:
-    """Where long prompts are read.
+    """Chooses where long prompts are prefilled.
 
-    :ivar own_name: this daemon.
-    :ivar region: its region; no other region's backlogs are asked for.
-    :ivar is_enabled: whether anything is asked for at all.
-    :ivar backlogs: those that this daemon holds.
-    :ivar lengths: of the prompts that it meets.
+    :ivar own_name: name of this daemon.
+    :ivar region: its region; backlogs of other regions are not queried.
+    :ivar is_enabled: whether backlogs are queried at all.
+    :ivar backlogs: the backlogs that this daemon holds.
+    :ivar lengths: average prompt lengths at this daemon.
     :ivar live: the daemons that forward requests, sorted.
-    :ivar holders: replica to the daemon that holds its backlog.
-    :ivar silent_until: holder to until when it is not asked.
-    :ivar open_queries: number of a message to what waits for its answer.
-    :ivar cache_sizes: service to the tokens that its replicas' memory holds.
-    :ivar last_number: of the messages that this daemon has sent.
+    :ivar holders: replica to the daemon that holds its backlog (cache).
+    :ivar silent_until: holder to until when it is not queried.
+    :ivar open_queries: message number to the query that waits for a reply.
+    :ivar cache_sizes: service to the tokens that fit in the memory of one of its replicas.
+    :ivar last_number: number of the latest message sent by this daemon.
     """
 
     def __init__(self, *, own_name: str, region: str, is_enabled: bool = True) -> None:
@@ -74,20 +74,20 @@
         self.last_number = 0
 
     def set_live_daemons(self, live: Iterable[LiveDaemon]) -> None:
-        """Take the daemons that forward requests."""
+        """Set the live daemons that forward requests."""
         live = tuple(sorted(live))
         if live != self.live:
             self.live = live
             self.holders = {}
 
     def holder_of(self, replica: ReplicaState) -> str | None:
-        """The daemon that holds the replica's backlog: its health checker."""
+        """Return the daemon that holds the replica's backlog: its health checker."""
         if replica.id not in self.holders:
             self.holders[replica.id] = health_checker(replica.id, replica.region, self.live)
         return self.holders[replica.id]
 
     def on_request(self, request: Request) -> None:
-        """Note a request that arrived, and its prompt if that is a long one."""
+        """Count the prompt length of a new request; set `request.prompt` if it is long."""
         facts = request.facts
         if not self.is_enabled or not request.route["by_prefix"] or not facts["tokens"]:
             return
@@ -95,19 +95,19 @@
         if self.lengths.is_long(request.service, prompt.tokens):
             request.prompt = prompt
 
-    # before a prompt is sent
+    # queries before a prompt is sent
 
     def ask(self, now: timedelta, request: Request, order: Sequence[ReplicaState]) -> list[Send]:
-        """Ask for the backlogs of the first replicas of this order.
+        """Query the backlogs of the first replicas in this order.
 
-        :returns: the messages; an answer is waited for if there are any.
+        :returns: the messages to send; if there are any, the request must wait for the replies.
         """
-        prompt, choices = request.prompt, order[:CHOICES]
-        if prompt is None or request.backlog_query or len(choices) < CHOICES:
+        prompt, choices = request.prompt, order[:REPLICAS_PER_QUERY]
+        if prompt is None or request.backlog_query or len(choices) < REPLICAS_PER_QUERY:
             return []
         if any(not self.may_ask_about(now, replica) for replica in choices):
             return []
-        query = request.backlog_query = BacklogQuery(tuple(replica.id for replica in choices), now + ANSWER_WITHIN)
+        query = request.backlog_query = BacklogQuery(tuple(replica.id for replica in choices), now + REPLY_TIMEOUT)
         messages = []
         for replica in choices:
             holder = self.holder_of(replica)
@@ -120,35 +120,35 @@
         return messages
 
     def may_ask_about(self, now: timedelta, replica: ReplicaState) -> bool:
-        """Whether the replica's backlog may be asked for: its holder answers, and it stands here and bears everything."""
+        """Return whether the replica's backlog may be queried: its holder replies, and it is local and not in slow start."""
         if replica.region != self.region or now < replica.slow_start_until:
             return False
         holder = self.holder_of(replica)
         return holder is not None and now >= self.silent_until.get(holder, now)
 
     def overdue(self, now: timedelta) -> list[Request]:
-        """The requests whose answers did not come in time; those who did not answer are left alone for a while."""
+        """Return the requests whose replies are overdue; the holders that did not reply are not queried for a while."""
         late: list[Request] = []
         for number, (request, holder) in list(self.open_queries.items()):
             if request.backlog_query is not None and now >= request.backlog_query.deadline:
                 del self.open_queries[number]
-                self.silent_until[holder] = now + SILENT_FOR
+                self.silent_until[holder] = now + UNRESPONSIVE_HOLDER_BACKOFF
                 if request not in late:
                     late.append(request)
         return late
 
     def preferred(self, request: Request, order: list[AnyReplica]) -> list[AnyReplica]:
-        """The order with the replica first that has least to read."""
+        """Return the order with the replica that has the fewest tokens to prefill moved to the front."""
         query = request.backlog_query
         if query is None or not query.is_complete:
             return order
         best = query.best()
         return sorted(order, key=lambda replica: replica.id != best)
 
-    # once it is sent
+    # reports after a prompt is sent
 
     def on_sent(self, now: timedelta, request: Request, replica: ReplicaState) -> Send | None:
-        """Note that the prompt is to be read there; a message if another daemon holds the backlog."""
+        """Add the prompt to the replica's backlog; return the message to its holder if that is another daemon."""
         prompt = request.prompt
         if prompt is None or replica.region != self.region:
             return None
@@ -164,8 +164,11 @@
         self.backlogs.add(now, replica.id, PrefillId(self.own_name, number), prompt, cache_size)
         return None
 
-    def on_read(self, request: Request) -> Send | None:
-        """Note that the prompt is read, or nothing more of it will be; a message if another daemon holds the backlog."""
+    def end_prefill(self, request: Request) -> Send | None:
+        """Remove the prompt from the backlog at its first token or the attempt's end.
+
+        :returns: the message to the holder if that is another daemon, else None.
+        """
         if request.prefill is None:
             return None
         replica, holder, number = request.prefill
@@ -175,15 +178,15 @@
         self.backlogs.remove(replica, PrefillId(self.own_name, number))
         return None
 
-    # what others say
+    # messages of other daemons
 
     def on_backlog_request(self, now: timedelta, sender: str, message: BacklogRequest) -> Send:
-        """Answer another daemon."""
+        """Reply to another daemon's query."""
         cost = self.backlogs.cost(now, message.replica, Prompt(message.shared, message.own_tokens))
         return message_to(sender, BacklogReply(message.number, message.replica, cost))
 
     def on_backlog_reply(self, sender: str, message: BacklogReply) -> Request | None:
-        """Take an answer; the request that has all its answers now, or None."""
+        """Record a reply; return its request if all replies have now arrived, else None."""
         query = self.open_queries.get(message.number)
         if query is None or query.holder != sender:
             return None
@@ -194,17 +197,17 @@
         return None
 
     def on_prefill_started(self, now: timedelta, sender: str, message: PrefillStarted, replica: ReplicaOfService) -> None:
-        """Note that another daemon sent the replica a prompt."""
+        """Add a prompt that another daemon sent to the replica."""
         prefill = PrefillId(sender, message.number)
         prompt = Prompt(message.shared, message.own_tokens)
         self.backlogs.add(now, message.replica, prefill, prompt, self.cache_sizes.get(replica.service, 0))
 
     def on_prefill_ended(self, sender: str, message: PrefillEnded) -> None:
-        """Note that another daemon's prompt is read, or over."""
+        """Remove another daemon's prompt after its first token or the attempt's end."""
         self.backlogs.remove(message.replica, PrefillId(sender, message.number))
 
     def expire(self, now: timedelta, replicas: Collection[str]) -> None:
-        """Forget what is not listed any more, and what has grown old."""
+        """Drop the state of unlisted replicas and expired state."""
         self.backlogs.expire(now, replicas)
         for replica in [replica for replica in self.holders if replica not in replicas]:
             del self.holders[replica]
--- a/silverglade/routing/reachability.py
+++ b/silverglade/routing/reachability.py
@@ -1,9 +1,9 @@
-"""Regions that take no connection, as one daemon sees them (design 15.5).
+"""Detection of unreachable regions by one daemon (design 15.5).
 
-A partition between regions shows as connections that do not come up, replica by replica, each at the price of a connection's
-time-out. So once a few replicas of a region have taken none within a moment, the region as a whole is unreachable: no request is
-sent there, and none waits. The daemon tests it with bare connections instead, to replicas that were not tried yet first, until one
-comes up.
+During a partition between regions, connections to each replica fail one by one, each only after the connect time-out. Once a few
+replicas of a region have accepted no connection within a short window, the whole region is considered unreachable: no request is
+sent there or waits for it. Instead the daemon tests the region with bare connections, first to replicas that were not tried yet,
+until one is established.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from datetime import timedelta
 from typing import Protocol, TypeVar
 
-UNREACHABLE_AFTER = 2
-"""Replicas that took no connection, before their region is unreachable; also how many are tested at once."""
+FAILURES_UNTIL_UNREACHABLE = 2
+"""Number of replicas that accepted no connection before their region counts as unreachable; also the number tested at once."""
 FAILURE_WINDOW = timedelta(seconds=5)
-"""Within which failures count together."""
+"""Failures further apart than this are not counted together."""
 FIRST_TEST_INTERVAL = timedelta(milliseconds=500)
-LONGEST_TEST_INTERVAL = timedelta(seconds=1)
+MAX_TEST_INTERVAL = timedelta(seconds=1)
 
 
 class Endpoint(Protocol):
-    """A replica, as far as this module needs to know it."""
+    """The attributes of a replica that this module needs."""
 
     @property
     def id(self) -> str:
@@ -30,7 +30,7 @@
 
     @property
     def region(self) -> str:
-        """The region in which it stands."""
+        """The region in which the replica runs."""
 
 
 AnyEndpoint = TypeVar("AnyEndpoint", bound=Endpoint)
@@ -38,38 +38,38 @@
 
 
 class RegionFailures:
-    """The replicas of one region that took no connection.
+    """The replicas of one region that accepted no connection.
 
-    :ivar replicas: their ids.
-    :ivar last_failure_at: when a connection failed last.
-    :ivar test_at: when the region is tested next, once it is unreachable.
-    :ivar test_interval: from that test to the one after it.
-    :ivar turn: which replica's turn it is, once all were tried.
+    :ivar replicas: ids of these replicas.
+    :ivar last_failure_at: time of the latest connect failure.
+    :ivar test_at: time of the next test while the region is unreachable.
+    :ivar test_interval: time from that test to the one after it.
+    :ivar rotation: round-robin index of the replica to test, once all were tried.
     """
 
-    __slots__ = ("replicas", "last_failure_at", "test_at", "test_interval", "turn")
+    __slots__ = ("replicas", "last_failure_at", "test_at", "test_interval", "rotation")
 
     def __init__(self, now: timedelta) -> None:
         self.replicas: set[str] = set()
         self.last_failure_at = now
         self.test_at = now
         self.test_interval = FIRST_TEST_INTERVAL
-        self.turn = 0
+        self.rotation = 0
 
     def choose(self, replicas: Sequence[AnyEndpoint]) -> Sequence[AnyEndpoint]:
-        """Choose those of the region's replicas that are tested now: not tried yet, else one after another."""
+        """Choose the replicas of the region to test now: those not tried yet, else one in round-robin order."""
         untested = [replica for replica in replicas if replica.id not in self.replicas]
         if untested:
-            return untested[:UNREACHABLE_AFTER]
-        self.turn += 1
-        return replicas[self.turn % len(replicas) :][:1] if replicas else []
+            return untested[:FAILURES_UNTIL_UNREACHABLE]
+        self.rotation += 1
+        return replicas[self.rotation % len(replicas) :][:1] if replicas else []
 
 
 class RegionReachability:
-    """Which regions take connections, by what this daemon has met.
+    """Tracks which regions accept connections from this daemon.
 
-    :ivar failures: region to its failures; none once a replica of it has answered.
-    :ivar answered_at: region to when one of its replicas answered last.
+    :ivar failures: region to its failures; removed once one of its replicas answers.
+    :ivar answered_at: region to when one of its replicas last answered.
     """
 
     def __init__(self) -> None:
@@ -77,11 +77,11 @@
         self.answered_at: dict[str, timedelta] = {}
 
     def on_connect_failure(self, now: timedelta, region: str, replica: str, *, since: timedelta) -> None:
-        """Note that a connection to the replica did not come up in time.
+        """Record that a connection to the replica timed out.
 
-        It speaks against the replica alone if another of its region answered meanwhile.
+        It does not count against the region if another replica of it answered in the meantime.
 
-        :param since: when the connection was begun.
+        :param since: when the connection attempt began.
         """
         if self.answered_at.get(region, since) > since:
             return
@@ -92,49 +92,49 @@
         failures.last_failure_at = now
 
     def on_answer(self, now: timedelta, region: str) -> None:
-        """Note that a replica of the region was reached."""
+        """Record that a replica of the region was reached: the region's failures are cleared."""
         self.answered_at[region] = now
         self.failures.pop(region, None)
 
     def is_unreachable(self, region: str) -> bool:
-        """Whether the region takes no connection, as far as is known."""
+        """Return whether the region is considered unreachable."""
         failures = self.failures.get(region)
-        return failures is not None and len(failures.replicas) >= UNREACHABLE_AFTER
+        return failures is not None and len(failures.replicas) >= FAILURES_UNTIL_UNREACHABLE
 
     def groups(self, replicas: list[AnyEndpoint], unreachable_by_region: Counter[str]) -> list[list[AnyEndpoint]]:
-        """Group the replicas in the order in which their regions take connections; those of unreachable regions are left out.
+        """Group the replicas by how likely their regions accept connections; replicas of unreachable regions are left out.
 
-        :param unreachable_by_region: region to how many of its replicas took no connection for this request.
+        :param unreachable_by_region: region to the number of its replicas to which connections timed out for this request.
         """
         if not self.failures and not unreachable_by_region:
             return [replicas]
         reachable = [
             replica
             for replica in replicas
-            if unreachable_by_region[replica.region] < UNREACHABLE_AFTER and not self.is_unreachable(replica.region)
+            if unreachable_by_region[replica.region] < FAILURES_UNTIL_UNREACHABLE and not self.is_unreachable(replica.region)
         ]
-        untouched = [replica for replica in reachable if not unreachable_by_region[replica.region]]
-        doubtful = [replica for replica in reachable if unreachable_by_region[replica.region]]
-        return [group for group in (untouched, doubtful) if group]
+        without_failures = [replica for replica in reachable if not unreachable_by_region[replica.region]]
+        with_failures = [replica for replica in reachable if unreachable_by_region[replica.region]]
+        return [group for group in (without_failures, with_failures) if group]
 
     def on_replica_listed(self, now: timedelta, region: str) -> None:
-        """Test an unreachable region at once where a new replica of it is listed."""
+        """Schedule an immediate test if the region of a newly listed replica is unreachable."""
         if self.is_unreachable(region):
             self.failures[region].test_at = now
 
     def due_tests(self, now: timedelta, replicas: Iterable[AnyEndpoint]) -> list[AnyEndpoint]:
-        """Choose the replicas to which a connection is to be tested now.
+        """Return the replicas to which a connection must be tested now, and schedule the next tests.
 
-        :param replicas: all that are there.
+        :param replicas: all replicas present.
         """
         chosen: list[AnyEndpoint] = []
         for region, failures in self.failures.items():
             if self.is_unreachable(region) and now >= failures.test_at:
                 failures.test_at = now + failures.test_interval
-                failures.test_interval = min(LONGEST_TEST_INTERVAL, 2 * failures.test_interval)
+                failures.test_interval = min(MAX_TEST_INTERVAL, 2 * failures.test_interval)
                 chosen += failures.choose([replica for replica in replicas if replica.region == region])
         return chosen
 
     def next_test(self, default: Default) -> timedelta | Default:
-        """When an unreachable region is to be tested next; the default where there is none."""
+        """Return the time of the next test of an unreachable region; the default if no region is unreachable."""
         return min((failures.test_at for region, failures in self.failures.items() if self.is_unreachable(region)), default=default)
--- a/silverglade/routing/records.py
+++ b/silverglade/routing/records.py
@@ -1,6 +1,6 @@
-"""Records of services' replicas (design 15.4), as the platform's endpoint list has them.
+"""Records of services' replicas (design 15.4), as read from the platform's endpoint list.
 
-A record travels as an array of its fields in the order given here; a later program may append fields.
+On the wire a record is an array of its fields in the order given here; a later version of the program may append fields.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 class EndpointRecord(NamedTuple):
     """One replica of a service.
 
-    :ivar name: the replica's id; another one after each start.
+    :ivar name: the replica's id; it changes with each start.
     :ivar address: HOST:PORT.
-    :ivar slots: requests that it runs at once.
-    :ivar is_leaving: it takes nothing new; never taken back.
-    :ivar slow_start_ms: for how long from now it bears less than usual.
-    :ivar gone_in_ms: when it will be gone, or -1.
+    :ivar slots: number of requests that it runs concurrently.
+    :ivar is_leaving: whether it accepts no new requests; never reset.
+    :ivar slow_start_ms: remaining slow start, during which its capacity is reduced.
+    :ivar gone_in_ms: time until it is removed, or -1.
     """
 
     name: str
@@ -31,7 +31,7 @@
 
     @classmethod
     def of(cls, row: tuple[Any, ...]) -> EndpointRecord:
-        """A record from its array; fields of a later program are dropped."""
+        """Build a record from its array; additional fields of a later version are dropped."""
         return row if isinstance(row, cls) else cls(*row[: len(cls._fields)])
 
 
@@ -40,7 +40,7 @@
 
 
 def is_endpoint_row(row: object) -> bool:
-    """Whether an array from outside holds an endpoint record: enough fields, each of its very type."""
+    """Return whether an untrusted array is a valid endpoint record: enough fields, each of exactly the declared type."""
     if not isinstance(row, tuple) or len(row) < len(FIELD_TYPES):
         return False
     return all(type(value) is field_type for value, field_type in zip(row, FIELD_TYPES))
--- a/silverglade/routing/refused_routes.py
+++ b/silverglade/routing/refused_routes.py
@@ -1,4 +1,4 @@
-"""What is logged of requests on routes that this daemon does not know: one line for all since the last one."""
+"""Aggregated log line for requests whose route this daemon does not know: one line for all since the last one."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from ..runtime.effects import to_milliseconds
 
 NO_PROOF = -1
-"""In place of an age in milliseconds where no proof is held."""
+"""Logged instead of an age in milliseconds if there was no proof."""
 
 
 class RefusedRoutes:
-    """Requests without a route since the last line of the log.
+    """Counts requests without a known route since the last log line.
 
-    :ivar version: of the store that the route table comes from.
-    :ivar refused: how many were told that there is no such route.
-    :ivar uncertain: how many were told to come back, as the configuration may be out of date.
-    :ivar oldest_proof_ms: the age of the oldest proof with which a route was refused; `NO_PROOF` for none.
+    :ivar version: version of the store from which the route table was built.
+    :ivar refused: number of requests answered that there is no such route.
+    :ivar uncertain: number of requests answered to retry later, as the configuration may be out of date.
+    :ivar oldest_proof_ms: greatest age of the proof with which a route was refused; `NO_PROOF` for none.
     """
 
     __slots__ = ("oldest_proof_ms", "refused", "uncertain", "version")
@@ -30,7 +30,7 @@
         self.oldest_proof_ms = NO_PROOF
 
     def note(self, *, proof_age: timedelta | None, is_certain: bool) -> None:
-        """Note one request."""
+        """Count one request."""
         if not is_certain:
             self.uncertain += 1
             return
@@ -39,7 +39,7 @@
             self.oldest_proof_ms = max(self.oldest_proof_ms, to_milliseconds(proof_age))
 
     def take_line(self, configuration: Mapping[str, Any]) -> dict[str, Any] | None:
-        """Return the pairs of the line that is due, and begin anew; None where there was no such request."""
+        """Return the fields of the log line and reset the counts; None if there was no such request."""
         if not self.refused and not self.uncertain:
             return None
         epoch, number = self.version
--- a/silverglade/routing/replica_feedback.py
+++ b/silverglade/routing/replica_feedback.py
@@ -1,4 +1,4 @@
-"""What the outcome of an attempt says of its replica (design 15.3, 15.10), and who is told."""
+"""Effects of an attempt's outcome on the state of its replica (design 15.3, 15.10), here and at other daemons."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ReplicaFeedback:
-    """Notes outcomes at replicas and tells others of them."""
+    """Records outcomes in the state of replicas and notifies other components and daemons."""
 
     __slots__ = ("context",)
 
@@ -20,7 +20,7 @@
         self.context = context
 
     def accuse(self, replica: ReplicaState, now: timedelta) -> None:
-        """Tell other daemons that it failed a request (15.10)."""
+        """Publish an accusation of a replica that failed a request (design 15.10)."""
         context = self.context
         if "shared-suspicion" in context.switched_off:
             return
@@ -29,16 +29,17 @@
             context.log("replica-accused", replica=replica.id)
 
     def on_served(self, replica: ReplicaState, now: timedelta) -> None:
-        """Note that it served a request."""
+        """Record that the replica served a request."""
         replica.on_success()
         self.context.ejection.on_answer(now, replica)
         self.context.publish_accusations()
 
-    def on_doubt(self, replica: ReplicaState, now: timedelta, *, may_be_down: bool) -> None:
-        """Note that it is silent or broke off: others go first and its health checker asks it.
+    def on_suspected(self, replica: ReplicaState, now: timedelta, *, may_be_down: bool) -> None:
+        """Record silence or a broken response: start a backoff and request a health check out of turn.
 
-        Idle connections to it end if its machine may be down. A machine that goes down ends none: what is written on an old
-        one to the machine's next start would be lost, whereas a new one says for sure that nothing arrived, or brings an answer.
+        Idle connections are closed if the machine may be down. A machine that goes down closes none of its connections: a request
+        written to an old one after the machine has restarted would be lost, whereas a new connection either fails for certain
+        before anything is sent or yields a response.
         """
         replica.on_failure(now)
         self.context.effects.append(Post(Component.ENDPOINT_LIST, ReplicaSuspected(replica.id)))
--- a/silverglade/routing/replicas.py
+++ b/silverglade/routing/replicas.py
@@ -1,4 +1,4 @@
-"""The replicas that a daemon may choose from, as this daemon sees them (design 15.4)."""
+"""State that one daemon keeps about each replica that it can choose (design 15.4)."""
 
 from __future__ import annotations
 
@@ -8,52 +8,52 @@
 from ..runtime.effects import ZERO, milliseconds
 from .records import EndpointRecord
 
-FIRST_HOLD_OFF = timedelta(seconds=1)
-"""For so long others go first after a failure; doubled while failures go on."""
-LONGEST_HOLD_OFF = timedelta(seconds=8)
-MOST_DOUBLINGS = 4
+FIRST_BACKOFF = timedelta(seconds=1)
+"""For how long other replicas are preferred after a failure; doubled with each consecutive failure."""
+MAX_BACKOFF = timedelta(seconds=8)
+MAX_DOUBLINGS = 4
 
 
 class ReplicaIdentity(Protocol):
-    """What names a replica and where it stands: all that modules need that keep state of their own about replicas."""
+    """Identity and location of a replica; sufficient for modules that keep their own state about replicas."""
 
     @property
     def id(self) -> str:
-        """The replica's id; another one after each start."""
+        """The replica's id; it changes with each start."""
 
     @property
     def service(self) -> str:
-        """The service that it belongs to."""
+        """The service that the replica serves."""
 
     @property
     def zone(self) -> str:
-        """The zone in which it stands."""
+        """The zone in which the replica runs."""
 
     @property
     def region(self) -> str:
-        """The region in which it stands."""
+        """The region in which the replica runs."""
 
 
 class ReplicaState:
-    """One incarnation of a replica: what the endpoint list says, and what its answers to this daemon have shown.
+    """One incarnation of a replica: its endpoint record, and the state derived from its responses to this daemon.
 
-    :ivar id: the replica's id; another one after each start.
+    :ivar id: the replica's id; it changes with each start.
     :ivar address: HOST:PORT.
-    :ivar zone: the zone in which it stands.
-    :ivar region: the region in which it stands.
-    :ivar service: the service that it belongs to.
-    :ivar slots: requests that it runs at once.
-    :ivar is_leaving: it takes nothing new; never taken back.
-    :ivar slow_start_until: until then it bears little.
-    :ivar attempts: attempts of this daemon that are under way: (request id, number of the attempt) to when it was sent.
-    :ivar work: that of these attempts, in tokens.
-    :ivar held_off_until: others go first until then, after failures.
-    :ivar is_unresponsive: its health checker hears nothing from it.
-    :ivar failures: how many in a row.
-    :ivar active: requests that run there, by its last health check.
-    :ivar queued: requests that wait there, by its last health check.
-    :ivar last_sent_at: when this daemon last sent it a request.
-    :ivar gone_since: when it was known to be gone, or None.
+    :ivar zone: the zone in which it runs.
+    :ivar region: the region in which it runs.
+    :ivar service: the service that it serves.
+    :ivar slots: number of requests that it runs concurrently.
+    :ivar is_leaving: whether it accepts no new requests; never reset.
+    :ivar slow_start_until: end of its slow start, during which its capacity is reduced.
+    :ivar attempts: open attempts of this daemon: (request id, attempt number) to the time of sending.
+    :ivar work: total work of these attempts, in tokens.
+    :ivar backoff_until: until then other replicas are preferred, after failures.
+    :ivar is_unresponsive: whether its last health check got no answer.
+    :ivar failures: number of consecutive failures.
+    :ivar active: requests running there, by its last health check.
+    :ivar queued: requests queued there, by its last health check.
+    :ivar last_sent_at: when this daemon last sent a request to it.
+    :ivar gone_since: when this daemon learned that it is gone, or None.
     """
 
     __slots__ = (
@@ -67,7 +67,7 @@
         "slow_start_until",
         "attempts",
         "work",
-        "held_off_until",
+        "backoff_until",
         "is_unresponsive",
         "failures",
         "active",
@@ -87,7 +87,7 @@
         self.slow_start_until = now + milliseconds(record.slow_start_ms)
         self.attempts: dict[tuple[str, int], timedelta] = {}
         self.work = 0.0
-        self.held_off_until = ZERO
+        self.backoff_until = ZERO
         self.is_unresponsive = False
         self.failures = 0
         self.active = 0
@@ -96,26 +96,26 @@
         self.gone_since: timedelta | None = None
 
     def update(self, record: EndpointRecord, now: timedelta) -> None:
-        """Take a newer record of the same incarnation. Leaving is never taken back."""
+        """Apply a newer record of the same incarnation. `is_leaving` is never reset."""
         self.is_leaving = self.is_leaving or record.is_leaving
         if record.slow_start_ms:
             self.slow_start_until = max(self.slow_start_until, now + milliseconds(record.slow_start_ms))
         self.gone_since = None
 
     def on_failure(self, now: timedelta) -> None:
-        """Note that it gave no answer, or a broken one: others go first for a while, longer each time."""
+        """Record a missing or incomplete response: start a backoff, exponential in the number of consecutive failures."""
         self.failures += 1
-        self.held_off_until = now + min(LONGEST_HOLD_OFF, FIRST_HOLD_OFF * 2 ** min(self.failures - 1, MOST_DOUBLINGS))
+        self.backoff_until = now + min(MAX_BACKOFF, FIRST_BACKOFF * 2 ** min(self.failures - 1, MAX_DOUBLINGS))
 
     def on_success(self) -> None:
-        """Note that it served a request."""
+        """Record a successful response: reset the failure count and the backoff."""
         self.failures = 0
-        self.held_off_until = ZERO
+        self.backoff_until = ZERO
 
-    def hold_off(self, until: timedelta) -> None:
-        """Let others go first until then, at least."""
-        self.held_off_until = max(self.held_off_until, until)
+    def extend_backoff(self, until: timedelta) -> None:
+        """Extend the backoff to at least `until`."""
+        self.backoff_until = max(self.backoff_until, until)
 
     def is_healthy(self, now: timedelta) -> bool:
-        """Whether nothing speaks against it. After failures one request at a time tries it again."""
-        return now >= self.held_off_until and not self.is_unresponsive and not (self.failures and self.attempts)
+        """Return whether the replica is considered healthy. After failures it gets one request at a time until one succeeds."""
+        return now >= self.backoff_until and not self.is_unresponsive and not (self.failures and self.attempts)
--- a/silverglade/routing/request.py
+++ b/silverglade/routing/request.py
@@ -1,4 +1,4 @@
-"""What the router holds of one request (design 15.3)."""
+"""State of one request in the router, and the description of its attempts (design 15.3)."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from .route_table import Route, ServiceConfiguration
 
 INPUT_TOKENS_PER_OUTPUT_TOKEN = 8
-"""So many tokens of a prompt are read for the work of one token of an answer (design 15.5)."""
+"""Prompt tokens whose prefill costs as much work as one token of a response (design 15.5)."""
 
-SHORTEST_PATIENCE_MS = 250
-PATIENCE_PER_LATENCY_TARGET = 0.8
+MIN_SILENCE_TIMEOUT_MS = 250
+SILENCE_TIMEOUT_PER_LATENCY_TARGET = 0.8
 INPUT_TOKENS_PER_MS = 20
-"""Of a prompt that is read, for how long a replica may be silent meanwhile."""
-PATIENCE_PER_LONGEST_PAUSE = 0.6
+"""Assumed prefill speed, by which the silence time-out before a response grows with the prompt."""
+SILENCE_TIMEOUT_PER_LONGEST_PAUSE = 0.6
 
 MIDDLE_URGENCY = 4
-LARGEST_URGENCY = 9
+MAX_URGENCY = 9
 
 
 class RequestFacts(TypedDict):
-    """What the HTTP layer read of a request's head (http/forwarding_protocol.py).
+    """The fields that the HTTP layer parsed from a request's head (http/forwarding_protocol.py).
 
-    `attempt` is the client's id of this attempt of its own; `prefix` holds the prompt's parts, (id, tokens) each, the last one the
-    request's own; `tokens` are those of the prompt and the most of an answer; `key` is the digest of the client's key.
+    `attempt` is the client's id for its own attempt; `prefix` holds the prompt's parts, (id, tokens) each, the last one the
+    request's own; `tokens` holds the tokens of the prompt and the maximum of the response; `key` is the digest of the client's key.
     """
 
     host: str
@@ -49,33 +49,33 @@
 
 
 class Request:
-    """One request of a client, from its head to its end.
+    """One client request, from its arrival to the end of its response.
 
-    :ivar id: its name in this daemon.
-    :ivar facts: what the HTTP layer read of its head.
+    :ivar id: its id within this daemon.
+    :ivar facts: the fields that the HTTP layer parsed from its head.
     :ivar received_at: when it arrived.
-    :ivar route: the route that it takes; set once, before anything is sent.
-    :ivar service: the service that its route chose for it.
-    :ivar caller: who holds its key, if that is known; else None.
-    :ivar is_counted: whether it was told to the usage counter.
-    :ivar hides_key: no replica may be shown the key, since a configuration under which it was sent has callers.
-    :ivar homes: the regions where it may be served, by its route and its caller; none: any.
-    :ivar deadline: until when it is worked on.
-    :ivar client_deadline: its own deadline, also beyond the daemon's end.
-    :ivar tried_replicas: ids of the replicas that were tried.
-    :ivar attempt_number: of the latest attempt; 0 before the first.
-    :ivar counted_attempts: those that count towards the route's most: neither unsent nor refused by another incarnation.
-    :ivar arrivals: attempts that reached any replica, also one that refused it: what the retry budget counts.
-    :ivar unreachable_by_region: region to how many of its replicas took no connection for it.
-    :ivar sent_at: when the latest replica got it.
-    :ivar response_begun: whether the head of a streamed response was passed on.
-    :ivar last_event_id: id of the last event that was passed on.
-    :ivar open_attempts: number of an attempt under way to its replica's id.
-    :ivar last_failure: how the latest attempt ended, if it failed.
-    :ivar work: in tokens (`work_of`).
-    :ivar prompt: what there is to read, of a long one; else None.
-    :ivar backlog_query: to the holders of its replicas' prefill backlogs; None before it is asked.
-    :ivar prefill: where its prompt is noted as being read, until its first token; else None.
+    :ivar route: its route; set once, before anything is sent.
+    :ivar service: the service chosen from its route.
+    :ivar caller: the holder of its key if known, else None.
+    :ivar is_counted: whether the usage counter was notified of it.
+    :ivar hides_key: whether the key must be hidden from replicas, as a configuration under which it was sent has callers.
+    :ivar homes: the regions where it may be served, by its route and its caller; empty for any.
+    :ivar deadline: when processing ends, limited by a shutdown.
+    :ivar client_deadline: its own deadline, even if that is after the daemon's end.
+    :ivar tried_replicas: ids of the replicas tried so far.
+    :ivar attempt_number: number of the latest attempt; 0 before the first.
+    :ivar counted_attempts: attempts that count towards the route's limit: neither unsent nor refused by another incarnation.
+    :ivar arrivals: attempts that reached any replica, including one that refused it; charged to the retry budget.
+    :ivar unreachable_by_region: region to the number of its replicas to which connections timed out for this request.
+    :ivar sent_at: when the latest attempt was started.
+    :ivar response_begun: whether the head of a streamed response was forwarded.
+    :ivar last_event_id: id of the last forwarded event.
+    :ivar open_attempts: number of an open attempt to its replica's id.
+    :ivar last_failure: outcome of the latest failed attempt, or None.
+    :ivar work: its work in tokens (`work_of`).
+    :ivar prompt: its prompt if that is long, else None.
+    :ivar backlog_query: the query for the prefill backlogs of its replicas; None before it is made.
+    :ivar prefill: the replica and holder that track its prompt until the first token, else None.
     """
 
     __slots__ = (
@@ -136,31 +136,31 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether the request may be run more than once."""
         return self.route["kind"] == "pure" or self.route["kind"] == "streaming" and self.route["resumable"]
 
     @property
     def is_streaming(self) -> bool:
-        """Whether events are passed on as they come."""
+        """Whether events are forwarded as they arrive."""
         return self.route["kind"] == "streaming"
 
     @property
     def may_have_run(self) -> bool:
-        """Whether a replica that got it may have run it, so that no promise can be given."""
+        """Whether a replica may have run the request, so that the client must not be told otherwise."""
         return self.last_failure in (AttemptOutcome.LOST, AttemptOutcome.CUT)
 
 
 class AttemptTarget(TypedDict):
-    """One attempt as the request forwarder is told of it (server/request_forwarding.py).
+    """Description of one attempt for the request forwarder (server/request_forwarding.py).
 
     :ivar expect: whether only this incarnation of the replica may run it.
-    :ivar urgency: for the replica's queue, or None.
-    :ivar resume: it goes on with a stream whose head was passed on.
-    :ivar tenant: name of the caller that the replica is told instead of the key; empty: none; left out: headers pass as they came.
-    :ivar connect: for how long a connection is waited for.
-    :ivar patience: silence of the replica, on all connections, after which the router is told.
-    :ivar pause: the same once events come.
-    :ivar cap: most connections of this daemon to this replica.
+    :ivar urgency: priority in the replica's queue, or None.
+    :ivar resume: whether it continues a stream whose head was already forwarded.
+    :ivar tenant: name of the caller, sent to the replica instead of the key; empty for none; if absent, headers pass unchanged.
+    :ivar connect: connect time-out.
+    :ivar patience: silence time-out before the response: the router is notified if the replica is silent on all connections.
+    :ivar pause: the same once events arrive.
+    :ivar cap: maximum number of connections of this daemon to this replica.
     """
 
     replica: str
@@ -180,24 +180,24 @@
 
 
 def work_of(facts: RequestFacts) -> float:
-    """Work in tokens: reading a prompt costs less a token than making an answer (design 15.5)."""
+    """Return the work in tokens: prefill costs less per token than generating the response (design 15.5)."""
     input_tokens, output_tokens = facts["tokens"] or (0, 0)
     return input_tokens / INPUT_TOKENS_PER_OUTPUT_TOKEN + output_tokens or 1.0
 
 
-def patience_before_response(request: Request) -> timedelta:
-    """How long a replica may say nothing to anybody before others go first, and what is repeatable leaves it (15.3)."""
+def silence_timeout_before_response(request: Request) -> timedelta:
+    """Return how long a replica may be silent on all connections before others are preferred and repeatable requests are retried (15.3)."""
     input_tokens = (request.facts["tokens"] or (0, 0))[0]
-    allowed = PATIENCE_PER_LATENCY_TARGET * request.route["aim_ms"] + input_tokens / INPUT_TOKENS_PER_MS
-    return milliseconds(max(SHORTEST_PATIENCE_MS, allowed))
+    allowed = SILENCE_TIMEOUT_PER_LATENCY_TARGET * request.route["aim_ms"] + input_tokens / INPUT_TOKENS_PER_MS
+    return milliseconds(max(MIN_SILENCE_TIMEOUT_MS, allowed))
 
 
-def patience_between_events(request: Request) -> timedelta | None:
-    """How long a replica may say nothing once events come; None: as long as it likes."""
+def silence_timeout_between_events(request: Request) -> timedelta | None:
+    """Return how long a replica may be silent once events have begun; None for no limit."""
     longest_pause = request.route["gap_ms"]
     if not longest_pause:
         return None
-    return milliseconds(max(SHORTEST_PATIENCE_MS, PATIENCE_PER_LONGEST_PAUSE * longest_pause))
+    return milliseconds(max(MIN_SILENCE_TIMEOUT_MS, SILENCE_TIMEOUT_PER_LONGEST_PAUSE * longest_pause))
 
 
 def attempt_target(
@@ -212,13 +212,13 @@
 ) -> AttemptTarget:
     """Describe one attempt to the request forwarder.
 
-    :param remaining: what is left of the deadline.
-    :param daemons: how many share the replica's connections.
+    :param remaining: time left until the deadline.
+    :param daemons: number of daemons that share the replica's connections.
     """
     switched_off = tuning["without"]
-    watches_silence = "silence" not in switched_off
+    detects_silence = "silence" not in switched_off
     urgency = (
-        None if "urgency" in switched_off else min(LARGEST_URGENCY, MIDDLE_URGENCY + effective_rank(request.route["rank"], request.caller))
+        None if "urgency" in switched_off else min(MAX_URGENCY, MIDDLE_URGENCY + effective_rank(request.route["rank"], request.caller))
     )
     target: AttemptTarget = {
         "replica": replica.id,
@@ -230,8 +230,8 @@
         "last_event": request.last_event_id,
         "resume": request.response_begun,
         "connect": connect_timeout,
-        "patience": patience_before_response(request) if watches_silence else None,
-        "pause": patience_between_events(request) if watches_silence else None,
+        "patience": silence_timeout_before_response(request) if detects_silence else None,
+        "pause": silence_timeout_between_events(request) if detects_silence else None,
         "cap": max(1, service["conns"] // max(1, daemons)),
         "stream": request.is_streaming,
     }
--- a/silverglade/routing/route_table.py
+++ b/silverglade/routing/route_table.py
@@ -1,4 +1,4 @@
-"""Which route a request takes (design 15.2): a table made once per configuration."""
+"""Routing of requests to routes and services (design 15.2): a table built once per configuration."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from ..membership.rendezvous import hash_score
 
 SCORE_BITS = 64
-"""Of a rendezvous score."""
+"""Number of bits of a rendezvous score."""
 
 
 class ServiceShare(TypedDict):
-    """A service that a route leads to, and its weight among the others."""
+    """A service of a route, and its relative weight."""
 
     service: str
     weight: int
 
 
 class Route(TypedDict):
-    """A route as the configuration has it (configuration/schema.py)."""
+    """A route of the configuration (configuration/schema.py)."""
 
     name: str
     host: str
@@ -38,7 +38,7 @@
 
 
 class ServiceConfiguration(TypedDict):
-    """A service as the configuration has it (configuration/schema.py)."""
+    """A service of the configuration (configuration/schema.py)."""
 
     conns: int
     slots: int
@@ -50,7 +50,7 @@
 class HostRoutes(NamedTuple):
     """The routes of one host.
 
-    :ivar lengths: those of its prefixes, longest first.
+    :ivar lengths: lengths of its path prefixes, longest first.
     :ivar by_prefix: prefix to route.
     """
 
@@ -65,7 +65,7 @@
 
 
 def build_route_table(configuration: Mapping[str, Any] | None, /) -> RouteTable:
-    """Build the table of a configuration; an empty one without a configuration."""
+    """Build the route table of a configuration; empty without a configuration."""
     by_host: dict[str, dict[str, Route]] = {}
     for route in (configuration or {}).get("routes", ()):
         by_host.setdefault(route["host"].lower(), {})[route["prefix"]] = route
@@ -76,9 +76,9 @@
 
 
 def find_route(table: RouteTable, host: str, path: str, /) -> Route | None:
-    """Find the route of that host whose prefix begins the path and is longest.
+    """Find the host's route with the longest prefix that matches the path.
 
-    Costs one look-up for each length of prefix that the host has, however many routes there are.
+    Costs one look-up per distinct prefix length of the host, regardless of the number of routes.
     """
     lengths, by_prefix = table.get(host, NO_ROUTES)
     for length in lengths:
@@ -88,7 +88,7 @@
 
 
 def choose_service(route: Route, key: str, /) -> str:
-    """Choose one service by the weights: every daemon that is asked with the same key says the same."""
+    """Choose one service by weight, by hashing the key: every daemon chooses the same service for the same key."""
     shares = route["shares"]
     if len(shares) == 1:
         return shares[0]["service"]
--- a/silverglade/routing/router.py
+++ b/silverglade/routing/router.py
@@ -1,6 +1,6 @@
-"""The component that decides which replica gets each forwarded request (design 15.3); the request forwarder carries it out.
+"""The router: chooses a replica for each forwarded request (design 15.3); the request forwarder executes the attempts.
 
-This module only dispatches events; what follows from them stands in the modules beside it, each over one context (context.py).
+This module only dispatches events; the logic is in the other modules of the package, which share one context (context.py).
 """
 
 from __future__ import annotations
@@ -38,19 +38,19 @@
 from .attempt_progress import AttemptProgress
 from .attempts import DEADLINE_PASSED, Attempts
 from .callers import build_caller_table
-from .context import FEWEST_DAEMONS, RouterContext
+from .context import MIN_DAEMON_COUNT, RouterContext
 from .endpoints import Endpoints
 from .messages import BacklogReply, BacklogRequest, PrefillEnded, PrefillStarted, decode
-from .outlier_ejection import SUSPECT, DaemonPlace
+from .outlier_ejection import SUSPECT, DaemonLocation
 from .replicas import ReplicaState
 from .request import Request
 from .route_table import build_route_table
 
-DAEMON_COUNTS_FOR = timedelta(seconds=60)
-"""A daemon that was known lately counts, also one that is dead or cut off."""
+DAEMON_RETENTION = timedelta(seconds=60)
+"""For how long a daemon is counted after it was last live, as it may still be running behind a partition."""
 HOUSEKEEPING_INTERVAL = timedelta(seconds=4)
 FIRST_HOUSEKEEPING_INTERVAL = timedelta(seconds=1)
-"""The same until this daemon has said that it serves."""
+"""The interval until this daemon has announced that it serves."""
 
 
 class Router:
@@ -63,9 +63,9 @@
         self.attempts = Attempts(self.context)
         self.progress = AttemptProgress(self.context, self.attempts)
         self.endpoints = Endpoints(self.context)
-        # live daemons that forward requests, or did lately, to when they were known
+        # daemon that forwards requests to when it was last known to be live
         self.daemons_known_at: dict[str, timedelta] = {}
-        # has this daemon said in its member record that it serves?
+        # whether this daemon has announced in its member record that it serves
         self.has_announced = False
         self.handlers: dict[type[Event], Callable[[Any, timedelta], None]] = {
             ForwardingRequested: self.on_forwarding_requested,
@@ -88,15 +88,15 @@
 
     @property
     def handled_events(self) -> tuple[type[Event], ...]:
-        """The classes of the events that the router handles."""
+        """The event classes that the router handles."""
         return tuple(self.handlers)
 
     def on_start(self, now: timedelta) -> None:
-        """Note when the daemon started: the retry budget grows from then on."""
+        """Record the start of the daemon for the retry budget."""
         self.context.retry_budget.started_at = now
 
     def step(self, now: timedelta, event: Event) -> list[Effect]:
-        """Handle one event and return its effects, in the order in which they are to be carried out."""
+        """Handle one event and return its effects in order of execution."""
         context = self.context
         effects = context.effects = []
         budget = context.retry_budget
@@ -106,29 +106,29 @@
 
     @property
     def requests(self) -> dict[str, Request]:
-        """Requests under way, by id."""
+        """Open requests by id."""
         return self.context.requests
 
     @property
     def replicas(self) -> dict[str, ReplicaState]:
-        """Replicas that are listed, or still have attempts of ours, by id."""
+        """Replicas that are listed or still have open attempts of this daemon, by id."""
         return self.context.replicas
 
     # requests
 
     def on_forwarding_requested(self, event: ForwardingRequested, now: timedelta) -> None:
-        """Send a client's request to a replica, or answer it."""
+        """Register a client's request, and send it to a replica or answer it."""
         request = self.context.requests[event.request_id] = Request(event.request_id, event.facts, now)
         self.attempts.begin(request, now)
 
     def on_attempt_progressed(self, event: AttemptProgressed, now: timedelta) -> None:
-        """Handle what became of an attempt, unless its request is over."""
+        """Handle a report about an attempt, unless its request has ended."""
         request = self.context.requests.get(event.request_id)
         if request is not None:
             self.progress.on_progress(request, event, now)
 
     def on_shutdown_started(self, event: ShutdownStarted, now: timedelta) -> None:
-        """The daemon was told to stop: what is under way gets no attempt that would go on beyond its end."""
+        """Start the shutdown: limit the deadlines of all open requests to the daemon's end."""
         shutdown = self.context.shutdown
         shutdown.begin(streams_until=event.streams_until, answer_at=event.answer_at, end_at=event.end_at)
         for request in self.context.requests.values():
@@ -137,7 +137,7 @@
     # replicas
 
     def on_reachability_tested(self, event: ReachabilityTested, now: timedelta) -> None:
-        """A bare connection came up, or did not."""
+        """Handle the result of a connection test."""
         replica = self.context.replicas.get(event.replica)
         if replica is None:
             return
@@ -149,7 +149,7 @@
             reachability.on_connect_failure(now, replica.region, event.replica, since=since)
 
     def on_endpoints_listed(self, event: EndpointsListed, now: timedelta) -> None:
-        """Take endpoint records."""
+        """Add and update replicas from endpoint records."""
         self.endpoints.on_listed(event.records, event.is_complete, now)
 
     def on_endpoints_removed(self, event: EndpointsRemoved, now: timedelta) -> None:
@@ -157,18 +157,18 @@
         self.endpoints.on_removed(event.replicas, now)
 
     def on_loads_reported(self, event: LoadsReported, now: timedelta) -> None:
-        """Take what health checks brought."""
+        """Apply health check results."""
         self.endpoints.on_loads(event.loads)
 
     def on_soft_state_changed(self, event: SoftStateChanged, now: timedelta) -> None:
-        """Take other daemons' accusations of replicas."""
+        """Apply other daemons' accusations of replicas."""
         if event.kind == SUSPECT and "shared-suspicion" not in self.context.switched_off:
             self.context.ejection.on_rows(now, event.rows, self.context.replicas)
 
     # configuration
 
     def on_store_updated(self, event: StoreUpdated, now: timedelta) -> None:
-        """Take the configuration and the drained zones."""
+        """Apply the configuration and the drained zones of the store."""
         context = self.context
         context.refused_routes.version = event.version
         configuration = value_of(event.store, "config")
@@ -191,24 +191,24 @@
         self.endpoints.set_slots()
 
     def on_proof_renewed(self, event: ProofRenewed, now: timedelta) -> None:
-        """Note when the configuration was proved to be the newest."""
+        """Record when the configuration was last proved to be the newest."""
         self.context.proved_at = event.proved_at
 
     def on_services_short(self, event: ServicesShort, now: timedelta) -> None:
-        """Note which services have fewer ready replicas than they need."""
+        """Record which services have fewer ready replicas than required."""
         self.context.short_services = frozenset(key for key, (_, _, is_short) in event.services.items() if is_short)
 
     # daemons
 
     def on_membership_changed(self, event: MembershipChanged, now: timedelta) -> None:
-        """Take the live daemons; those without a disk forward requests."""
+        """Apply the live daemons; those without a disk (not cores) forward requests."""
         context = self.context
         members = [member for member in members_of(event.members) if not member.is_core]
         for member in members:
             self.daemons_known_at[member.name] = now
         context.slow_start.update_members(now, [member.name for member in members])
         context.peers = max(1, sum(1 for member in members if member.region == context.region))
-        context.ejection.set_daemons({member.name: DaemonPlace(member.zone, member.region) for member in members})
+        context.ejection.set_daemons({member.name: DaemonLocation(member.zone, member.region) for member in members})
         context.placement.set_live_daemons((member.name, member.region) for member in members if member.is_ready)
 
     def on_message_received(self, event: MessageReceived, now: timedelta) -> None:
@@ -226,16 +226,16 @@
                 placement.on_prefill_ended(event.sender, message)
 
     def send_once_answered(self, request: Request | None, now: timedelta) -> None:
-        """Send a request that waited for prefill backlogs, unless it is over or was sent."""
+        """Send a request that waited for prefill backlogs, unless it has ended or was sent already."""
         if request and request.id in self.context.requests and not request.open_attempts:
             self.attempts.send_next(request, now)
 
     def on_process_paused(self, event: ProcessPaused, now: timedelta) -> None:
-        """Settle anew after a pause of this process: others may have forgotten this daemon."""
+        """Restart the settling period of slow starts after a pause: other daemons may have forgotten this one."""
         self.context.slow_start.on_process_paused(now)
 
     def on_api_call(self, event: ApiCall, now: timedelta) -> None:
-        """Answer whether this daemon serves."""
+        """Answer the query whether this daemon is ready to serve."""
         if event.operation == "serving":
             context = self.context
             ready = context.configuration is not None and context.has_endpoint_list and bool(self.daemons_known_at)
@@ -244,15 +244,15 @@
     # time
 
     def on_timer_fired(self, event: TimerFired, now: timedelta) -> None:
-        """Do what is due."""
+        """Run the connection tests, housekeeping and overdue answers, and schedule the next wake-up."""
         context = self.context
         context.test_unreachable_regions(now)
         interval = HOUSEKEEPING_INTERVAL if self.has_announced else FIRST_HOUSEKEEPING_INTERVAL
         context.effects.append(WakeAt(context.reachability.next_test(now + interval)))
         self.announce_if_serving()
-        for daemon in [daemon for daemon, known_at in self.daemons_known_at.items() if now - known_at > DAEMON_COUNTS_FOR]:
+        for daemon in [daemon for daemon, known_at in self.daemons_known_at.items() if now - known_at > DAEMON_RETENTION]:
             del self.daemons_known_at[daemon]
-        context.daemons = max(len(self.daemons_known_at), FEWEST_DAEMONS)
+        context.daemons = max(len(self.daemons_known_at), MIN_DAEMON_COUNT)
         context.ejection.expire(now, context.replicas)
         context.placement.expire(now, context.replicas)
         for request in context.placement.overdue(now):
@@ -262,14 +262,14 @@
         self.answer_overdue_requests(now)
 
     def announce_if_serving(self) -> None:
-        """Say once in the member record that this daemon forwards requests."""
+        """Announce in the member record, once, that this daemon forwards requests."""
         context = self.context
         if not self.has_announced and context.configuration is not None and context.has_endpoint_list:
             self.has_announced = True
             context.effects.append(Post(Component.MEMBERSHIP, AttributeSet("serves", True)))
 
     def answer_overdue_requests(self, now: timedelta) -> None:
-        """Answer requests whose deadline has passed while they are at no replica."""
+        """Answer requests whose deadline has passed and that have no open attempt."""
         overdue = [request for request in self.context.requests.values() if now >= request.deadline and not request.open_attempts]
         for request in overdue:
             self.attempts.give_up(request, DEADLINE_PASSED)
--- a/silverglade/routing/slow_start.py
+++ b/silverglade/routing/slow_start.py
@@ -1,10 +1,10 @@
-"""What a replica that was just started gets from a fleet whose daemons send each other no word about it (design 16.2).
+"""Slow start of replicas without coordination between daemons (design 16.2).
 
-It bears so many requests a second from all daemons together. Each daemon takes a share that
-follows from the names of the edge daemons and the replica's id alone. Shares only fall when
-names are added, so the sum keeps the bound as long as every daemon that sends knows at least
-all the others that send. Hence names are remembered long, and a daemon that has just started
-or was paused sends nothing until the others must know it and it must know them.
+During its slow start a replica may receive a limited number of requests per second from all daemons
+together. Each daemon computes its share from the names of the edge daemons and the replica's id alone.
+Shares only decrease when names are added, so their sum stays within the limit as long as every sending
+daemon knows at least all other sending daemons. Therefore names are retained for long, and a daemon that
+has just started or was paused sends nothing until it and the others must know each other.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 SECOND = timedelta(seconds=1)
 DOUBLING_INTERVAL = SECOND / 2
-"""After so long a replica that has ended its slow start gets twice as much."""
+"""Interval at which the limit doubles after the end of a slow start."""
 ROUNDING = 1e-9
-"""Added to a rate before it is rounded down."""
+"""Added to a rate before it is rounded down, against floating-point error."""
 
 
 def share(*, per_second: float, replica: str, own_name: str, members: Collection[str]) -> int:
-    """Requests a second that `own_name` may send to a replica in slow start; over all members at most `per_second`."""
+    """Return the requests per second that `own_name` may send to a replica in slow start; at most `per_second` over all members."""
     total = floor(per_second + ROUNDING)
     if own_name not in members or total < 1:
         return 0
@@ -35,22 +35,22 @@
     return each + (own_name in rank_nodes(replica, members)[:remainder])
 
 
-class KnownMembers(NamedTuple):
-    """The edge daemons that were known at a time."""
+class MembershipSnapshot(NamedTuple):
+    """The edge daemons that were known at a given time."""
 
     at: timedelta
     members: frozenset[str]
 
 
 class EndedSlowStart(NamedTuple):
-    """What a replica bore a second in its slow start, and when that ended; None: it has not been seen to end."""
+    """A replica's limit in requests per second during its slow start, and when the slow start ended, or None while it lasts."""
 
     per_second: float
     ended_at: timedelta | None
 
 
 class ComputedShare(NamedTuple):
-    """The share that this daemon has of a replica, and what it was computed from."""
+    """This daemon's share of a replica's limit, and the inputs from which it was computed."""
 
     per_second: float
     members: frozenset[str]
@@ -58,16 +58,16 @@
 
 
 class SlowStart:
-    """One daemon's part in keeping replicas' bounds while they start.
+    """Enforces one daemon's share of the limits of replicas in slow start.
 
-    :ivar own_name: this daemon.
-    :ivar settled_since: when it started, or went on after a pause; None before the first event.
+    :ivar own_name: name of this daemon.
+    :ivar settled_since: when it started, or resumed after a pause; None before the first event.
     :ivar last_known: daemon to when it was last known.
-    :ivar members: the same names.
-    :ivar latest: the edge daemons as they were looked at last.
-    :ivar sent: replica to when it was sent requests in the last second.
-    :ivar slow_starts: replica to its slow start, until it bears everything.
-    :ivar shares: replica to this daemon's share, computed once.
+    :ivar members: the names in `last_known`.
+    :ivar latest: the edge daemons at the last update.
+    :ivar sent: replica to the times of the requests sent to it in the last second.
+    :ivar slow_starts: replica to its slow start, until the limit is lifted.
+    :ivar shares: replica to this daemon's share (cache).
     """
 
     def __init__(self, *, own_name: str, tuning: Mapping[str, Any], started_at: timedelta | None = None) -> None:
@@ -76,15 +76,15 @@
         self.settled_since = started_at
         self.last_known: dict[str, timedelta] = {}
         self.members: frozenset[str] = frozenset()
-        self.latest: KnownMembers | None = None
+        self.latest: MembershipSnapshot | None = None
         self.sent: dict[str, deque[timedelta]] = {}
         self.slow_starts: dict[str, EndedSlowStart] = {}
         self.shares: dict[str, ComputedShare] = {}
 
     def update_members(self, now: timedelta, known: Iterable[str]) -> timedelta:
-        """Take the edge daemons known now; none given: as before. Also to be called when the membership changes.
+        """Set the edge daemons known now; if none are given, the previous ones are kept. Must also be called on membership changes.
 
-        :returns: since when this daemon runs without a pause.
+        :returns: since when this daemon has been running without a pause.
         """
         if self.settled_since is None:
             self.settled_since = now
@@ -92,19 +92,19 @@
         members = frozenset(known) or (latest.members if latest else frozenset())
         if latest and now - latest.at < SECOND and members == latest.members:
             return self.settled_since
-        self.latest = KnownMembers(now, members)
+        self.latest = MembershipSnapshot(now, members)
         self.last_known.update(dict.fromkeys(members, now))
         self.last_known = {name: at for name, at in self.last_known.items() if now - at <= self.tuning["cold_recall"]}
         self.members = frozenset(self.last_known)
         return self.settled_since
 
     def on_process_paused(self, now: timedelta) -> None:
-        """Settle anew: others may have forgotten this daemon."""
+        """Restart the settling period after a pause: other daemons may have forgotten this one."""
         self.settled_since = now
 
     def own_share(self, replica: str, per_second: float) -> int:
-        """Requests a second that this daemon may send to the replica in slow start."""
-        if self.members == {self.own_name}:  # alone, or cut off since the start: who can tell
+        """Return the requests per second that this daemon may send to the replica in slow start."""
+        if self.members == {self.own_name}:  # alone, or partitioned since its start: indistinguishable
             return min(1, floor(per_second + ROUNDING))
         computed = self.shares.get(replica)
         if not computed or (computed.per_second, computed.members) != (per_second, self.members):
@@ -113,10 +113,10 @@
         return computed.share
 
     def take(self, now: timedelta, replica: str, *, per_second: float | None, members: Iterable[str] = ()) -> bool:
-        """Whether a request may go to the replica now; counted if so.
+        """Return whether a request may be sent to the replica now; if so, count it.
 
-        :param per_second: what it bears from all daemons together; None: its slow start is over.
-        :param members: the edge daemons known now; none given: as before.
+        :param per_second: the replica's limit over all daemons; None once its slow start is over.
+        :param members: the edge daemons known now; if none are given, the previous ones are kept.
         """
         settled_since = self.update_members(now, members)
         if per_second is None:
@@ -126,28 +126,29 @@
             return False
         return self.count(now, replica, self.own_share(replica, per_second))
 
-    def sent_lately(self, now: timedelta, replica: str) -> deque[timedelta]:
-        """When it was sent requests in the last second."""
+    def recent_sends(self, now: timedelta, replica: str) -> deque[timedelta]:
+        """Return the times of the requests sent to the replica in the last second."""
         sent = self.sent.setdefault(replica, deque())
         while sent and now - sent[0] >= SECOND:
             sent.popleft()
         return sent
 
     def count(self, now: timedelta, replica: str, most: int) -> bool:
-        """Whether fewer than `most` requests were sent to it in the last second; one more is counted if so."""
-        sent = self.sent_lately(now, replica)
+        """Return whether fewer than `most` requests were sent to the replica in the last second; if so, count one more."""
+        sent = self.recent_sends(now, replica)
         if len(sent) >= most:
             return False
         sent.append(now)
         return True
 
     def take_after_slow_start(self, now: timedelta, replica: str) -> bool:
-        """The same after its slow start: the share it had for a second, then twice that each half second.
+        """Do the same after the slow start: this daemon's share for one second, then doubled every half second.
 
-        What a warm replica is sent is counted too: one that turns cold has already had that in the second when it is found out.
+        Requests to a warm replica are counted too: if it turns cold, they count towards the limit of the second in which that is
+        detected.
         """
         if replica not in self.slow_starts:
-            self.sent_lately(now, replica).append(now)
+            self.recent_sends(now, replica).append(now)
             return True
         per_second, ended_at = self.slow_starts[replica]
         ended_at = ended_at or now
@@ -162,7 +163,7 @@
         return self.count(now, replica, max(1, base) * 2**doublings if doublings else base)
 
     def keep_only(self, replicas: Collection[str]) -> None:
-        """Forget all other replicas."""
+        """Drop the state of all other replicas."""
         for table in (self.slow_starts, self.sent, self.shares):
             for replica in [replica for replica in table if replica not in replicas]:
                 del table[replica]
--- a/tests/routing/test_endpoint_list.py
+++ b/tests/routing/test_endpoint_list.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from silverglade.membership.records import MemberRecord
-from silverglade.routing.endpoint_list import MISSED_LISTS, EndpointList, list_readers
+from silverglade.routing.endpoint_list import MISSED_LISTS_UNTIL_GONE, EndpointList, list_readers
 from silverglade.routing.records import EndpointRecord
 from silverglade.runtime.settings import tuning
 from silverglade.runtime.state_machine import MachineComponent
@@ -119,7 +119,7 @@
     b.feed("read", (rep("1"), rep("2")))
     b.feed("read", (rep("2"),))
     assert set(b.held()) == {"1", "2"}
-    for _ in range(MISSED_LISTS - 1):
+    for _ in range(MISSED_LISTS_UNTIL_GONE - 1):
         b.feed("read", (rep("2"),))
     assert set(b.held()) == {"2"} and b.published()[-1][2] is None
     b.feed("read", (rep("1"), rep("2")))
--- a/tests/routing/test_health_checks.py
+++ b/tests/routing/test_health_checks.py
@@ -191,7 +191,7 @@
 
 def test_suspicions_of_many_do_not_make_a_flood():
     p, _ = lone(probe_extra=3, probe_every=60)
-    p.next_turn = {i: 100 * SEC for i in p.next_turn}
+    p.next_check_at = {i: 100 * SEC for i in p.next_check_at}
     for i in range(10):
         p.suspect(f"r{i}")
     assert [len(p.due((50 + t) * SEC)) for t in range(5)] == [3, 3, 3, 1, 0]
@@ -215,4 +215,4 @@
     p.on_process_paused()
     assert p.due(0.1 * SEC) == ("r",)
     p.set_replicas({})
-    assert (p.next_turn, p.under_way, p.suspected, p.own_replicas) == ({}, {}, {}, frozenset())
+    assert (p.next_check_at, p.under_way, p.suspected, p.own_replicas) == ({}, {}, {}, frozenset())
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -7,14 +7,22 @@
 import pytest
 
 from silverglade.routing import outlier_ejection
-from silverglade.routing.outlier_ejection import ACQUITTAL, EJECTION, LONGEST_EJECTION, SUSPECT, TRIAL, DaemonPlace, OutlierEjection
+from silverglade.routing.outlier_ejection import (
+    ACQUITTAL,
+    FIRST_EJECTION,
+    MAX_EJECTION,
+    SUSPECT,
+    TRIAL_DURATION,
+    DaemonLocation,
+    OutlierEjection,
+)
 
 from ..support.router_bench import RouterBench, endpoint, member, only_effect, route
 
 SEC = timedelta(seconds=1)
 MS = timedelta(milliseconds=1)
-HERE = {"d1": DaemonPlace("a1", "a"), "d2": DaemonPlace("a1", "a"), "d3": DaemonPlace("a2", "a"), "d4": DaemonPlace("a2", "a")}
-FAR = {"e1": DaemonPlace("b1", "b"), "e2": DaemonPlace("b2", "b")}
+HERE = {"d1": DaemonLocation("a1", "a"), "d2": DaemonLocation("a1", "a"), "d3": DaemonLocation("a2", "a"), "d4": DaemonLocation("a2", "a")}
+FAR = {"e1": DaemonLocation("b1", "b"), "e2": DaemonLocation("b2", "b")}
 
 
 class Replica(NamedTuple):
@@ -142,7 +150,7 @@
 
 
 def test_however_many_of_one_zone_accuse_few_say_so():
-    members = {f"d{i}": DaemonPlace("a1", "a") for i in range(40)} | {"z": DaemonPlace("a2", "a")}
+    members = {f"d{i}": DaemonLocation("a1", "a") for i in range(40)} | {"z": DaemonLocation("a2", "a")}
     f = Fleet(members)
     for i in members:
         f.accuse(i, "0")
@@ -163,7 +171,7 @@
 def test_after_an_ejection_one_daemon_alone_tries_and_its_word_frees_the_replica():
     f = Fleet(HERE)
     eject(f)
-    f.go(EJECTION)
+    f.go(FIRST_EJECTION)
     (tester,) = on_trial(f)
     d = f.daemons[tester]
     assert d.replica_to_try(f.now, list(REPLICAS.values())).id == "0"
@@ -182,14 +190,14 @@
         (tester,) = on_trial(f)
         testers.add(tester)
         f.accuse(tester, "0")
-    assert spans[:4] == [EJECTION, 2 * EJECTION, 4 * EJECTION, 8 * EJECTION] and max(spans) == LONGEST_EJECTION
+    assert spans[:4] == [FIRST_EJECTION, 2 * FIRST_EJECTION, 4 * FIRST_EJECTION, 8 * FIRST_EJECTION] and max(spans) == MAX_EJECTION
     assert len(testers) > 1
 
 
 def test_nobody_that_tries_is_not_waited_for_for_ever():
     f = Fleet(HERE)
     eject(f)
-    f.go(EJECTION + TRIAL)
+    f.go(FIRST_EJECTION + TRIAL_DURATION)
     assert len(on_trial(f)) == len(HERE)
 
 
@@ -200,7 +208,7 @@
         f.go(SEC)
     last = {row.key: row.value for _, row in f.rows}
     assert set(last.values()) == {None}
-    assert all(not d.cases and not d.own_rows for d in f.daemons.values())
+    assert all(not d.ejection_states and not d.own_rows for d in f.daemons.values())
     f.replicas = {}
     f.go(SEC)
     assert all(not d.row_numbers for d in f.daemons.values())
@@ -221,7 +229,7 @@
     f.daemons["d1"].on_rows(f.now, {"0 d1": ((41,), (1000,))}, REPLICAS)  # its own, from the table
     f.accuse("d1", "0")
     assert f.rows[-1][1].rank == (42,)
-    assert f.daemons["d1"].cases["0"].accusers.keys() == {"d1"}
+    assert f.daemons["d1"].ejection_states["0"].accusers.keys() == {"d1"}
 
 
 @pytest.mark.parametrize(
@@ -253,8 +261,8 @@
     d = OutlierEjection(own_name="d4")
     d.set_daemons(HERE)
     d.on_rows(SEC, {"0 d1": ((1,), (10**9,))}, REPLICAS)
-    d.on_rows(SEC + LONGEST_EJECTION + MS, {"0 d3": ((1,), (1000,))}, REPLICAS)
-    assert d.avoided(SEC + LONGEST_EJECTION + MS, list(REPLICAS.values())) == frozenset()
+    d.on_rows(SEC + MAX_EJECTION + MS, {"0 d3": ((1,), (1000,))}, REPLICAS)
+    assert d.avoided(SEC + MAX_EJECTION + MS, list(REPLICAS.values())) == frozenset()
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -271,10 +279,10 @@
             f.go(rng.randrange(900) * MS)
         outs = [f.out(i) for i in HERE]
         assert all(len(o) <= len(REPLICAS) // 2 for o in outs)
-        held = [{x for x, c in d.cases.items() if c.is_open(f.now)} for d in f.daemons.values()]
+        held = [{x for x, c in d.ejection_states.items() if c.is_open(f.now)} for d in f.daemons.values()]
         assert all(h == held[0] for h in held) and all(o <= h for o, h in zip(outs, held))
         if len(held[0]) <= len(REPLICAS) // 2:
-            trials = {x for x in held[0] if f.daemons["d1"].cases[x].is_on_trial(f.now)}
+            trials = {x for x in held[0] if f.daemons["d1"].ejection_states[x].is_on_trial(f.now)}
             assert frozenset.union(*outs) - frozenset.intersection(*outs) <= trials
 
 
@@ -296,7 +304,7 @@
     b = Told(route(), replicas=(endpoint("1"), endpoint("2")))
     b.tell("1", "d2", "d3")
     assert {only_effect(b.request()[1], "try")[3]["replica"] for _ in range(8)} == {"2"}
-    b.advance(LONGEST_EJECTION / SEC + TRIAL / SEC)
+    b.advance(MAX_EJECTION / SEC + TRIAL_DURATION / SEC)
     assert {only_effect(b.request()[1], "try")[3]["replica"] for _ in range(24)} == {"1", "2"}
 
 
--- a/tests/routing/test_prefill_placement.py
+++ b/tests/routing/test_prefill_placement.py
@@ -7,8 +7,8 @@
 from silverglade.routing.health_checks import health_checker
 from silverglade.routing.messages import decode
 from silverglade.routing.prefill_backlog import (
-    FORGOTTEN_AFTER,
-    MOST_PARTS,
+    MAX_CACHED_PARTS,
+    PREFILL_EXPIRY,
     BacklogQuery,
     PrefillBacklogs,
     PrefillId,
@@ -16,7 +16,7 @@
     PromptLengths,
     prompt_of,
 )
-from silverglade.routing.prefill_placement import ANSWER_WITHIN, SILENT_FOR, PrefillPlacement
+from silverglade.routing.prefill_placement import REPLY_TIMEOUT, UNRESPONSIVE_HOLDER_BACKOFF, PrefillPlacement
 from silverglade.testbed.experiments.policy_day import play
 from silverglade.transport.message_schemas import is_valid_message
 
@@ -51,10 +51,10 @@
     backlogs.remove("1", PrefillId("d2", 7))
     assert backlogs.cost(now, "1", p) == 3000
     backlogs.add(now, "1", PrefillId("d2", 8), p, 0)
-    assert backlogs.cost(now + FORGOTTEN_AFTER, "1", p) == 3000  # never reported: its daemon may be gone
+    assert backlogs.cost(now + PREFILL_EXPIRY, "1", p) == 3000  # never reported: its daemon may be gone
     backlogs.remove("1", PrefillId("d3", 99))
     backlogs.remove("9", PrefillId("d3", 99))
-    backlogs.expire(now + FORGOTTEN_AFTER, {"1"})
+    backlogs.expire(now + PREFILL_EXPIRY, {"1"})
     assert backlogs.replicas["1"].reading == {}
     backlogs.expire(now, set())
     assert backlogs.replicas == {}
@@ -67,14 +67,14 @@
     assert backlogs.cost(SEC, "1", prompt_of(*LONG)) == 9500
 
 
-@pytest.mark.parametrize("room, parts", [(10_000, 10), (0, MOST_PARTS)])
+@pytest.mark.parametrize("room, parts", [(10_000, 10), (0, MAX_CACHED_PARTS)])
 def test_what_a_backlog_remembers_is_bounded_by_the_replicas_memory_and_by_count(room, parts):
     backlogs = PrefillBacklogs()
-    for n in range(MOST_PARTS + 100):
+    for n in range(MAX_CACHED_PARTS + 100):
         backlogs.add(SEC, "1", PrefillId("d2", n), Prompt(((f"p{n}", 1000),), 0), room)
     backlog = backlogs.replicas["1"]
     assert len(backlog.cached) == parts and backlog.cached_tokens == 1000 * parts
-    assert f"p{MOST_PARTS + 99}" in backlog.cached
+    assert f"p{MAX_CACHED_PARTS + 99}" in backlog.cached
 
 
 def test_a_question_wants_both_answers_and_takes_the_lesser_then_the_first():
@@ -159,13 +159,13 @@
     b = Asking()
     _, asks = b.long()
     b.tell(asks[1], 1)
-    es = b.advance(ANSWER_WITHIN / SEC)
+    es = b.advance(REPLY_TIMEOUT / SEC)
     assert tries(es) == [asks[0][2][2]]
     assert b.tell(asks[0], 1) == []  # too late
     for _ in range(20):
         es = b.request(prefix=((f"t{b.requests_made}", 2500), *LONG[0][1:]), tokens=LONG[1])[1]
         assert asks[0][1] not in [e[1] for e in es if e[0] == "send" and e[2][0] == "load-ask"]
-    b.advance(SILENT_FOR / SEC)
+    b.advance(UNRESPONSIVE_HOLDER_BACKOFF / SEC)
     later = [b.request(prefix=((f"u{b.requests_made}", 2500), *LONG[0][1:]), tokens=LONG[1])[1] for _ in range(40)]
     assert asks[0][1] in {e[1] for es in later for e in es if e[0] == "send"}
 
@@ -218,8 +218,8 @@
     for n in range(1000):
         p.on_prefill_started(SEC, "d2", decode(("load-put", "1", n, (), 9000)), replica)
     assert p.backlogs.cost(SEC, "1", Prompt((), 1)) == 9_000_001
-    p.expire(SEC + FORGOTTEN_AFTER, {"1": replica})
-    assert p.backlogs.cost(SEC + FORGOTTEN_AFTER, "1", Prompt((), 1)) == 1
+    p.expire(SEC + PREFILL_EXPIRY, {"1": replica})
+    assert p.backlogs.cost(SEC + PREFILL_EXPIRY, "1", Prompt((), 1)) == 1
 
 
 def test_one_holder_a_replica_the_one_who_probes_it():
--- a/tests/routing/test_reachability.py
+++ b/tests/routing/test_reachability.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from silverglade.routing.reachability import FIRST_TEST_INTERVAL, LONGEST_TEST_INTERVAL, UNREACHABLE_AFTER, RegionReachability
+from silverglade.routing.reachability import FAILURES_UNTIL_UNREACHABLE, FIRST_TEST_INTERVAL, MAX_TEST_INTERVAL, RegionReachability
 from silverglade.testbed.fake_servers.request_format import SEC
 from silverglade.testbed.simulator.forwarding_scenario import Scene
 
@@ -56,7 +56,7 @@
             failed(r, now + WAIT, x.id)
     assert tested[:2] == [["3", "4"], ["5"]]  # those not tried yet first
     assert all(len(x) == 1 for x in tested[1:]) and {x for row in tested[2:] for x in row} == {"1", "2", "3", "4", "5"}
-    assert pauses[:2] == [0 * SEC, FIRST_TEST_INTERVAL] and set(pauses[2:]) == {LONGEST_TEST_INTERVAL}
+    assert pauses[:2] == [0 * SEC, FIRST_TEST_INTERVAL] and set(pauses[2:]) == {MAX_TEST_INTERVAL}
     r.on_answer(now, "b")
     assert not r.is_unreachable("b") and r.next_test(None) is None
 
@@ -111,7 +111,7 @@
     reps = tuple(endpoint(str(i), "b1") for i in range(1, 9))
     b = RouterBench(route(homes=["b"]), replicas=reps)
     tried, end = timeouts(b, *b.request())
-    assert len(tried) == UNREACHABLE_AFTER and len(bare_connections(end)) == UNREACHABLE_AFTER
+    assert len(tried) == FAILURES_UNTIL_UNREACHABLE and len(bare_connections(end)) == FAILURES_UNTIL_UNREACHABLE
     assert not set(bare_connections(end)) & set(tried)
     assert only_effect(requests(end), "answer")[2] == 503
     for _ in range(20):
@@ -120,7 +120,7 @@
     seen = set(bare_connections(end))
     for _ in range(12):  # bare connections, no request, look whether it is back
         es = b.advance(1)
-        assert requests(es) == [] and 1 <= len(bare_connections(es)) <= UNREACHABLE_AFTER
+        assert requests(es) == [] and 1 <= len(bare_connections(es)) <= FAILURES_UNTIL_UNREACHABLE
         seen |= set(bare_connections(es))
         for i in bare_connections(es):
             b.feed("reached", i, False)
@@ -208,7 +208,7 @@
     s.w.heal()
     healed, lives = s.w.now, {n.life for n in s.w.nodes.values() if n.zone == "kaohsiung"}
     s.w.run(8)
-    reached_again = healed + LONGEST_TEST_INTERVAL + 2 * WAIT
+    reached_again = healed + MAX_TEST_INTERVAL + 2 * WAIT
     late = [x for x in s.r.sent.values() if x.life in lives and x.at > reached_again and s.r.got[x.attempt].ended]
     refused = [x for x in late if s.r.got[x.attempt].status == 503]
     assert len(late) > 20 and not refused
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -186,7 +186,7 @@
             asks = sum(x.count for x in self.requests.get(service, ()) if x.slot > k - 40)
             if mine > 0.2 * asks + self.share(now, daemons):
                 return False
-            module.count_one(self.retries, service, k)
+            module.increment_count(self.retries, service, k)
             return True
 
     def run(make):
--- a/tests/routing/test_router_seeds.py
+++ b/tests/routing/test_router_seeds.py
@@ -74,11 +74,11 @@
     monkeypatch.setattr(daemon_components, "MachineComponent", component)
 
 
-def usable(**wrong):
+def eligible_replicas(**wrong):
     """Replicas are chosen without one of the rules."""
 
     def fn(mp):
-        real = attempts.usable
+        real = attempts.eligible_replicas
 
         def f(reps, **kw):
             if "service" in wrong:
@@ -96,7 +96,7 @@
                 ]
             return real(reps, **{**kw, **wrong})
 
-        mp.setattr(attempts, "usable", f)
+        mp.setattr(attempts, "eligible_replicas", f)
 
     return fn
 
@@ -163,10 +163,10 @@
 PLANTED = [
     ("TRIES", tries_on, ("spoil",), dict(gap=0.2, town="navrang")),
     ("DUE", effects(lambda now, e: (("try", *e[1:3], dict(e[3], deadline_ms=60000)),) if e[0] == "try" else (e,)), (), {}),
-    ("DRAIN", usable(leaving=False), ("release",), {}),
-    ("EVAC", usable(drained_zones=frozenset()), ("evacuate",), {}),
-    ("HOME", usable(homes=()), (), {}),
-    ("ROUTE", usable(service=None), (), {}),
+    ("DRAIN", eligible_replicas(leaving=False), ("release",), {}),
+    ("EVAC", eligible_replicas(drained_zones=frozenset()), ("evacuate",), {}),
+    ("HOME", eligible_replicas(homes=()), (), {}),
+    ("ROUTE", eligible_replicas(service=None), (), {}),
     ("TWICE", every_time, ("crash", "spoil"), {}),
     ("BUDGET", spends, ("spoil",), dict(opt=tuning(budget_slack=0.0), bounds=Bounds(slack=2), gap=0.3)),
     ("FAILBACK", floods, ("cold_return",), {}),
