--- a/tests/http/test_every_byte_breaches.py
+++ b/tests/http/test_every_byte_breaches.py
@@ -57,7 +57,7 @@
         Request,
         "last_failure",
         property(lambda request: None, lambda request, outcome: None),
-        doubt.test_a_request_that_left_a_silent_replica_is_never_promised_not_to_have_run,
+        doubt.test_a_request_retried_after_silence_is_never_reported_as_not_run,
     ),
 ]
 
--- a/tests/routing/test_at_most_once.py
+++ b/tests/routing/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Runs at most once (docs/control-safety.md 5): seeded days of silence, resets, frozen daemons and SIGTERM."""
+"""At-most-once execution (docs/control-safety.md 5) in seeded runs with silence, resets, paused daemons and SIGTERM."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("name", DAYS)
-def test_no_request_runs_twice_or_gets_anothers_answer(name):
+def test_no_request_runs_twice_or_gets_the_response_of_another(name):
     s, bad = forward_faults.run(town="hamlet", seed=31, kinds=DAYS[name], secs_=14, gap=0.8)
     assert bad == [] and s.told()["200"] > 1000
     once = [a for a, sent in s.r.sent.items() if not sent.again]
@@ -22,7 +22,7 @@
     assert all(a in unpromised for a in once if s.r.runs_of[a])
 
 
-def test_a_part_that_sends_again_after_a_loss_is_caught(monkeypatch):
+def test_a_router_that_retries_after_a_loss_is_detected(monkeypatch):
     from silverglade.routing.request import Request
 
     monkeypatch.setattr(Request, "is_repeatable", property(lambda q: True))
--- a/tests/routing/test_caller_seeds.py
+++ b/tests/routing/test_caller_seeds.py
@@ -1,4 +1,4 @@
-"""Seeded days of the forwarding path with keys that are added and taken away (design 17); planted faults are caught in the same days."""
+"""Seeded runs of the forwarding path in which keys are added and revoked (design 17); planted faults are detected in the same runs."""
 
 import pytest
 
@@ -20,27 +20,27 @@
 
 
 def day(**kw):
-    """What a day breaks: keys come and go, daemons are cut off."""
+    """Run with key changes and partitioned daemons; return the scene and the rules broken."""
     return forward_faults.run(**{**dict(town="hamlet", secs_=14, gap=0.7, keys=True, kinds=CUTS), **kw})
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
-def test_a_day_of_closed_revocation_breaks_no_rule(seed):
+def test_a_run_with_closed_revocation_breaks_no_rule(seed):
     scene, broken = day(seed=seed, **CLOSED)
     assert broken == []
     answers = scene.told()
     assert answers["200"] > 200 and answers["401"] > 20
-    assert len({repr(raw["callers"]) for raw in scene.raws.values()}) > 2  # keys did come and go
+    assert len({repr(raw["callers"]) for raw in scene.raws.values()}) > 2  # keys were added and revoked
 
 
 @pytest.mark.parametrize("town, seed", [("navrang", 5), ("banyan", 6)])
-def test_a_day_of_all_failures_with_keys_breaks_no_rule(town, seed):
+def test_a_run_with_all_faults_and_keys_breaks_no_rule(town, seed):
     scene, broken = day(town=town, seed=seed, kinds=forward_faults.ALL, gap=2.0)
     assert broken == [] and scene.told()["200"] > 200
 
 
-def scene_of_a_cut_daemon(closed=True):
-    """A daemon is cut off, and with it nobody; a key is taken away -> the scene, the daemon's name, the key."""
+def scene_with_partitioned_daemon(closed=True):
+    """Partition one daemon from all others and revoke a key; return the scene, the daemon and the key."""
     s = Scene(town="hamlet", seed=1, keys=True, **(CLOSED if closed else {}))
     s.settle()
     cut = "edge-north-0"
@@ -57,8 +57,8 @@
     return s, s.w.nodes[cut], key
 
 
-def ask_cut_daemon(s, node, key):
-    """A client of the cut daemon sends one request -> the status it got."""
+def request_at_partitioned_daemon(s, node, key):
+    """Send one request of a client to the partitioned daemon; return the status."""
     s.f.fronts = lambda zone, held=False: [node]
     row, r = next(row for row in s.t["mix"] if row[0] == "fetch"), next(r for r in s.t["config"]["routes"] if r["name"] == "fetch")
     before = dict(s.why)
@@ -67,31 +67,31 @@
     return next(status for status, count in s.why.items() if count != before.get(status, 0))
 
 
-def test_a_daemon_that_is_cut_off_refuses_a_key_that_was_taken_away():
-    """Guards against a key that works on behind a cut: with closed revocation nothing that wants a key runs there."""
-    s, node, key = scene_of_a_cut_daemon()
+def test_a_partitioned_daemon_refuses_a_revoked_key():
+    """Guards against a revoked key that stays valid in a partition: with closed revocation no request that requires a key runs there."""
+    s, node, key = scene_with_partitioned_daemon()
     s.w.run(5)
-    assert ask_cut_daemon(s, node, key) == 503
+    assert request_at_partitioned_daemon(s, node, key) == 503
     assert s.r.faults == []
 
 
-def test_a_daemon_that_is_cut_off_goes_by_what_it_knows_where_revocation_is_not_closed():
-    s, node, key = scene_of_a_cut_daemon(closed=False)
+def test_without_closed_revocation_a_partitioned_daemon_accepts_a_revoked_key():
+    s, node, key = scene_with_partitioned_daemon(closed=False)
     s.w.run(5)
-    assert ask_cut_daemon(s, node, key) == 200
+    assert request_at_partitioned_daemon(s, node, key) == 200
     assert s.r.faults == []
 
 
-def test_the_judge_sees_a_cut_daemon_that_goes_on_by_old_keys(monkeypatch):
+def test_the_checker_detects_a_partitioned_daemon_that_accepts_revoked_keys(monkeypatch):
     monkeypatch.setattr(RouterContext, "are_keys_certain", lambda self, now: True)
-    s, node, key = scene_of_a_cut_daemon()
+    s, node, key = scene_with_partitioned_daemon()
     s.w.run(5)
-    assert ask_cut_daemon(s, node, key) == 200
+    assert request_at_partitioned_daemon(s, node, key) == 200
     assert [fault[1:3] for fault in s.r.faults] == [("CONFIG", "its key was taken away")]
 
 
 def first_table_stays(mp):
-    """The callers of the first configuration hold on."""
+    """Make the router keep the callers of the first configuration."""
     real, kept = router.build_caller_table, []
 
     def build(configuration):
@@ -105,8 +105,8 @@
     return lambda mp: without(mp, attempts.__name__, guard, instead, "silverglade.routing.router.Attempts")
 
 
-def retold(**changed):
-    """Attempts name another tenant, or none at all."""
+def with_changed_target(**changed):
+    """Return a plant that changes fields of attempt targets, such as the tenant; None removes it."""
 
     def turn(now, e):
         if e[0] != "try":
@@ -118,8 +118,8 @@
 
 
 PLANTED = [
-    ("UNASKED", retold(tenant="mallory")),
-    ("UNASKED", retold(tenant=None)),
+    ("UNASKED", with_changed_target(tenant="mallory")),
+    ("UNASKED", with_changed_target(tenant=None)),
     ("ROUTE", unguarded('if not route.get("public"):', "if False:")),
     ("CONFIG", first_table_stays),
     ("CONFIG", unguarded("if caller is None:", "if caller is None or now.total_seconds() > 14:")),
@@ -128,6 +128,6 @@
 
 
 @pytest.mark.parametrize("rule, plant", PLANTED, ids=[f"{rule}-{number}" for number, (rule, _) in enumerate(PLANTED)])
-def test_a_router_with_a_planted_fault_about_keys_is_caught(monkeypatch, rule, plant):
+def test_a_planted_fault_in_key_handling_is_detected(monkeypatch, rule, plant):
     plant(monkeypatch)
     assert rule in {broken[1] for broken in day(seed=1, stop=True, kinds=("keys",), **CLOSED)[1]}
--- a/tests/routing/test_cold_replicas.py
+++ b/tests/routing/test_cold_replicas.py
@@ -1,4 +1,4 @@
-"""A warm replica that turns cold while it runs (design 16.2): what anybody can know, and that the bound holds from then on."""
+"""A warm replica that turns cold while running (design 16.2): the limit holds as soon as the endpoint list shows it, not earlier."""
 
 from datetime import timedelta
 
@@ -17,7 +17,7 @@
 
 
 def sent_to_replicas(monkeypatch, *, turns_cold):
-    """What replicas were sent in a calm day, in whose middle all of one zone turn cold or stay warm; the list trails as far as it may."""
+    """Return the arrivals at replicas in a run without faults in which one zone's replicas may turn cold; the list is maximally stale."""
     arrivals = []
     take = Seat.take
 
@@ -39,7 +39,7 @@
 
 
 def test_no_daemon_can_act_on_it_before_the_list_shows_it():
-    """The bound below which no program can go: until the list shows it, the two days are one for all who only see from outside."""
+    """The lower bound for any implementation: until the list shows it, the two runs look identical from outside the replicas."""
     with pytest.MonkeyPatch.context() as monkeypatch:
         warm = sent_to_replicas(monkeypatch, turns_cold=False)
     with pytest.MonkeyPatch.context() as monkeypatch:
@@ -49,7 +49,7 @@
     assert sum(at > TURNS_COLD_S * SEC for at, *_ in warm) > 20
 
 
-def test_the_judge_counts_from_the_moment_when_the_list_shows_it():
+def test_the_checker_applies_the_limit_from_when_the_list_shows_it():
     engine = ReplicaEngine(replica_id="r", spec=ReplicaSpec(), seed=1)
     seat = Seat.__new__(Seat)
     seat.e, seat.spec = engine, engine.spec
@@ -57,11 +57,11 @@
     engine.begin_slow_start(10 * SEC)
     assert seat.known_bound(10 * SEC + LAG * 0.99) == 0.0
     assert seat.known_bound(10 * SEC + LAG) == engine.spec.cold_per_s
-    engine.begin_slow_start(12 * SEC)  # it is known to be cold already
+    engine.begin_slow_start(12 * SEC)  # already known to be cold
     assert seat.known_bound(12 * SEC) == engine.spec.cold_per_s
     assert seat.known_bound(12 * SEC + engine.spec.cold) == 0.0
     engine.pause()
-    engine.begin_slow_start(30 * SEC)  # whoever fell silent is watched from its first word on
+    engine.begin_slow_start(30 * SEC)  # after a pause the limit applies from the replica's first response
     assert seat.known_bound(30 * SEC) == engine.spec.cold_per_s
 
 
@@ -74,16 +74,16 @@
 
 
 @pytest.mark.parametrize("day", DAYS, ids=[day["town"] for day in DAYS])
-def test_the_bound_holds_from_then_on_in_a_crowd_too(day):
+def test_the_limit_holds_under_load_once_the_list_shows_it(day):
     assert breaches(**day) == []
-    assert "FAILBACK" in breaches(**day, list_every=timedelta(seconds=1))  # the list was read half as often
+    assert "FAILBACK" in breaches(**day, list_every=timedelta(seconds=1))  # the list is read half as often
 
 
-def test_what_a_replica_was_sent_while_it_was_warm_counts_when_it_turns_cold():
+def test_requests_sent_while_warm_count_towards_the_limit_when_a_replica_turns_cold():
     slow_start = SlowStart(own_name="a", tuning=tuning(), started_at=timedelta(0))
     members = ("a", "b")
-    for step in range(10):  # more than this daemon's share of a cold one, within a second
+    for step in range(10):  # within one second, more than this daemon's share of a cold replica
         assert slow_start.take((99 + step / 10) * SEC, "r", per_second=None, members=members)
     assert not slow_start.take(99.95 * SEC, "r", per_second=11.0, members=members)
     taken = [step for step in range(10) if slow_start.take((100 + step / 10) * SEC, "r", per_second=11.0, members=members)]
-    assert taken == [5, 6, 7, 8, 9]  # one for each that has left the second, once no more than the share are in it
+    assert taken == [5, 6, 7, 8, 9]  # one for each that leaves the sliding second, once at most the share is in it
--- a/tests/routing/test_doubtful_replicas.py
+++ b/tests/routing/test_doubtful_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas in doubt (design 15.3, 15.4): their idle connections, and what is promised of a request that left one."""
+"""Suspected replicas (design 15.3, 15.4): their idle connections, and the answers to requests that were sent to one."""
 
 from ..support.router_bench import RouterBench, endpoint, only_effect, route
 
@@ -13,25 +13,25 @@
     return b, rid, only_effect(es, "try")[3]["replica"]
 
 
-def test_idle_connections_of_a_replica_that_may_be_dark_are_not_used_again():
+def test_idle_connections_of_a_replica_that_may_be_down_are_closed():
     b, rid, r = begun(kind="effectful")
     assert effects(b, "tried", rid, 1, "silent", None) == [("renew", r)]
     b, rid, r = begun(kind="effectful")
     assert effects(b, "tried", rid, 1, "lost", "ReadError") == [("renew", r)]
     b, rid, r = begun(kind="effectful")
-    assert effects(b, "tried", rid, 1, "lost", "no-seal") == []  # it lives, and new connections have their price
+    assert effects(b, "tried", rid, 1, "lost", "no-seal") == []  # the replica is alive, and new connections are expensive
     assert effects(b, "loads", {"1": (-1, -1, 8), "2": (0, 0, 8)}) == [("renew", "1")]
-    assert effects(b, "loads", {"1": (-1, -1, 8), "2": (0, 0, 8)}) == []  # said once
+    assert effects(b, "loads", {"1": (-1, -1, 8), "2": (0, 0, 8)}) == []  # only once
     assert effects(b, "loads", {"1": (3, 0, 8)}) == effects(b, "loads", {"1": (2, 0, 8)}) == []
 
 
-def test_what_was_lost_says_in_the_log_at_which_replica_and_why():
+def test_a_lost_request_is_logged_with_replica_and_reason():
     b, rid, r = begun(kind="effectful")
     logs = [e for e in b.all_effects("tried", rid, 1, "lost", "ReadError") if e[0] == "log"]
     assert [dict(e[2])["replica"] for e in logs if e[1] == "request-lost"] == [r], logs
 
 
-def test_a_request_that_left_a_silent_replica_is_never_promised_not_to_have_run():
+def test_a_request_retried_after_silence_is_never_reported_as_not_run():
     b = RouterBench(route(kind="pure", tries=3), replicas=(endpoint("1"), endpoint("2")))
     rid, es = b.request()
     first = only_effect(es, "try")[3]["replica"]
@@ -39,7 +39,7 @@
     assert only_effect(b.report(rid, 2, "not-run", 503, None), "answer")[2] == 502
 
 
-def test_one_that_was_only_turned_away_is_told_when_to_come_back():
+def test_a_request_that_was_only_refused_gets_a_retry_delay():
     for kind in ("pure", "effectful"):
         b = RouterBench(route(kind=kind, tries=3), replicas=(endpoint("1"), endpoint("2")))
         rid, es = b.request()
@@ -49,7 +49,7 @@
         assert end[2] == 503 and end[3] > 0
 
 
-def test_the_daemon_and_the_simulated_one_hand_it_to_what_holds_the_connections():
+def test_real_and_simulated_daemons_pass_connection_renewal_to_the_connection_pool():
     from silverglade.server.daemon import Daemon
     from silverglade.testbed.simulator.forwarding_scenario import Scene
 
--- a/tests/routing/test_endpoint_list.py
+++ b/tests/routing/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Which replicas there are, read by few and told to all: readers, lists that fail, lives that are over."""
+"""The endpoint list, read by few daemons and published to all: readers, failed readings, replicas that are gone."""
 
 import random
 from datetime import timedelta
@@ -42,7 +42,7 @@
         return [e[2][2:] for e in self.sent if e[0] == "post" and e[1] == "membership" and e[2][:2] == ("publish", kind)]
 
     def held(self):
-        """What the part that chooses was told, replayed."""
+        """Return the records that the router holds, by replaying the events posted to it."""
         got = {}
         for e in self.sent:
             if e[0] == "post" and e[1] == "router" and e[2][0] == "listed":
@@ -53,14 +53,14 @@
         return got
 
 
-def test_two_daemons_read_of_two_regions_and_none_that_cannot():
+def test_the_list_is_read_by_two_daemons_of_two_regions_that_can_read_it():
     ids = ("a1", "a2", "a3", "b1", "b2", "c1")
     two = list_readers(edges(*ids))
     assert len(two) == 2 and two[0][0] != two[1][0]
     for i in ids:
         got = list_readers(edges(*ids, blind=(i,)))
         assert i not in got and len(got) == 2
-    assert set(list_readers(edges("a1", blind=("a1",)))) == {"a1"}  # all blind: somebody still tries
+    assert set(list_readers(edges("a1", blind=("a1",)))) == {"a1"}  # none can read the list: one daemon still tries
     assert list_readers(roll(("k1", "a", True, "ready", ()), ("a1", "a", False, "leaving", ()))) == ()
 
 
@@ -73,7 +73,7 @@
         assert list_readers(edges(*ids)) == want
 
 
-def test_who_is_no_reader_reads_once_and_then_hears():
+def test_a_daemon_that_is_no_reader_reads_once_and_then_follows_published_rows():
     ids = ("a1", "a2", "b1")
     out = next(i for i in ids if i not in list_readers(edges(*ids)))
     b = EndpointListBench(out)
@@ -90,7 +90,7 @@
     assert set(b.held()) == {"2"}
 
 
-def test_a_reader_goes_on_and_tells_only_what_changed():
+def test_a_reader_keeps_reading_and_publishes_only_changes():
     b = EndpointListBench()
     b.feed("roll", edges("a1"))
     for _ in range(4):
@@ -102,18 +102,18 @@
     assert b.published()[-1][0] == "1" and EndpointRecord.of(b.published()[-1][2]).is_leaving
 
 
-def test_readings_that_trail_by_up_to_two_seconds_end_no_replica_that_has_just_started():
+def test_readings_up_to_two_seconds_stale_drop_no_newly_started_replica():
     b = EndpointListBench()
     b.feed("roll", edges("a1"))
     started_s = 10.0
     readings = [10.0 + step * tuning()["list_every"].total_seconds() for step in range(12)]
-    trailing_s = [0.0, *[1.99] * 11]  # the first shows it at once, all others are as old as may be
+    trailing_s = [0.0, *[1.99] * 11]  # the first reading is current, all others are as stale as allowed
     for at, trails in zip(readings, trailing_s):
         b.feed("read", (rep("1"), rep("2")) if at - trails >= started_s else (rep("2"),))
         assert set(b.held()) == {"1", "2"}
 
 
-def test_one_list_without_a_replica_is_no_end_and_an_end_is_for_good():
+def test_a_replica_is_dropped_after_several_missed_lists_and_then_for_good():
     b = EndpointListBench()
     b.feed("roll", edges("a1"))
     b.feed("read", (rep("1"), rep("2")))
@@ -127,7 +127,7 @@
     assert set(b.held()) == {"2"}
 
 
-def test_leaving_is_never_taken_back_and_outranks():
+def test_leaving_is_never_reset_and_outranks_earlier_rows():
     b = EndpointListBench()
     b.feed("roll", edges("a1"))
     b.feed("read", (rep("1", leaving=True),))
@@ -137,7 +137,7 @@
     assert ranks == sorted(ranks) and len(set(ranks)) == len(ranks)
 
 
-def test_another_daemons_words_are_outranked_not_repeated():
+def test_a_changed_record_outranks_rows_of_other_daemons():
     b = EndpointListBench()
     b.feed("roll", edges("a1"))
     b.feed("told", "listed", {"1": ((0, 40), rep("1"))})
@@ -145,7 +145,7 @@
     assert b.published()[-1][1] > (0, 40)
 
 
-def test_a_daemon_that_cannot_read_says_so_and_takes_it_back():
+def test_a_daemon_that_cannot_read_publishes_that_and_withdraws_it():
     b = EndpointListBench()
     b.feed("roll", edges("a1"))
     said = lambda: [e[2][2] for e in b.sent if e[0] == "post" and e[2][:2] == ("extra", "blind")]  # noqa: E731
@@ -158,7 +158,7 @@
     assert said() == [True, False]
 
 
-def test_unsound_records_of_a_list_or_of_others_are_passed_over():
+def test_malformed_records_of_the_list_or_of_other_daemons_are_ignored():
     b = EndpointListBench()
     b.feed("roll", edges("a1"))
     b.feed("read", (("1", 2), rep("2")))
@@ -166,7 +166,7 @@
     assert set(b.held()) == {"2"}
 
 
-def test_loads_are_asked_by_one_and_told_when_they_differ():
+def test_loads_are_checked_and_published_when_they_differ():
     b = EndpointListBench()
     b.feed("roll", edges("a1"))
     b.feed("read", (rep("1"),))
@@ -179,7 +179,7 @@
     assert b.published("load")[-1][2][0] == -1
     need = [e[2][1] for e in b.sent if e[0] == "post" and e[1] == "service_scaler"]
     assert {"1": ("s", "a", 3, 8, True, 1)} in need and need[-1] == {"1": ("s", "a", 0, 8, False, 0)}
-    b.feed("asked", "9", (1, 1, 1))  # not one that is there
+    b.feed("asked", "9", (1, 1, 1))  # an unknown replica
 
 
 def test_without_a_list_nothing_is_read():
--- a/tests/routing/test_health_checks.py
+++ b/tests/routing/test_health_checks.py
@@ -1,4 +1,4 @@
-"""One prober a replica, as seldom as serves (design 16.4)."""
+"""One health checker per replica, and as few checks as suffice (design 16.4)."""
 
 import random
 from collections import Counter
@@ -15,7 +15,7 @@
 
 
 class Fleet:
-    """Daemons over three regions, each with a view of who lives that may be late."""
+    """Daemons in three regions, each with a possibly outdated view of the live daemons."""
 
     def __init__(self, *, n, replicas, rng, make=HealthChecks):
         self.rng, self.make = rng, make
@@ -38,7 +38,7 @@
                 self.d[i].set_replicas(self.places)
 
     def step(self, now, silent=()):
-        """Answers come a tenth of a second later, none from the silent."""
+        """Run one step; answers arrive 0.1 s later, none from silent replicas."""
         for at, i, x in [w for w in self.wait if w[0] <= now]:
             self.wait.remove((at, i, x))
             if i not in self.dead:
@@ -53,7 +53,7 @@
 
 
 def faults(f, calm):
-    """The oracle, for spans (from, until, live) in which views were right: -> sentences."""
+    """Oracle: return a message per violation in the spans (from, until, live) in which all views were correct."""
     bad = []
     for a, b, live in calm:
         here = [x for x in f.asks if a <= x[0] < b]
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_each_replica_is_asked_by_one_daemon_of_its_region_once_a_turn(seed):
+def test_each_replica_is_checked_by_one_daemon_of_its_region_once_per_interval(seed):
     assert faults(*play(seed)) == []
 
 
@@ -129,15 +129,15 @@
 
 
 @pytest.mark.parametrize("rule", [everyone, local, anywhere, nobody_new])
-def test_the_oracle_finds_each_rule_left_out(rule):
+def test_the_oracle_detects_each_wrong_assignment(rule):
     assert any(faults(*play(s, make=planted(assign=rule))) for s in range(6))
 
 
-def test_the_oracle_finds_a_daemon_that_asks_at_every_pulse():
+def test_the_oracle_detects_a_daemon_that_checks_at_every_timer():
     assert faults(*play(1, make=planted(due=lambda self, now: tuple(self.own_replicas))))
 
 
-def test_nobody_probes_where_nobody_lives():
+def test_a_region_without_live_daemons_has_no_health_checker():
     assert health_checker("r", "a", (("d", "b"),)) is None
     p = HealthChecks(own_name="d", tuning=OPT)
     p.set_live_daemons((("d", "b"),))
@@ -145,7 +145,7 @@
     assert p.due(10 * SEC) == ()
 
 
-def test_the_work_is_spread_over_the_daemons_of_a_region():
+def test_health_checks_are_spread_over_the_daemons_of_a_region():
     live = tuple((f"d{i}", "a") for i in range(6))
     n = Counter(health_checker(f"r{i}", "a", live) for i in range(600))
     assert len(n) == 6 and max(n.values()) < 160
@@ -163,12 +163,12 @@
     return p, got
 
 
-def test_first_turns_are_spread_over_a_turn():
+def test_first_checks_are_spread_over_an_interval():
     _, got = lone()
     assert len(got) == 10 and max(Counter(t for t, _ in got).values()) <= 2
 
 
-def test_a_suspicion_is_asked_about_once_until_there_is_an_answer():
+def test_a_suspected_replica_is_checked_out_of_turn_once_until_it_answers():
     p, _ = lone()
     now = 2.01 * SEC
     p.due(now)
@@ -182,14 +182,14 @@
         asked += [x for x in p.due(now + t * SEC / 20) if x == "r0"]
         for x in p.own_replicas - {"r0"}:
             p.on_answer(x)
-    assert asked == []  # its turn is two seconds after the extra one
+    assert asked == []  # its next regular check is two seconds after the one out of turn
     assert "r0" in p.due(now + 2.1 * SEC)
     p.on_answer("r0")
     p.suspect("r0")
-    assert "r0" in p.due(now + 2.2 * SEC)  # it answered, so it may be doubted again
+    assert "r0" in p.due(now + 2.2 * SEC)  # it answered, so it may be suspected again
 
 
-def test_suspicions_of_many_do_not_make_a_flood():
+def test_checks_out_of_turn_are_rate_limited():
     p, _ = lone(probe_extra=3, probe_every=60)
     p.next_check_at = {i: 100 * SEC for i in p.next_check_at}
     for i in range(10):
@@ -197,16 +197,16 @@
     assert [len(p.due((50 + t) * SEC)) for t in range(5)] == [3, 3, 3, 1, 0]
 
 
-def test_a_probe_without_an_answer_holds_back_the_next_only_so_long():
+def test_a_check_without_an_answer_delays_the_next_one_only_until_its_timeout():
     p = HealthChecks(own_name="d", tuning=tuning(probe_wait=5))
     p.set_live_daemons((("d", "a"),))
     p.set_replicas({"r": "a"})
     assert [t for t in range(0, 20) if p.due(t * SEC)] == [0, 5, 10, 15]
-    p.suspect("other")  # not its replica: nothing
+    p.suspect("other")  # another daemon's replica: ignored
     assert p.suspected == {}
 
 
-def test_what_is_handed_on_leaves_nothing_here_and_a_thawed_daemon_begins_anew():
+def test_reassigned_replicas_leave_no_state_and_a_pause_resets_the_schedule():
     p = HealthChecks(own_name="d", tuning=OPT)
     p.set_live_daemons((("d", "a"),))
     p.set_replicas({"r": "a"})
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of failing replicas (design 15.10): quorum, panic bound, trial, and words that are not to be believed."""
+"""Outlier ejection across daemons (design 15.10): quorum, bound on ejections, trial, and rows that must be ignored."""
 
 import random
 from datetime import timedelta
@@ -36,7 +36,7 @@
 
 
 class Fleet:
-    """Daemons that hear each other's rows at once, save those that are cut off."""
+    """Daemons that receive each other's rows at once, except those that are partitioned."""
 
     def __init__(self, members, replicas=REPLICAS):
         self.now, self.replicas, self.rows, self.cut = 100 * SEC, replicas, [], set()
@@ -45,7 +45,7 @@
             d.set_daemons(members)
 
     def spread(self):
-        """What was published is told to all that are not cut off; what they hold back comes with the next call."""
+        """Deliver published rows to all daemons that are not partitioned; rows of partitioned ones are delivered after they return."""
         for i, d in self.daemons.items():
             if i in self.cut:
                 continue
@@ -73,7 +73,7 @@
         self.spread()
 
 
-def test_two_daemons_of_two_zones_take_a_replica_from_all():
+def test_accusations_from_two_zones_eject_a_replica_for_all():
     f = Fleet(HERE)
     f.accuse("d1", "0")
     assert all(f.out(i) == frozenset() for i in HERE)
@@ -82,11 +82,11 @@
 
 
 @pytest.mark.parametrize("guard", ["QUORUM", ""])
-def test_one_daemon_alone_takes_no_replica_from_others(monkeypatch, guard):
-    """Whatever it says, however often; with the quorum cut out it does."""
+def test_one_daemon_alone_ejects_no_replica_for_others(monkeypatch, guard):
+    """Repeated accusations of one daemon eject nothing; without the quorum they do."""
     if guard:
         monkeypatch.setattr(outlier_ejection, guard, 0)
-        monkeypatch.setattr(OutlierEjection, "has_quorum", lambda self, now, replica, case: bool(case.accusers))
+        monkeypatch.setattr(OutlierEjection, "has_quorum", lambda self, now, replica, state: bool(state.accusers))
     f, taken = Fleet(HERE), False
     for n in range(1000):
         for r in REPLICAS:
@@ -96,7 +96,7 @@
     assert taken == bool(guard)
 
 
-def test_daemons_of_one_zone_alone_take_no_replica_of_another_zone():
+def test_daemons_of_a_single_zone_eject_no_replica_of_another_zone():
     f = Fleet(HERE)
     f.accuse("d1", "0")
     f.accuse("d2", "0")
@@ -105,15 +105,15 @@
     g = Fleet(HERE, near | {"1": Replica("1")})
     g.accuse("d1", "0")
     g.accuse("d2", "0")
-    assert g.out() == {"0"}  # its own zone's word is no matter of a cut
+    assert g.out() == {"0"}  # accusations from its own zone cannot stem from a partition
 
 
-def test_daemons_of_another_region_are_no_witnesses_where_the_region_has_its_own():
+def test_accusations_from_other_regions_count_only_if_the_region_has_no_daemons():
     f = Fleet(HERE | FAR)
     f.accuse("e1", "0")
     f.accuse("e2", "0")
     assert f.rows == [] and f.out() == frozenset()
-    for i in FAR:  # not even where they say so
+    for i in FAR:  # not even if they publish accusations
         f.daemons["d4"].on_rows(f.now, {f"0 {i}": ((9,), (1000,))}, REPLICAS)
     assert f.out() == frozenset()
     g = Fleet(FAR)
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("guard", [True, False])
 @pytest.mark.parametrize("count", [1, 2, 3, 6, 7])
-def test_never_more_than_half_of_a_service_in_a_region_is_taken(monkeypatch, count, guard):
+def test_at_most_half_of_a_service_in_a_region_is_ejected(monkeypatch, count, guard):
     if not guard:
         monkeypatch.setattr(outlier_ejection, "REPLICAS_PER_EJECTION", 1)
     replicas = {str(i): Replica(str(i)) for i in range(count)}
@@ -135,21 +135,21 @@
     assert (len(f.out()) <= count // 2) == guard
 
 
-def test_a_daemon_that_finds_most_replicas_ill_stops_accusing():
+def test_a_daemon_that_accuses_half_of_the_replicas_stops_accusing():
     f = Fleet(HERE)
     for r in REPLICAS:
         f.accuse("d1", r)
     assert len({row.key for _, row in f.rows}) == len(REPLICAS) // 2
 
 
-def test_who_hears_of_an_ejection_adds_no_word():
+def test_daemons_do_not_accuse_a_replica_that_is_already_ejected():
     f = Fleet(HERE)
     for i in ("d1", "d3", "d2", "d4"):
         f.accuse(i, "0")
     assert [i for i, row in f.rows if row.value] == ["d1", "d3"]
 
 
-def test_however_many_of_one_zone_accuse_few_say_so():
+def test_few_daemons_of_one_zone_publish_accusations():
     members = {f"d{i}": DaemonLocation("a1", "a") for i in range(40)} | {"z": DaemonLocation("a2", "a")}
     f = Fleet(members)
     for i in members:
@@ -159,7 +159,7 @@
 
 
 def on_trial(f):
-    """The daemon that may choose the replica now."""
+    """Return the daemons that may choose the replica now."""
     return [i for i in f.daemons if "0" not in f.out(i)]
 
 
@@ -168,7 +168,7 @@
     f.accuse("d3", "0")
 
 
-def test_after_an_ejection_one_daemon_alone_tries_and_its_word_frees_the_replica():
+def test_after_an_ejection_a_single_daemon_tests_the_replica_and_acquits_it():
     f = Fleet(HERE)
     eject(f)
     f.go(FIRST_EJECTION)
@@ -179,7 +179,7 @@
     assert len(on_trial(f)) == len(HERE)
 
 
-def test_each_failed_trial_doubles_the_ejection_and_goes_to_other_daemons():
+def test_each_failed_trial_doubles_the_ejection_and_changes_the_tester():
     f, spans, testers = Fleet(HERE), [], set()
     eject(f)
     for _ in range(9):
@@ -194,14 +194,14 @@
     assert len(testers) > 1
 
 
-def test_nobody_that_tries_is_not_waited_for_for_ever():
+def test_the_trial_ends_after_a_while_if_the_tester_sends_nothing():
     f = Fleet(HERE)
     eject(f)
     f.go(FIRST_EJECTION + TRIAL_DURATION)
     assert len(on_trial(f)) == len(HERE)
 
 
-def test_words_are_withdrawn_and_nothing_grows():
+def test_accusations_are_withdrawn_and_no_state_is_left():
     f = Fleet(HERE)
     eject(f)
     for _ in range(30):
@@ -214,7 +214,7 @@
     assert all(not d.row_numbers for d in f.daemons.values())
 
 
-def test_a_daemon_that_was_cut_off_takes_nothing_when_it_is_back():
+def test_accusations_of_a_daemon_that_was_partitioned_eject_nothing():
     f = Fleet(HERE)
     f.cut.add("d1")
     for r in REPLICAS:
@@ -224,9 +224,9 @@
     assert all(f.out(i) == frozenset() for i in ("d2", "d3", "d4"))
 
 
-def test_an_accuser_that_starts_again_outranks_its_earlier_life():
+def test_a_restarted_accuser_outranks_the_rows_of_its_earlier_process():
     f = Fleet(HERE)
-    f.daemons["d1"].on_rows(f.now, {"0 d1": ((41,), (1000,))}, REPLICAS)  # its own, from the table
+    f.daemons["d1"].on_rows(f.now, {"0 d1": ((41,), (1000,))}, REPLICAS)  # a row of its earlier process
     f.accuse("d1", "0")
     assert f.rows[-1][1].rank == (42,)
     assert f.daemons["d1"].ejection_states["0"].accusers.keys() == {"d1"}
@@ -235,8 +235,8 @@
 @pytest.mark.parametrize(
     "key, value",
     [
-        ("9 d1", (1000,)),  # a replica that nobody knows
-        ("0 x1", (1000,)),  # a daemon that is no member
+        ("9 d1", (1000,)),  # an unknown replica
+        ("0 x1", (1000,)),  # an unknown daemon
         ("0", (1000,)),
         ("", (1000,)),
         ("0 d1 d3", (1000,)),
@@ -249,7 +249,7 @@
         ("0 d1", 7),
     ],
 )
-def test_nonsense_is_passed_over(key, value):
+def test_malformed_rows_are_ignored(key, value):
     d = OutlierEjection(own_name="d4")
     d.set_daemons(HERE)
     d.on_rows(SEC, {key: ((1,), value)}, REPLICAS)
@@ -257,7 +257,7 @@
     assert d.avoided(SEC, list(REPLICAS.values())) == frozenset()
 
 
-def test_a_word_counts_no_longer_than_the_longest_hold():
+def test_an_accusation_is_valid_for_at_most_the_longest_ejection():
     d = OutlierEjection(own_name="d4")
     d.set_daemons(HERE)
     d.on_rows(SEC, {"0 d1": ((1,), (10**9,))}, REPLICAS)
@@ -266,8 +266,8 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_all_daemons_that_hear_the_same_pass_over_the_same(seed):
-    """Random accusations, answers and waits: half of a service is always left; where no more is accused, all but who tries agree."""
+def test_daemons_with_the_same_rows_eject_the_same_replicas(seed):
+    """Random accusations, answers and waits: at most half of a service is ejected; if no more is accused, all but the tester agree."""
     rng, f = random.Random(seed), Fleet(HERE)
     for _ in range(300):
         what, i, r = rng.random(), rng.choice(list(HERE)), rng.choice(list(REPLICAS))
@@ -279,15 +279,15 @@
             f.go(rng.randrange(900) * MS)
         outs = [f.out(i) for i in HERE]
         assert all(len(o) <= len(REPLICAS) // 2 for o in outs)
-        held = [{x for x, c in d.ejection_states.items() if c.is_open(f.now)} for d in f.daemons.values()]
+        held = [{x for x, c in d.ejection_states.items() if c.is_active(f.now)} for d in f.daemons.values()]
         assert all(h == held[0] for h in held) and all(o <= h for o, h in zip(outs, held))
         if len(held[0]) <= len(REPLICAS) // 2:
             trials = {x for x in held[0] if f.daemons["d1"].ejection_states[x].is_on_trial(f.now)}
             assert frozenset.union(*outs) - frozenset.intersection(*outs) <= trials
 
 
-class Told(RouterBench):
-    """A daemon's part that hears of others."""
+class AccusationBench(RouterBench):
+    """A router that receives other daemons' accusations."""
 
     def __init__(self, *rs, **kw):
         super().__init__(*rs, **kw)
@@ -300,43 +300,43 @@
         return [e[2][1:] for e in self.all_effects(*ev) if e[0] == "post" and e[2][:2] == ("publish", SUSPECT)]
 
 
-def test_requests_go_past_what_others_accuse_and_come_back():
-    b = Told(route(), replicas=(endpoint("1"), endpoint("2")))
+def test_requests_avoid_an_ejected_replica_and_return_after_the_ejection():
+    b = AccusationBench(route(), replicas=(endpoint("1"), endpoint("2")))
     b.tell("1", "d2", "d3")
     assert {only_effect(b.request()[1], "try")[3]["replica"] for _ in range(8)} == {"2"}
     b.advance(MAX_EJECTION / SEC + TRIAL_DURATION / SEC)
     assert {only_effect(b.request()[1], "try")[3]["replica"] for _ in range(24)} == {"1", "2"}
 
 
-def test_the_last_replica_is_used_whatever_others_say():
-    b = Told(route(), replicas=(endpoint("1"),))
+def test_the_only_replica_is_used_even_if_accused():
+    b = AccusationBench(route(), replicas=(endpoint("1"),))
     b.tell("1", "d2", "d3", "d4")
     assert only_effect(b.request()[1], "try")[3]["replica"] == "1"
 
 
 @pytest.mark.parametrize("what", [("lost", "ReadError"), ("cut", None), ("failed", 500), ("not-run", 421), ("unsent", "refused")])
-def test_what_a_request_met_is_told(what):
-    b = Told(route(kind="pure", tries=3))
+def test_a_failure_of_the_replica_is_published(what):
+    b = AccusationBench(route(kind="pure", tries=3))
     rid, es = b.request()
     replica = only_effect(es, "try")[3]["replica"]
     assert b.published("tried", rid, 1, *what) == [(SUSPECT, f"{replica} d1", (1,), (1000,), "")]
 
 
 @pytest.mark.parametrize("what", [("failed", 404), ("not-run", 503, 0.1), ("unsent", "pool-full"), ("gone",), ("done",), ("silent",)])
-def test_what_is_no_failure_of_the_replica_is_not_told(what):
-    b = Told(route(kind="pure", tries=3))
+def test_an_outcome_that_is_no_failure_of_the_replica_is_not_published(what):
+    b = AccusationBench(route(kind="pure", tries=3))
     rid, _ = b.request()
     assert b.published("tried", rid, 1, *what) == []
 
 
-def test_a_trial_is_made_with_a_request_that_may_be_repeated_and_ends_in_an_acquittal():
-    b = Told(route(kind="pure", tries=2), replicas=tuple(endpoint(str(i)) for i in range(1, 9)))
-    words = []
-    for rank in range(1, 30):  # until the trial falls to this daemon
+def test_a_trial_uses_a_repeatable_request_and_ends_in_an_acquittal():
+    b = AccusationBench(route(kind="pure", tries=2), replicas=tuple(endpoint(str(i)) for i in range(1, 9)))
+    outcomes = []
+    for rank in range(1, 30):  # until this daemon is the tester
         b.tell("1", "d2", "d3", rank=(rank,))
         for _ in range(20):
             b.now += SEC / 2
             rid, es = b.request()
             replica = only_effect(es, "try")[3]["replica"]
-            words += [(replica, row[3]) for row in b.published("tried", rid, 1, "done")]
-    assert set(words) == {("1", ACQUITTAL)}
+            outcomes += [(replica, row[3]) for row in b.published("tried", rid, 1, "done")]
+    assert set(outcomes) == {("1", ACQUITTAL)}
--- a/tests/routing/test_overlapping_stops.py
+++ b/tests/routing/test_overlapping_stops.py
@@ -1,6 +1,6 @@
-"""Seeded days on which all daemons of a site are told to stop, one each 0.25 s (design 15.9): incident stream-cut-at-the-end-of-grace.
+"""Seeded runs in which all daemons of a site are stopped, one every 0.25 s (design 15.9): incident stream-cut-at-the-end-of-grace.
 
-Clients choose among all daemons whose process lives, whatever the directory says, with deadlines of 1 to 15 s; a daemon may be slow.
+Clients use any daemon whose process is alive, regardless of the directory, with deadlines of 1 to 15 s; a daemon may be slow.
 """
 
 from datetime import timedelta
@@ -21,7 +21,7 @@
 
 
 @pytest.fixture(autouse=True)
-def clients_stay_with_a_daemon_until_its_process_is_gone(monkeypatch):
+def clients_use_a_daemon_until_its_process_ends(monkeypatch):
     def fronts(self, zone, *, held=False):
         return [node for node in self.w.nodes.values() if not node.core and node.hub is not None]
 
@@ -35,7 +35,7 @@
 
 
 def slow_down(scene, node, until):
-    """A process that runs for half of each turn."""
+    """Let the node's process run only half of the time until then."""
     life = node.life
 
     def turn():
@@ -49,7 +49,7 @@
 
 
 def rolled(seed, *, rate=2.0):
-    """All edge daemons stopped one after the other -> (the scene, what was broken)."""
+    """Stop all edge daemons one after the other; return the scene and the rules broken."""
     scene = Day(town="banyan", seed=seed)
     scene.settle()
     scene.rate, scene.long = rate, (0.25, 0.5, 1.0)[seed % 3]
@@ -72,8 +72,8 @@
     return [(seed, breach) for seed in seeds for breach in rolled(seed)[1] if breach[1] in ("LOST", "REFUSED")]
 
 
-def test_no_stream_is_taken_late_and_cut_while_all_daemons_stop_in_a_row():
-    """Guards against a stream that is passed on seconds after SIGTERM and cut at the end of the grace (LOST)."""
+def test_no_stream_is_accepted_late_and_cut_while_all_daemons_stop_in_sequence():
+    """Guards against a stream that is forwarded seconds after SIGTERM and cut at the end of the grace period (rule LOST)."""
     scene, broken = rolled(1)
     assert len(scene.r.stopped) == 6 and scene.why.get(503, 0) > 20
     assert [breach for breach in broken if breach[1] in ("LOST", "REFUSED")] == []
@@ -95,7 +95,7 @@
     ],
     ids=["all is taken", "streams late, whatever is expected", "deadline beyond the end"],
 )
-def test_without_a_guard_streams_are_taken_late_and_cut(monkeypatch, old, new):
-    """Guards against a play that would not show the incident."""
+def test_without_a_guard_streams_are_accepted_late_and_cut(monkeypatch, old, new):
+    """Checks that the runs above reproduce the incident once a guard is removed."""
     without(monkeypatch, DEPARTURE, old, new, f"{DEPARTURE}.GracefulShutdown", "silverglade.routing.context.GracefulShutdown")
     assert any(lost([seed]) for seed in range(4))
--- a/tests/routing/test_reachability.py
+++ b/tests/routing/test_reachability.py
@@ -1,4 +1,4 @@
-"""A region that takes no connection goes last as a whole (design 15.5)."""
+"""Unreachable regions are avoided as a whole (design 15.5)."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -18,7 +18,7 @@
     r.on_connect_failure(now, "b", replica, since=now - WAIT)
 
 
-def test_a_region_of_which_another_replica_answered_meanwhile_is_not_closed():
+def test_a_region_stays_reachable_if_another_replica_answered_meanwhile():
     r = RegionReachability()
     for i in range(9):
         r.on_answer((10 + i) * SEC - WAIT / 2, "b")
@@ -37,7 +37,7 @@
 REPLICAS = [Replica(str(i)) for i in range(1, 6)] + [Replica("9", "c")]
 
 
-def test_a_region_is_closed_after_a_few_of_its_replicas_and_tested_at_a_steady_pace():
+def test_a_region_becomes_unreachable_after_a_few_replicas_and_is_tested_periodically():
     r, now = RegionReachability(), 10 * SEC
     failed(r, now, "1")
     failed(r, now, "1")
@@ -54,14 +54,14 @@
         tested.append([x.id for x in chosen])
         for x in chosen:
             failed(r, now + WAIT, x.id)
-    assert tested[:2] == [["3", "4"], ["5"]]  # those not tried yet first
+    assert tested[:2] == [["3", "4"], ["5"]]  # replicas not tried yet come first
     assert all(len(x) == 1 for x in tested[1:]) and {x for row in tested[2:] for x in row} == {"1", "2", "3", "4", "5"}
     assert pauses[:2] == [0 * SEC, FIRST_TEST_INTERVAL] and set(pauses[2:]) == {MAX_TEST_INTERVAL}
     r.on_answer(now, "b")
     assert not r.is_unreachable("b") and r.next_test(None) is None
 
 
-def test_a_new_replica_of_a_closed_region_is_tested_at_once():
+def test_a_new_replica_of_an_unreachable_region_is_tested_at_once():
     r, now = RegionReachability(), 10 * SEC
     failed(r, now, "1")
     failed(r, now, "2")
@@ -73,7 +73,7 @@
     assert r.due_tests(now, [*REPLICAS[:4], Replica("new")])[0].id in ("3", "4", "new")
 
 
-def test_failures_that_lie_far_apart_or_of_one_replica_close_nothing():
+def test_failures_far_apart_or_of_one_replica_do_not_make_a_region_unreachable():
     r = RegionReachability()
     for i in range(5):
         failed(r, 10 * i * SEC, str(i))
@@ -81,7 +81,7 @@
         assert not r.is_unreachable("b")
 
 
-def test_what_was_under_way_when_the_region_was_closed_does_not_put_its_test_off():
+def test_later_failures_of_open_connections_do_not_delay_the_first_test():
     r = RegionReachability()
     for i in range(9):
         failed(r, 10 * SEC + i * WAIT / 10, str(i))
@@ -93,12 +93,12 @@
 
 
 def bare_connections(effects):
-    """The replicas to which a bare connection is tried."""
+    """Return the replicas to which a bare connection is tested."""
     return [e[1] for e in effects if e[0] == "reach"]
 
 
 def timeouts(b, rid, es):
-    """-> the replicas that a request tries one after another while none takes a connection, and the last effects."""
+    """Return the replicas that a request tries while all connections time out, and the final effects."""
     tried, n = [], 1
     while es[0][0] == "try":
         tried.append(es[0][3]["replica"])
@@ -107,7 +107,7 @@
     return tried, es
 
 
-def test_a_request_does_not_walk_through_a_region_behind_a_cut_and_the_next_are_refused_at_once():
+def test_a_request_tries_few_replicas_of_a_partitioned_region_and_later_ones_are_refused_at_once():
     reps = tuple(endpoint(str(i), "b1") for i in range(1, 9))
     b = RouterBench(route(homes=["b"]), replicas=reps)
     tried, end = timeouts(b, *b.request())
@@ -118,7 +118,7 @@
         _, _, status, wait, _ = only_effect(b.request()[1], "answer")
         assert status == 503 and wait > 0
     seen = set(bare_connections(end))
-    for _ in range(12):  # bare connections, no request, look whether it is back
+    for _ in range(12):  # the region is tested with bare connections, not with requests
         es = b.advance(1)
         assert requests(es) == [] and 1 <= len(bare_connections(es)) <= FAILURES_UNTIL_UNREACHABLE
         seen |= set(bare_connections(es))
@@ -130,8 +130,8 @@
     assert all(b.request()[1][0][0] == "try" for _ in range(5))
 
 
-def test_a_replica_that_is_not_behind_the_cut_is_found():
-    """Two of three take no connection: the third is tried at once, and opens the region again."""
+def test_a_reachable_replica_of_an_unreachable_region_is_found():
+    """Connections to two of three replicas time out: the third is tested at once and makes the region reachable again."""
     b = RouterBench(route(homes=["b"]), replicas=tuple(endpoint(str(i), "b1") for i in range(1, 4)))
     tried, end = timeouts(b, *b.request())
     (third,) = bare_connections(end)
@@ -143,7 +143,7 @@
     assert all(only_effect(b.request()[1], "try")[3]["replica"] not in tried for _ in range(5))
 
 
-def test_the_daemons_own_bound_of_connections_speaks_against_no_replica():
+def test_reaching_the_own_connection_limit_is_no_failure_of_the_replica():
     b = RouterBench(route(kind="effectful"), replicas=(endpoint("1"),))
     rid, _ = b.request()
     b.report(rid, 1, "unsent", "pool-full")
@@ -155,13 +155,13 @@
     assert only_effect(b.request()[1], "try")[3]["replica"] == near
 
 
-def test_other_regions_go_first_and_a_refusal_to_connect_is_no_cut():
+def test_after_a_connect_timeout_other_regions_come_first_and_a_refused_connection_does_not_count():
     reps = (*(endpoint(str(i), "b1") for i in range(1, 4)), endpoint("7", "c1"))
     b = RouterBench(route(homes=["b", "c"]), replicas=reps, region="b")
     rid, es = b.request()
     assert only_effect(es, "try")[3]["replica"] in "123"
     b.advance(0.4)
-    assert only_effect(b.report(rid, 1, "unsent", "connect-timeout"), "try")[3]["replica"] == "7"  # not its neighbour
+    assert only_effect(b.report(rid, 1, "unsent", "connect-timeout"), "try")[3]["replica"] == "7"  # not another replica of the same region
     b = RouterBench(route(homes=["b"]), replicas=reps)
     rid, es = b.request()
     for n in (1, 2):
@@ -170,7 +170,7 @@
 
 
 def waits(s, *, zone, secs):
-    """How long the ended requests of a zone's clients took that were answered by the system itself with 503."""
+    """Return the sorted durations of a zone's client requests that the system itself answered with 503."""
     got = []
     for a, sent in s.r.sent.items():
         g = s.r.got[a]
@@ -180,7 +180,7 @@
 
 
 def cut_off(town="banyan", seed=1):
-    """A region's daemons reach no replica of the others, and its own are gone -> the scene, how long its refusals took."""
+    """Partition a region's daemons from all other replicas and stop its own; return the scene and the durations of refusals."""
     s = Scene(town=town, seed=seed)
     s.settle()
     s.traffic()
@@ -197,13 +197,13 @@
 
 
 @pytest.mark.parametrize("seed", (1, 2, 3, 4, 9, 17, 32))
-def test_refusals_behind_a_cut_come_at_once(seed):
+def test_requests_to_unreachable_regions_are_refused_at_once(seed):
     s, took = cut_off(seed=seed)
     assert len(took) > 30 and took[len(took) * 3 // 4] < 0.1 * SEC and took[-1] < 1.25 * SEC, took[-20:]
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
-def test_after_the_cut_requests_are_served_again_within_a_test_and_a_pause(seed):
+def test_requests_are_served_again_soon_after_a_partition_heals(seed):
     s, _ = cut_off(seed=seed)
     s.w.heal()
     healed, lives = s.w.now, {n.life for n in s.w.nodes.values() if n.zone == "kaohsiung"}
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Further tries of a fleet without messages (design 16.1), against a sliding window."""
+"""The retry budget of a fleet without coordination (design 16.1), checked over sliding windows."""
 
 import random
 from datetime import timedelta
@@ -15,13 +15,13 @@
 
 
 def broken(asks, extras, win=WIN, ratio=RATIO, slack=SLACK):
-    """The oracle: -> the worst of all windows by which the rule is broken (0: none). Times sorted."""
+    """Oracle: return the largest excess over the budget in any window (0 for none); times must be sorted."""
     from bisect import bisect_left as lo
     from bisect import bisect_right as hi
 
     worst, half = 0.0, win / 2
     starts = {x for x in extras} | {x - win for x in extras}
-    for q in asks:  # windows that just lose or gain a request
+    for q in asks:  # windows that just exclude or include a request
         starts |= {
             q,
             q + timedelta(microseconds=1),
@@ -40,18 +40,18 @@
 
 
 class Fleet:
-    """Daemons that share nothing; each knows some of the others."""
+    """Daemons that share no state; each knows some of the others."""
 
     def __init__(self, *, n, rng, make=RetryBudget):
         self.rng, self.make, self.n = rng, make, n
         self.all = [make(tuning=OPT, started_at=0 * SEC) for _ in range(n)]
-        self.side = [0] * n  # who is cut from whom
+        self.side = [0] * n  # side of the partition
         self.knows = [n] * n
         self.asks, self.extras = [], []
 
     def restart(self, i, now):
         self.all[i] = self.make(tuning=OPT, started_at=now)
-        self.knows[i] = sum(s == self.side[i] for s in self.side)  # only those it can reach
+        self.knows[i] = sum(s == self.side[i] for s in self.side)  # only the reachable ones
 
     def cut(self, a, b):
         for i in range(a, b):
@@ -62,7 +62,7 @@
         self.knows = [max(k, self.n) for k in self.knows]
 
     def ask(self, i, now):
-        """The client sent a moment before."""
+        """Count a request that the client sent up to 0.2 s earlier."""
         self.all[i].on_request(now, "s")
         self.asks.append(now - self.rng.random() * 0.2 * SEC)
 
@@ -77,7 +77,7 @@
 
 
 def play(seed, make=RetryBudget, secs=45):
-    """Waves of requests, bursts of failures, restarts, one side cut (and perhaps started anew)."""
+    """Varying load, bursts of failures, restarts, and a partition (with possible restarts on one side)."""
     rng = random.Random(seed)
     n = rng.choice((1, 3, 6, 9, 9, 30))
     f = Fleet(n=n, rng=rng, make=make)
@@ -112,17 +112,17 @@
                     for _ in range(3):
                         f.again(i, at)
             if failing:
-                f.again(i, now + step)  # streams that go on elsewhere
+                f.again(i, now + step)  # streams that are resumed elsewhere
     return f
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_no_sliding_window_has_more_extras_than_the_rule_gives(seed):
+def test_no_sliding_window_has_more_retries_than_the_budget(seed):
     assert play(seed).worst() == 0
 
 
 def planted(**kw):
-    """A class with one rule left out."""
+    """Return a subclass with one rule replaced."""
 
     class Without(RetryBudget):
         pass
@@ -140,11 +140,11 @@
     return OPT["budget_slack"] * OPT["budget_slack_part"] / max(1, self.largest_fleet(now, daemons))
 
 
-def test_the_oracle_finds_a_fleet_in_which_each_takes_the_whole_slack():
+def test_the_oracle_detects_daemons_that_each_spend_the_whole_slack():
     assert any(play(s, make=planted(share=whole_slack)).worst() > 0 for s in range(6))
 
 
-def test_the_oracle_finds_daemons_that_spend_slack_again_after_each_restart():
+def test_the_oracle_detects_daemons_that_spend_slack_again_after_each_restart():
     f = Fleet(n=9, rng=random.Random(1), make=planted(share=no_first_window))
     g = Fleet(n=9, rng=random.Random(1))
     for h in (f, g):
@@ -157,8 +157,8 @@
     assert f.worst() > 0 and g.worst() == 0
 
 
-def test_the_oracle_finds_daemons_that_pick_the_best_of_the_three_counts_each_for_itself(monkeypatch):
-    """Half of the fleet asked in one window, half in the next: the largest counts sum to more."""
+def test_the_oracle_detects_daemons_that_each_use_the_largest_of_their_three_counts(monkeypatch):
+    """Half of the fleet has requests in one window, half in the next: the sum of the largest counts exceeds the largest sum."""
 
     def run():
         f = Fleet(n=20, rng=random.Random(3))
@@ -176,8 +176,8 @@
     assert run() > 0
 
 
-def test_the_oracle_finds_a_window_that_loses_its_requests():
-    """Extras bounded by the last window's requests alone: a later window has the extras and not the requests."""
+def test_the_oracle_detects_a_budget_based_on_the_last_window_alone():
+    """If retries are limited by the last window's requests alone, a later window contains the retries without the requests."""
 
     class Plain(RetryBudget):
         def spend(self, now, service, *, daemons):
@@ -205,7 +205,7 @@
     assert run(RetryBudget) == 0
 
 
-def test_a_steady_service_gets_nearly_the_whole_ratio():
+def test_a_service_with_constant_load_gets_nearly_the_whole_ratio():
     b, got, asked = RetryBudget(tuning=OPT, started_at=0 * SEC), 0, 0
     for tick in range(60 * 50):
         now = tick * SEC / 50
@@ -216,7 +216,7 @@
     assert 0.8 * RATIO * asked < got <= RATIO * OPT["budget_ratio_part"] * asked
 
 
-def test_a_start_without_a_known_fleet_has_no_slack_and_a_young_daemon_none_either():
+def test_no_slack_without_known_daemons_or_during_the_first_window():
     b = RetryBudget(tuning=OPT, started_at=0 * SEC)
     assert not b.spend(30 * SEC, "s", daemons=0)
     assert b.spend(30 * SEC, "s", daemons=3)
@@ -226,7 +226,7 @@
     assert b.spend(40 * SEC, "s", daemons=3)
 
 
-def test_the_largest_fleet_known_lately_divides_the_slack():
+def test_slack_is_divided_by_the_largest_recent_fleet():
     b = RetryBudget(tuning=OPT, started_at=0 * SEC)
     b.largest_fleet(20 * SEC, 9)
     part = OPT["budget_slack"] * OPT["budget_slack_part"]
@@ -234,7 +234,7 @@
     assert b.share(22 * SEC + OPT["budget_recall"], 3) == part / 3
 
 
-def test_services_do_not_spend_each_others_requests():
+def test_each_service_has_its_own_budget():
     b = RetryBudget(tuning=OPT, started_at=0 * SEC)
     for j in range(1000):
         b.on_request(20 * SEC + j * SEC / 1000, "a")
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -1,4 +1,4 @@
-"""The part that decides over forwarded requests: what it may never do, caused event by event."""
+"""The router, driven event by event: routes, attempts, retries and the answers it gives."""
 
 import random
 from datetime import timedelta
@@ -16,7 +16,7 @@
 SEC = timedelta(seconds=1)
 
 
-def test_longest_prefix_of_the_host_goes():
+def test_the_longest_matching_prefix_of_the_host_is_used():
     t = build_route_table(parsed_configuration(route("x", prefix="/a/"), route("y", prefix="/a/b/"), route("z", host="g", prefix="/")))
     for host, path, want in (
         ("h", "/a/b/c", "y"),
@@ -41,30 +41,30 @@
         assert (got and got["prefix"]) == want
 
 
-def test_weights_are_kept_and_zero_gets_nothing():
+def test_services_are_chosen_by_weight_and_never_with_weight_zero():
     r = route(shares=[{"service": "s", "weight": 9}, {"service": "u", "weight": 1}, {"service": "z", "weight": 0}])
     n = [choose_service(r, f"k{i}") for i in range(4000)]
     assert 250 < n.count("u") < 550 and n.count("z") == 0
 
 
-def test_no_configuration_or_list_is_answered_at_once_and_promises_nothing_ran():
+def test_without_configuration_and_list_requests_get_503_at_once():
     b = RouterBench(route())
     b.component = new_router()
     _, (status, *rest) = b.request()[1][0], b.request()[1][0][2:]
     assert status == 503 and rest[0] > 0
 
 
-def test_unknown_route_is_404_only_from_one_who_is_sure_of_its_configuration():
+def test_an_unknown_route_is_404_only_if_the_configuration_is_certain():
     b = RouterBench(route())
     assert only_effect(b.request("/q/")[1], "answer")[2] == 404
     assert only_effect(b.request("/q/", proved=OPT["certain"] / SEC)[1], "answer")[2] == 404
     for proved in (OPT["certain"] / SEC + 0.01, 60, None):
         _, _, status, wait, code = only_effect(b.request("/q/", proved=proved)[1], "answer")
         assert (status, code) == (503, 812) and wait > 0
-        only_effect(b.request(proved=proved)[1], "try")  # a route that is known is served on
+        only_effect(b.request(proved=proved)[1], "try")  # a known route is still served
 
 
-# guards against: a refused route that leaves no trace of the configuration and the proof behind it
+# Guards against refused routes that cannot be traced in the log to the configuration version and the age of its proof.
 def test_unknown_routes_are_logged_together_with_the_version_and_the_oldest_proof_behind_a_404():
     b = RouterBench(route())
 
@@ -81,28 +81,28 @@
 
 @pytest.mark.parametrize("kind, resumable", [("effectful", False), ("streaming", False)])
 @pytest.mark.parametrize("what", ["lost", "cut"])
-def test_what_may_have_run_is_never_sent_again(kind, resumable, what):
+def test_a_request_that_may_have_run_and_must_not_repeat_is_never_retried(kind, resumable, what):
     b = RouterBench(route(kind=kind, resumable=resumable, tries=3))
     rid, es = b.request()
     only_effect(es, "try")
     got = only_effect(b.report(rid, 1, what, None), "answer")
-    assert got[2] == 502  # and no promise that it did not run
+    assert got[2] == 502  # not a status that says that it did not run
     assert b.report(rid, 1, "unsent", "late word") == []
 
 
-def test_a_silent_replica_is_never_given_up_for_what_may_not_repeat():
+def test_a_request_that_must_not_repeat_waits_for_a_silent_replica():
     b = RouterBench(route(kind="effectful", tries=3))
     b.request()
     assert b.advance(1) == b.advance(1) == b.advance(1) == []
 
 
-def test_not_run_goes_elsewhere_while_tries_are_left_then_is_told():
+def test_a_request_not_run_is_retried_while_attempts_are_left_then_refused():
     b = RouterBench(route(kind="effectful", tries=2), replicas=(endpoint("1"), endpoint("2"), endpoint("3")))
     for _ in range(40):
         rid, es = b.request()
         first = only_effect(es, "try")[3]["replica"]
         es = b.report(rid, 1, "not-run", 503, None)
-        if es[0][0] == "answer":  # the budget of repeats, when it is used up
+        if es[0][0] == "answer":  # once the retry budget is used up
             assert es[0][2] == 503
             continue
         assert only_effect(es, "try")[3]["replica"] != first
@@ -110,7 +110,7 @@
         assert got[2] == 503 and got[3] == 0.7
 
 
-def test_unsent_costs_no_try_but_ends():
+def test_unsent_attempts_are_not_counted_but_limited():
     b = RouterBench(route(kind="effectful", tries=1), replicas=tuple(endpoint(str(i)) for i in range(1, 9)))
     rid, es = b.request()
     n, seen = 1, set()
@@ -122,13 +122,13 @@
     assert len(seen) == 4 and es[0][:3] == ("answer", rid, 503)
 
 
-def test_a_pure_request_that_may_have_run_and_finds_no_other_is_no_promise():
+def test_a_lost_pure_request_without_another_replica_gets_502():
     b = RouterBench(route(kind="pure", tries=2), replicas=(endpoint("1"),))
     rid, _ = b.request()
     assert only_effect(b.report(rid, 1, "lost", "reset"), "answer")[2] == 502
 
 
-def test_a_resumable_stream_goes_on_behind_its_last_event():
+def test_a_resumable_stream_continues_after_its_last_event():
     b = RouterBench(route(resumable=True, tries=2), replicas=(endpoint("1"), endpoint("2")))
     rid, es = b.request()
     first = only_effect(es, "try")[3]
@@ -137,27 +137,27 @@
     es = b.report(rid, 1, "cut", "7")
     t = only_effect(es, "try")
     assert t[3]["resume"] is True and t[3]["last_event"] == "7" and t[3]["replica"] != first["replica"]
-    assert only_effect(b.report(rid, 2, "cut", "9"), "break")[1] == rid  # tries are used: broken, never ended as whole
+    assert only_effect(b.report(rid, 2, "cut", "9"), "break")[1] == rid  # no attempts left: broken off, not ended as complete
 
 
-def test_a_stream_whose_head_was_passed_on_is_broken_never_answered_twice():
+def test_a_stream_whose_head_was_forwarded_is_broken_off_and_not_answered():
     b = RouterBench(route(resumable=False, tries=3))
     rid, _ = b.request()
     b.report(rid, 1, "began", 200)
     assert only_effect(b.report(rid, 1, "cut", "3"), "break")[1] == rid
 
 
-def test_homes_bind_also_when_the_home_is_gone():
+def test_home_regions_apply_even_without_replicas_there():
     b = RouterBench(route(homes=["b"]), replicas=(endpoint("1", "a1"), endpoint("2", "b1")))
     assert only_effect(b.request()[1], "try")[3]["replica"] == "2"
     b.feed("listed", (endpoint("1", "a1"),), True)
     assert only_effect(b.request()[1], "answer")[2] == 503
 
 
-def test_leaving_gone_and_emptied_replicas_get_nothing():
+def test_leaving_gone_and_drained_replicas_get_no_requests():
     b = RouterBench(route(), replicas=(endpoint("1"), endpoint("2", "b1")))
     b.feed("listed", (endpoint("1", leaving=True), endpoint("2", "b1")), True)
-    b.feed("listed", (endpoint("1"), endpoint("2", "b1")), False)  # leaving is not taken back within a life
+    b.feed("listed", (endpoint("1"), endpoint("2", "b1")), False)  # leaving is never reset within an incarnation
     assert {only_effect(b.request()[1], "try")[3]["replica"] for _ in range(9)} == {"2"}
     b.drain("b1")
     assert only_effect(b.request()[1], "answer")[2] == 503
@@ -167,19 +167,19 @@
     assert only_effect(b.request()[1], "answer")[2] == 503
 
 
-def test_another_life_at_the_address_is_not_tried_again():
+def test_an_address_taken_by_another_incarnation_is_not_tried_again():
     b = RouterBench(route(tries=2), replicas=(endpoint("1"), endpoint("2", "b1")))
     rid, _ = b.request()
     b.report(rid, 1, "not-run", 421, None)
     assert {only_effect(b.request()[1], "try")[3]["replica"] for _ in range(9)} == {"2"}
 
 
-def test_every_try_names_the_life_it_is_meant_for():
+def test_every_attempt_expects_its_incarnation():
     b = RouterBench(route())
     assert only_effect(b.request()[1], "try")[3]["expect"] is True
 
 
-def test_cold_replicas_get_their_share_alone():
+def test_a_replica_in_slow_start_gets_only_this_daemons_share():
     b = RouterBench(route(), replicas=(endpoint("1", slow_start_ms=60000),), s=dict(conns=100, slots=8, cold_ms=3000, cold_per_s=6))
     b.feed("pulse")
     got = [b.request()[1][0] for _ in range(20)]
@@ -188,14 +188,14 @@
     assert b.request()[1][0][0] == "try"
 
 
-def test_a_zone_taken_back_is_held_for_cold():
+def test_a_zone_no_longer_drained_begins_a_slow_start():
     b = RouterBench(route(), replicas=(endpoint("1"),), s=dict(conns=100, slots=8, cold_ms=3000, cold_per_s=6))
     b.drain("a1")
     b.drain("a1", False)
     assert [b.request()[1][0][0] for _ in range(20)].count("try") == 2
 
 
-def test_repeats_are_held_to_their_share():
+def test_retries_are_limited_by_the_budget():
     b = RouterBench(route(kind="pure", tries=2), replicas=(endpoint("1"), endpoint("2"), endpoint("3")))
     sent = asked = 0
     for _ in range(600):
@@ -206,12 +206,12 @@
     assert sent <= 0.2 * asked + 50 / 3
 
 
-def test_a_late_deadline_is_answered_without_a_send():
+def test_a_deadline_that_is_too_close_is_answered_without_an_attempt():
     b = RouterBench(route())
     assert only_effect(b.request(deadline_ms=10)[1], "answer")[2] == 504
 
 
-def test_the_same_parts_meet_at_the_same_replica_from_every_daemon():
+def test_every_daemon_sends_the_same_prefix_to_the_same_replica():
     reps = tuple(endpoint(str(i)) for i in range(1, 7))
     at = set()
     for me in ("a", "b", "c"):
@@ -222,13 +222,13 @@
     assert len(at) == 1
 
 
-def test_a_hot_part_overflows_to_the_next():
+def test_a_hot_prefix_overflows_to_the_next_replica():
     b = RouterBench(route(by_prefix=True), replicas=tuple(endpoint(str(i)) for i in range(1, 4)))
     at = [only_effect(b.request(prefix=(("p1", 900), (str(i), 100)), tokens=(1000, 300))[1], "try")[3]["replica"] for i in range(12)]
     assert len(set(at)) > 1 and at[0] == at[1]
 
 
-def test_a_full_home_spills_and_an_idle_one_does_not():
+def test_a_full_local_region_overflows_and_an_idle_one_does_not():
     b = RouterBench(route(), replicas=(endpoint("1"), endpoint("2", "b1")))
     at = [only_effect(b.request()[1], "try")[3]["replica"] for _ in range(8)]
     assert at[0] == "1" and "2" in at
@@ -238,7 +238,7 @@
     assert shared_prefix_key((("a", 1), ("b", 2), ("c", 3))) == "a,b" and shared_prefix_key((("a", 1),)) == ""
 
 
-def test_what_may_repeat_leaves_a_silent_replica_and_what_may_not_stays():
+def test_only_repeatable_requests_are_retried_after_silence():
     b = RouterBench(route(resumable=True, tries=2, gap_ms=600), replicas=(endpoint("1"), endpoint("2")))
     rid, es = b.request()
     first = only_effect(es, "try")[3]
@@ -246,37 +246,37 @@
     b.report(rid, 1, "began", 200)
     t = only_effect(b.report(rid, 1, "silent", "4"), "try")
     assert t[2] == 2 and t[3]["resume"] and t[3]["last_event"] == "4" and t[3]["replica"] != first["replica"]
-    assert b.report(rid, 1, "cut", "5") == []  # the old try's last word changes nothing
-    assert b.report(rid, 2, "silent", "6") == []  # tries are used: it is waited for
+    assert b.report(rid, 1, "cut", "5") == []  # late reports of the superseded attempt are ignored
+    assert b.report(rid, 2, "silent", "6") == []  # no attempts left: the request waits
     assert b.report(rid, 2, "done") == []
     b = RouterBench(route(kind="effectful", tries=3))
     rid, es = b.request()
     silent = only_effect(es, "try")[3]["replica"]
     assert b.report(rid, 1, "silent", None) == []
-    assert silent not in {only_effect(b.request()[1], "try")[3]["replica"] for _ in range(4)}  # others go first
+    assert silent not in {only_effect(b.request()[1], "try")[3]["replica"] for _ in range(4)}  # other replicas are preferred
     b.advance(20)
-    assert [only_effect(b.request()[1], "try")[3]["replica"] for _ in range(9)].count(silent) == 0  # it still holds one that is silent
+    assert [only_effect(b.request()[1], "try")[3]["replica"] for _ in range(9)].count(silent) == 0  # its silent attempt is still open
     b.report(rid, 1, "gone")
-    assert [only_effect(b.request()[1], "try")[3]["replica"] for _ in range(9)].count(silent) == 1  # one at a time tries it again
+    assert [only_effect(b.request()[1], "try")[3]["replica"] for _ in range(9)].count(silent) == 1  # one request at a time tries it again
 
 
-def test_what_its_prober_does_not_hear_is_passed_over_until_it_does():
+def test_a_replica_that_fails_health_checks_is_avoided_until_it_answers():
     b = RouterBench(route(), replicas=(endpoint("1"), endpoint("2", "b1")))
     b.feed("loads", {"1": (-1, -1, 8)})
     assert {only_effect(b.request()[1], "try")[3]["replica"] for _ in range(4)} == {"2"}
     b.feed("loads", {"1": (0, 0, 8)})
     assert only_effect(b.request()[1], "try")[3]["replica"] == "1"
     b.feed("loads", {"1": (-1, -1, 8), "2": (-1, -1, 8)})
-    assert only_effect(b.request()[1], "try")  # nobody is heard: then whoever there is
+    assert only_effect(b.request()[1], "try")  # all replicas fail health checks: any of them is used
 
 
-def test_a_silent_replica_alone_is_waited_for():
+def test_a_request_waits_for_the_only_replica_if_it_is_silent():
     b = RouterBench(route(kind="pure", tries=2), replicas=(endpoint("1"),))
     rid, _ = b.request()
     assert b.report(rid, 1, "silent", None) == [] and b.report(rid, 1, "done") == []
 
 
-def test_another_life_at_an_address_costs_no_try():
+def test_a_refusal_by_another_incarnation_is_no_counted_attempt():
     b = RouterBench(route(kind="effectful", tries=1), replicas=(endpoint("1"), endpoint("2")))
     b.advance(10)
     rid, es = b.request()
@@ -285,38 +285,38 @@
     assert only_effect(es, "try")[3]["replica"] != first
 
 
-def test_what_goes_on_after_another_lifes_word_is_paid_for_like_any_arrival_beyond_the_first(monkeypatch):
-    monkeypatch.setattr(RetryBudget, "spend", lambda *a, **kw: False)  # nothing is left
+def test_a_retry_after_a_refusal_by_another_incarnation_is_charged_to_the_retry_budget(monkeypatch):
+    monkeypatch.setattr(RetryBudget, "spend", lambda *a, **kw: False)  # the budget is used up
     b = RouterBench(route(kind="effectful", tries=2), replicas=(endpoint("1"), endpoint("2")))
     rid, es = b.request()
     only_effect(es, "try")
     assert only_effect(b.report(rid, 1, "not-run", 421, None), "answer")[2] == 503
 
 
-def test_the_retry_budget_pays_for_each_arrival_beyond_the_first_and_for_nothing_unsent(monkeypatch):
+def test_the_retry_budget_is_charged_for_each_attempt_after_an_arrival(monkeypatch):
     spent = []
     monkeypatch.setattr(RetryBudget, "spend", lambda self, now, service, *, daemons: spent.append(service) or True)
     b = RouterBench(route(kind="effectful", tries=3), replicas=tuple(endpoint(str(i)) for i in range(1, 9)))
     rid, _ = b.request()
-    words = [("unsent", "refused"), ("not-run", 421, None), ("unsent", "refused"), ("not-run", 503, None)]
-    paid = []
-    for n, word in enumerate(words, 1):
-        b.report(rid, n, *word)
-        paid.append(len(spent))
-    assert paid == [0, 1, 2, 3]  # a send that replaces an unsent one is paid for again: the first charge is not given back
+    outcomes = [("unsent", "refused"), ("not-run", 421, None), ("unsent", "refused"), ("not-run", 503, None)]
+    charged = []
+    for n, outcome in enumerate(outcomes, 1):
+        b.report(rid, n, *outcome)
+        charged.append(len(spent))
+    assert charged == [0, 1, 2, 3]  # the retry after an unsent attempt is charged again: the first charge is not refunded
     b.report(rid, 5, "done")
 
 
-def test_a_421_to_a_request_that_names_a_version_says_nothing_of_the_replicas_life():
+def test_a_421_to_a_request_with_a_version_does_not_remove_the_replica():
     b = RouterBench(route(kind="effectful", tries=1), replicas=(endpoint("1"), endpoint("2")))
     rid, es = b.request(version="3")
     first = only_effect(es, "try")[3]["replica"]
     assert only_effect(b.report(rid, 1, "not-run", 421, None), "try")[3]["replica"] != first
     b.advance(1)
-    assert {only_effect(b.request()[1], "try")[3]["replica"] for _ in range(12)} == {"1", "2"}  # both are still there
+    assert {only_effect(b.request()[1], "try")[3]["replica"] for _ in range(12)} == {"1", "2"}  # both replicas remain
 
 
-def test_a_request_whose_service_was_taken_out_of_the_configuration_is_answered():
+def test_a_request_whose_service_was_removed_from_the_configuration_is_answered():
     replicas = (endpoint("1", service="u"), endpoint("2", service="u"))
     b = RouterBench(route(shares=[{"service": "u", "weight": 1}], kind="effectful", tries=2), replicas=replicas, u=dict(conns=9, slots=8))
     rid, es = b.request()
--- a/tests/routing/test_router_seeds.py
+++ b/tests/routing/test_router_seeds.py
@@ -1,4 +1,4 @@
-"""Seeded days of the forwarding path (design 15); a part with a planted fault is caught by the rules in the same days."""
+"""Seeded runs of the forwarding path (design 15); each planted fault breaks a rule in the same runs."""
 
 import itertools
 import os
@@ -22,18 +22,18 @@
 
 
 @pytest.mark.parametrize("town", ["navrang", "banyan"])
-def test_a_quiet_day_serves_everyone(town):
+def test_a_run_without_faults_serves_all_requests(town):
     s = Scene(town=town, seed=1)
     s.settle()
     s.traffic()
     s.w.run(10)
     assert s.finish() == []
     n = s.told()
-    assert n.pop("200") > 300 and sum(n.values()) == n.get("404", 0)  # the looks at routes that never were
+    assert n.pop("200") > 300 and sum(n.values()) == n.get("404", 0)  # requests on routes that never existed
 
 
 @pytest.mark.parametrize("town,seed", [("navrang", 1), ("banyan", 2), ("drawn", 3)])
-def test_a_day_of_all_failures_breaks_no_rule(town, seed):
+def test_a_run_with_all_faults_breaks_no_rule(town, seed):
     s, bad = forward_faults.run(town=town, seed=seed, secs_=20)
     assert bad == []
     assert s.told()["200"] > 200
@@ -46,7 +46,7 @@
 """
 
 
-def test_a_replay_is_the_same_run_in_another_process():
+def test_a_run_is_deterministic_across_processes():
     a, b = (
         subprocess.run(
             [sys.executable, "-c", DAY], env=dict(os.environ, PYTHONHASHSEED=h), capture_output=True, text=True, check=True
@@ -57,7 +57,7 @@
 
 
 def warped(monkeypatch, turn, ev=lambda now, ev: ev):
-    """The part with its effects, and what it hears, changed on the way."""
+    """Replace the router by one whose effects and events pass through `turn` and `ev`."""
     real = daemon_components.MachineComponent
 
     class Warped(real):
@@ -75,7 +75,7 @@
 
 
 def eligible_replicas(**wrong):
-    """Replicas are chosen without one of the rules."""
+    """Return a plant that makes the router ignore one of the rules for eligible replicas."""
 
     def fn(mp):
         real = attempts.eligible_replicas
@@ -106,7 +106,7 @@
 
 
 def nth(n, make):
-    """Every n-th try becomes something else."""
+    """Return a function that replaces every n-th started attempt."""
     k = itertools.count(1)
     return lambda now, e: make(e) if e[0] == "try" and next(k) % n == 0 else (e,)
 
@@ -150,7 +150,7 @@
 
 
 def tries_on(mp):
-    """The part takes a route for one that lets it try nine replicas."""
+    """Make the router treat every route as one that allows nine attempts."""
     real = attempts.find_route
 
     def find_route(*a):
@@ -182,11 +182,11 @@
 ]
 
 
-SOUND = {}  # what the part as it is breaks in the same days: nothing
+SOUND = {}  # rules broken by the unmodified router in the same runs: none
 
 
 @pytest.mark.parametrize("rule,plant,kinds,kw", PLANTED, ids=[f"{r}-{i}" for i, (r, *_) in enumerate(PLANTED)])
-def test_a_part_with_a_planted_fault_is_caught(monkeypatch, rule, plant, kinds, kw):
+def test_a_planted_fault_is_detected(monkeypatch, rule, plant, kinds, kw):
     kw = dict(dict(gap=1.5, town="hamlet", seed=2, kinds=kinds or ("swing",), secs_=14), **kw)
     if (key := repr(kw)) not in SOUND:
         SOUND[key] = forward_faults.run(**kw)[1]
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -1,4 +1,4 @@
-"""SlowStart replicas in a fleet without messages (design 16.2), against a sliding second."""
+"""Slow start of replicas in a fleet without coordination (design 16.2), checked over sliding seconds."""
 
 import random
 from bisect import bisect_left
@@ -17,20 +17,20 @@
 
 
 def most(times):
-    """The oracle: the most requests in any sliding second."""
+    """Oracle: return the largest number of requests in any sliding second."""
     t = sorted(times)
     return max((bisect_left(t, a + SEC) - i for i, a in enumerate(t)), default=0)
 
 
 @pytest.fixture(autouse=True)
 def ranks(monkeypatch):
-    """One process plays all daemons: they rank the same names but once."""
+    """Cache the ranking: one process simulates all daemons, which rank the same names."""
     monkeypatch.setattr(module, "rank_nodes", lru_cache(4096)(module.rank_nodes))
 
 
 class Fleet:
-    """Edge daemons with a roster like the real one: who is reached within a second or two is known, and for a
-    minute after it was reached last."""
+    """Edge daemons with a membership like the real one: a daemon is known a second or two after its start, and for a
+    minute after it was last reachable."""
 
     def __init__(self, *, n, rng, make=SlowStart, restless=True):
         self.rng, self.make = rng, make
@@ -54,7 +54,7 @@
                 self.seen[i].update(old[self.side[i]])
 
     def members(self, i, now):
-        """Looked at anew once a second, as a daemon's roster is."""
+        """Return the known members, refreshed once a second as in a daemon."""
         at, names = self.view.get(i, (None, None))
         if at is None or not SEC > now - at or at < self.up[i]:
             at, names = self.view[i] = (now, frozenset(j for j, t in self.seen[i].items() if now - t < 60 * SEC))
@@ -69,11 +69,11 @@
 
     def thaw(self, i, now):
         if self.frozen.pop(i, None):
-            self.seen[i] = dict.fromkeys(self.seen[i], now)  # a roster that was frozen believes in all anew
+            self.seen[i] = dict.fromkeys(self.seen[i], now)  # after a pause all members count as just seen
             self.d[i].on_process_paused(now)
 
     def rush(self, now, per_s, k, replica="r"):
-        """Every live daemon tries k times in a tenth of a second."""
+        """Let every live daemon try k requests within 0.1 s."""
         for i in self.ids:
             if self.lives(i):
                 names = self.members(i, now)
@@ -123,13 +123,13 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_no_sliding_second_brings_a_cold_replica_more_than_it_bears(seed):
+def test_no_sliding_second_exceeds_the_limit_of_a_replica_in_slow_start(seed):
     f, per_s = play(seed)
     assert most(f.sent) <= per_s * EXCESS + SLACK
 
 
 @pytest.mark.parametrize("n,per_s", [(3, 11.0), (9, 11.0), (420, 11.0), (420, 900.5), (45, 44.9), (9, 0.5)])
-def test_a_calm_fleet_sends_what_the_replica_bears_and_no_more(n, per_s):
+def test_a_fleet_without_faults_sends_exactly_the_limit(n, per_s):
     f = Fleet(n=n, rng=random.Random(n))
     for tick in range(30):
         now = tick * SEC / 10
@@ -138,12 +138,12 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_a_fleet_of_four_hundred_and_twenty_keeps_the_bound_through_cuts_and_restarts(seed):
+def test_a_fleet_of_420_daemons_stays_within_the_limit_through_partitions_and_restarts(seed):
     f, per_s = play(seed + 100, n=420, secs=12)
     assert f.sent and most(f.sent) <= per_s * EXCESS + SLACK
 
 
-def test_shares_sum_to_the_bound_and_only_fall_when_names_are_added():
+def test_shares_sum_to_the_limit_and_only_decrease_when_names_are_added():
     rng = random.Random(2)
     for _ in range(400):
         n, per_s = rng.randrange(1, 40), rng.uniform(0, 60)
@@ -162,7 +162,7 @@
     assert len(set.union(*who.values())) > 10
 
 
-def test_a_daemon_that_started_or_thawed_sends_nothing_until_it_has_settled():
+def test_a_daemon_sends_nothing_until_it_has_settled_after_a_start_or_pause():
     names = frozenset({"a", "b"})
     c = SlowStart(own_name="a", tuning=OPT, started_at=0 * SEC)
     assert not c.take(4.9 * SEC, "r", per_second=4.0, members=names)
@@ -172,7 +172,7 @@
     assert c.take(25 * SEC, "r", per_second=4.0, members=names)
 
 
-def test_a_daemon_that_knows_nobody_takes_one_a_second_and_one_that_is_not_a_member_none():
+def test_a_daemon_that_knows_no_other_sends_one_request_per_second_and_a_non_member_none():
     c = SlowStart(own_name="a", tuning=OPT, started_at=0 * SEC)
     at = [t for t in range(100, 200) if c.take(t * SEC / 10, "r", per_second=40.0, members={"a"})]
     assert at == list(range(100, 200, 10))
@@ -180,7 +180,7 @@
     assert not c.take(10 * SEC, "r", per_second=40.0, members={"b", "c"})
 
 
-def test_names_count_long_after_the_roster_dropped_them():
+def test_names_are_retained_long_after_membership_dropped_them():
     c, names = SlowStart(own_name="d0", tuning=OPT, started_at=0 * SEC), {f"d{i}" for i in range(4)}
     count = lambda t, ns: sum(c.take(t * SEC, "r", per_second=8.0, members=ns) for _ in range(20))
     assert count(10, names) == 2
@@ -188,7 +188,7 @@
     assert count(12 + OPT["cold_recall"] / SEC, {"d0", "d1"}) == 4
 
 
-def test_names_that_are_not_given_again_stay():
+def test_members_are_kept_when_none_are_given():
     c = SlowStart(own_name="a", tuning=OPT, started_at=0 * SEC)
     c.update_members(1 * SEC, ["a", "b"])
     for t in range(10, 2000, 10):
@@ -198,16 +198,16 @@
     assert sum(c.take(2400 * SEC, "r", per_second=8.0, members=()) for _ in range(20)) == 1
 
 
-def test_a_replica_that_turns_warm_is_not_flooded():
+def test_the_limit_doubles_gradually_after_the_slow_start():
     c, names, got = SlowStart(own_name="a", tuning=OPT, started_at=0 * SEC), {"a", "b"}, {}
     assert c.take(10 * SEC, "r", per_second=4.0, members=names)
     for tick in range(80):
         t = 12 * SEC + tick * SEC / 20
         got[tick] = sum(c.take(t, "r", per_second=None, members=names) for _ in range(100))
     sums = [sum(got[i] for i in range(a, a + 10)) for a in range(0, 80, 10)]
-    assert sums[0] == 2 and sums[1] == 0  # the cold share in its first second
-    assert sums[2] == 4 and 4 <= sums[3] <= 8  # then twice as much each half second
-    assert got[60] == 100  # and in the end what comes
+    assert sums[0] == 2 and sums[1] == 0  # this daemon's share in the first second
+    assert sums[2] == 4 and 4 <= sums[3] <= 8  # then doubled every half second
+    assert got[60] == 100  # finally unlimited
     assert c.take(30 * SEC, "never-cold", per_second=None, members=names)
 
 
@@ -224,11 +224,11 @@
     return any(most(f.sent) > per_s * EXCESS + SLACK for f, per_s in (play(s, make=make) for s in seeds))
 
 
-def test_the_oracle_finds_a_fleet_in_which_each_takes_all_that_the_replica_bears():
+def test_the_oracle_detects_daemons_that_each_use_the_whole_limit():
     assert breaks(planted(own_share=lambda self, replica, per_second: int(per_second)))
 
 
-def test_the_oracle_finds_daemons_that_count_whole_seconds_instead_of_sliding_ones():
+def test_the_oracle_detects_daemons_that_count_fixed_instead_of_sliding_seconds():
     def count(self, now, replica, n):
         k = (replica, now // SEC)
         self.whole = getattr(self, "whole", {})
@@ -244,8 +244,8 @@
     assert run(planted(count=count)) > 30 * EXCESS + SLACK >= run(SlowStart)
 
 
-def test_the_oracle_finds_daemons_that_know_only_who_is_in_touch():
-    """A cut that lasts longer than the roster's memory, both sides still reaching the replica."""
+def test_the_oracle_detects_daemons_that_retain_no_names_of_unreachable_members():
+    """A partition that outlasts the membership's memory, while both sides still reach the replica."""
 
     def run(recall):
         opt = {**OPT, "cold_recall": recall}
@@ -262,8 +262,8 @@
     assert run(OPT["cold_recall"]) <= 27
 
 
-def test_the_oracle_finds_daemons_that_do_not_settle():
-    """All are killed and started at once, and none knows another yet."""
+def test_the_oracle_detects_daemons_that_do_not_settle():
+    """All daemons are restarted at once, and none knows the others yet."""
 
     def run(opt):
         f = Fleet(n=9, rng=random.Random(1))
@@ -272,7 +272,7 @@
             f.kill(i)
             f.start(i, 0 * SEC)
             f.d[i] = SlowStart(own_name=i, tuning=opt, started_at=0 * SEC)
-            f.seen[i].update(dict.fromkeys(f.ids[:2], 0 * SEC))  # its seeds
+            f.seen[i].update(dict.fromkeys(f.ids[:2], 0 * SEC))  # its seed members
         for t in range(0, 120):
             f.gossip(t * SEC / 10)
             f.rush(t * SEC / 10, 11.0, 12)
@@ -282,8 +282,8 @@
     assert run(OPT) <= 11
 
 
-def test_the_oracle_finds_thawed_daemons_that_go_on_as_if_nothing_had_been():
-    """Frozen for longer than the others remember it, a side comes back while its part is spent by others."""
+def test_the_oracle_detects_paused_daemons_that_do_not_settle_again():
+    """One side is paused for longer than the others retain its names, and resumes while they use its share."""
 
     def run(make):
         f, opt = Fleet(n=8, rng=random.Random(1)), {**OPT, "cold_recall": 70 * SEC}
@@ -296,7 +296,7 @@
             if t == 150:
                 for i in f.ids[:4]:
                     f.thaw(i, now)
-                f.rush(now, 24.0, 30)  # before anyone heard of it
+                f.rush(now, 24.0, 30)  # before any member is seen again
             f.gossip(now)
             f.rush(now, 24.0, 30)
         return most(f.sent)
