--- a/silverglade/routing/attempt_progress.py
+++ b/silverglade/routing/attempt_progress.py
@@ -113,7 +113,7 @@
     def on_not_run(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
         """Handle a replica's report that it did not run the request: send it to the next replica while attempts are left."""
         if replica:
-            self.note_refusal(request, replica, progress.details[0], now)
+            self.record_refusal(request, replica, progress.details[0], now)
         details = progress.details
         retry_after = details[1] if len(details) > 1 and details[1] else RETRY_AFTER_ATTEMPTS_S
         if not request.may_have_run:
@@ -123,7 +123,7 @@
             return
         self.attempts.send_next(request, now)
 
-    def note_refusal(self, request: Request, replica: ReplicaState, status: int, now: timedelta) -> None:
+    def record_refusal(self, request: Request, replica: ReplicaState, status: int, now: timedelta) -> None:
         """Update the replica's state after a refusal."""
         if status != HTTPStatus.MISDIRECTED_REQUEST:  # full, until the next health check or response shows otherwise
             replica.active = max(replica.active, replica.slots)
@@ -166,7 +166,7 @@
         if replica:
             self.feedback.on_suspected(replica, now, may_be_down=False)
             self.feedback.accuse(replica, now)
-        self.note_last_event(request, progress.details)
+        self.record_last_event(request, progress.details)
         self.after_loss(request, replica, progress, now)
 
     def after_loss(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
@@ -186,7 +186,7 @@
 
     def on_silent(self, request: Request, replica: ReplicaState | None, progress: AttemptProgressed, now: timedelta) -> None:
         """Handle a silent replica: retry a repeatable request elsewhere if possible; otherwise keep waiting."""
-        self.note_last_event(request, progress.details)
+        self.record_last_event(request, progress.details)
         if replica:
             self.feedback.on_suspected(replica, now, may_be_down=True)
         if request.is_repeatable:
@@ -197,7 +197,7 @@
         self.context.finish(request)
 
     @staticmethod
-    def note_last_event(request: Request, details: Details) -> None:
+    def record_last_event(request: Request, details: Details) -> None:
         """Record the id of the last forwarded event, if there was any."""
         if details and details[0] is not None:
             request.last_event_id = details[0]
--- a/silverglade/routing/attempts.py
+++ b/silverglade/routing/attempts.py
@@ -96,7 +96,7 @@
             return
         route = find_route(context.routes, facts["host"], facts["path"])
         if route is None:
-            context.note_refused_route(now)
+            context.record_refused_route(now)
             context.answer(request, *(UNKNOWN_ROUTE if context.is_configuration_certain(now) else UNCERTAIN_ROUTE))
             return
         refusal = self.identify_caller(request, route, now)
--- a/silverglade/routing/context.py
+++ b/silverglade/routing/context.py
@@ -125,14 +125,14 @@
         limit = self.tuning["keys_alone"]
         return limit is None or self.proved_at is not None and now - self.proved_at < limit
 
-    def note_refused_route(self, now: timedelta) -> None:
+    def record_refused_route(self, now: timedelta) -> None:
         """Count a request on an unknown route."""
         proof_age = None if self.proved_at is None else now - self.proved_at
-        self.refused_routes.note(proof_age=proof_age, is_certain=self.is_configuration_certain(now))
+        self.refused_routes.count(proof_age=proof_age, is_certain=self.is_configuration_certain(now))
 
     def log_refused_routes(self) -> None:
         """Log the requests on unknown routes since the last call, if there were any."""
-        line = self.refused_routes.take_line(self.configuration or {})
+        line = self.refused_routes.take_log_fields(self.configuration or {})
         if line is not None:
             self.log("routes-unknown", **line)
 
--- a/silverglade/routing/endpoint_list.py
+++ b/silverglade/routing/endpoint_list.py
@@ -190,7 +190,7 @@
         self.failed_readings = 0
         self.has_read = True
         seen = {name for row in event.records if (name := self.on_row_read(row)) is not None}
-        self.count_missing(seen)
+        self.drop_missing(seen)
         self.update_health_checks()
         self.effects.append(Post(Component.ROUTER, EndpointsListed(tuple(self.present()), True)))
 
@@ -227,7 +227,7 @@
             self.publish(LISTED, name, state, tuple(record))
         return name
 
-    def count_missing(self, seen: set[str]) -> None:
+    def drop_missing(self, seen: set[str]) -> None:
         """Drop the replicas that were missing from several consecutive lists."""
         for record in [record for record in self.present() if record.name not in seen]:
             name = record.name
@@ -254,13 +254,13 @@
     def on_soft_state_changed(self, event: SoftStateChanged, now: timedelta) -> None:
         """Apply rows of soft state, published by any daemon."""
         if event.kind == LISTED:
-            self.note_ranks(LISTED, event.rows)
+            self.record_ranks(LISTED, event.rows)
             self.on_listed_rows(event.rows)
         elif event.kind == LOAD:
-            self.note_ranks(LOAD, event.rows)
+            self.record_ranks(LOAD, event.rows)
             self.on_load_rows(event.rows)
 
-    def note_ranks(self, kind: str, rows: Mapping[str, tuple[Any, Any]]) -> None:
+    def record_ranks(self, kind: str, rows: Mapping[str, tuple[Any, Any]]) -> None:
         """Record the ranks that this daemon's own rows must exceed."""
         for name, (row_rank, _) in rows.items():
             state, number = (*row_rank, 0)[:2]  # another version of the program may use fewer or more numbers per rank
--- a/silverglade/routing/graceful_shutdown.py
+++ b/silverglade/routing/graceful_shutdown.py
@@ -128,8 +128,8 @@
         expected = self.response_times.expected(now, route["name"], work)
         if expected is None:
             return False
-        under_way = SlowestResponses()
+        open_responses = SlowestResponses()
         for took, its_work in running:
-            under_way.add(took, its_work)
-        expected = max(expected, under_way.expected(work))
+            open_responses.add(took, its_work)
+        expected = max(expected, open_responses.expected(work))
         return now + expected * (1 if is_stream else SAFETY_FACTOR) <= self.answer_at
--- a/silverglade/routing/health_checks.py
+++ b/silverglade/routing/health_checks.py
@@ -36,7 +36,7 @@
     :ivar regions: replica to its region, without replicas that are gone.
     :ivar own_replicas: the replicas that this daemon checks.
     :ivar next_check_at: replica to the time of its next regular check.
-    :ivar under_way: replica to the start of its check in progress.
+    :ivar in_progress: replica to the start of its check in progress.
     :ivar suspected: suspected replica to whether it was already checked out of turn; removed once it answers.
     :ivar extra_checks: times of the checks out of turn in the last second.
     """
@@ -48,7 +48,7 @@
         self.regions: dict[str, str] = {}
         self.own_replicas: frozenset[str] = frozenset()
         self.next_check_at: dict[str, timedelta] = {}
-        self.under_way: dict[str, timedelta] = {}
+        self.in_progress: dict[str, timedelta] = {}
         self.suspected: dict[str, bool] = {}
         self.extra_checks: deque[timedelta] = deque()
 
@@ -73,7 +73,7 @@
         self.own_replicas = frozenset(
             replica for replica, region in self.regions.items() if highest_ranked(replica, daemons.get(region, ())) == self.own_name
         )
-        for table in (self.next_check_at, self.under_way, self.suspected):
+        for table in (self.next_check_at, self.in_progress, self.suspected):
             for replica in [replica for replica in table if replica not in self.own_replicas]:
                 del table[replica]
 
@@ -87,12 +87,12 @@
         due = []
         interval = self.tuning["probe_every"]
         for position, replica in enumerate(sorted(self.own_replicas)):
-            if replica in self.under_way and now - self.under_way[replica] < self.tuning["probe_wait"]:
+            if replica in self.in_progress and now - self.in_progress[replica] < self.tuning["probe_wait"]:
                 continue
             check_at = self.next_check_at.setdefault(replica, now + position % FIRST_CHECK_OFFSETS * interval / FIRST_CHECK_OFFSETS)
             if now >= check_at or self.take_extra_check(now, replica):
                 self.next_check_at[replica] = now + interval
-                self.under_way[replica] = now
+                self.in_progress[replica] = now
                 due.append(replica)
         return tuple(due)
 
@@ -113,14 +113,14 @@
 
     def on_answer(self, replica: str) -> None:
         """Record that the replica answered; it is no longer suspected."""
-        self.under_way.pop(replica, None)
+        self.in_progress.pop(replica, None)
         self.suspected.pop(replica, None)
 
     def on_failure(self, replica: str) -> None:
         """Record that the replica did not answer; its next regular check stays scheduled."""
-        self.under_way.pop(replica, None)
+        self.in_progress.pop(replica, None)
 
     def on_process_paused(self) -> None:
         """Reset the schedule after a pause of this process: checks in progress are lost."""
-        self.under_way.clear()
+        self.in_progress.clear()
         self.next_check_at.clear()
--- a/silverglade/routing/outlier_ejection.py
+++ b/silverglade/routing/outlier_ejection.py
@@ -209,11 +209,11 @@
         """Return the state of a replica; create it if there is none."""
         return self.ejection_states.setdefault(replica, EjectionState(now))
 
-    def add_accusation(self, now: timedelta, replica: ReplicaIdentity, accuser: str, counts_for: timedelta) -> None:
+    def add_accusation(self, now: timedelta, replica: ReplicaIdentity, accuser: str, validity: timedelta) -> None:
         """Add an accusation; eject the replica if that makes a quorum or if it is on trial."""
         state = self.ejection_states[replica.id]
         state.last_accused_at = now
-        state.accusers[accuser] = now + counts_for
+        state.accusers[accuser] = now + validity
         if state.is_on_trial(now) or not state.is_active(now) and self.has_quorum(now, replica, state):
             state.eject(now)
 
--- a/silverglade/routing/prefill_backlog.py
+++ b/silverglade/routing/prefill_backlog.py
@@ -78,21 +78,21 @@
     """Uncached tokens of a prompt in prefill, and when the entry expires if the end of prefill is not reported."""
 
     tokens: int
-    counts_until: timedelta
+    expires_at: timedelta
 
 
 class ReplicaBacklog:
     """Prefill backlog and estimated prefix cache of one replica.
 
-    :ivar reading: prompts in prefill or waiting for it.
+    :ivar prefills: prompts in prefill or waiting for it.
     :ivar cached: parts that are probably in its prefix cache: id to tokens, least recently used first.
     :ivar cached_tokens: total tokens of these parts.
     """
 
-    __slots__ = ("reading", "cached", "cached_tokens")
+    __slots__ = ("prefills", "cached", "cached_tokens")
 
     def __init__(self) -> None:
-        self.reading: dict[PrefillId, ExpectedPrefill] = {}
+        self.prefills: dict[PrefillId, ExpectedPrefill] = {}
         self.cached: OrderedDict[str, int] = OrderedDict()
         self.cached_tokens = 0
 
@@ -129,7 +129,7 @@
         backlog = self.replicas.get(replica)
         if backlog is None:
             return prompt.tokens
-        waiting = sum(expected.tokens for expected in backlog.reading.values() if now < expected.counts_until)
+        waiting = sum(expected.tokens for expected in backlog.prefills.values() if now < expected.expires_at)
         return waiting + backlog.uncached_tokens(prompt)
 
     def add(self, now: timedelta, replica: str, prefill: PrefillId, prompt: Prompt, capacity: int) -> None:
@@ -138,22 +138,22 @@
         :param capacity: tokens that fit in the replica's memory; 0 if unknown.
         """
         backlog = self.replicas.setdefault(replica, ReplicaBacklog())
-        backlog.reading[prefill] = ExpectedPrefill(backlog.uncached_tokens(prompt), now + PREFILL_EXPIRY)
+        backlog.prefills[prefill] = ExpectedPrefill(backlog.uncached_tokens(prompt), now + PREFILL_EXPIRY)
         backlog.add_to_cache(prompt, capacity)
 
     def remove(self, replica: str, prefill: PrefillId) -> None:
         """Remove a prompt whose first token arrived or whose attempt ended."""
         backlog = self.replicas.get(replica)
         if backlog is not None:
-            backlog.reading.pop(prefill, None)
+            backlog.prefills.pop(prefill, None)
 
     def expire(self, now: timedelta, replicas: Collection[str]) -> None:
         """Drop the backlogs of unlisted replicas and expired prompts."""
         for replica in [replica for replica in self.replicas if replica not in replicas]:
             del self.replicas[replica]
         for backlog in self.replicas.values():
-            for prefill in [prefill for prefill, expected in backlog.reading.items() if now >= expected.counts_until]:
-                del backlog.reading[prefill]
+            for prefill in [prefill for prefill, expected in backlog.prefills.items() if now >= expected.expires_at]:
+                del backlog.prefills[prefill]
 
 
 class OngoingPrefill(NamedTuple):
--- a/silverglade/routing/refused_routes.py
+++ b/silverglade/routing/refused_routes.py
@@ -29,7 +29,7 @@
         self.refused = self.uncertain = 0
         self.oldest_proof_ms = NO_PROOF
 
-    def note(self, *, proof_age: timedelta | None, is_certain: bool) -> None:
+    def count(self, *, proof_age: timedelta | None, is_certain: bool) -> None:
         """Count one request."""
         if not is_certain:
             self.uncertain += 1
@@ -38,7 +38,7 @@
         if proof_age is not None:
             self.oldest_proof_ms = max(self.oldest_proof_ms, to_milliseconds(proof_age))
 
-    def take_line(self, configuration: Mapping[str, Any]) -> dict[str, Any] | None:
+    def take_log_fields(self, configuration: Mapping[str, Any]) -> dict[str, Any] | None:
         """Return the fields of the log line and reset the counts; None if there was no such request."""
         if not self.refused and not self.uncertain:
             return None
--- a/tests/routing/test_caller_seeds.py
+++ b/tests/routing/test_caller_seeds.py
@@ -16,17 +16,17 @@
 
 REVOKE = 5 * SEC
 CLOSED = dict(opt=tuning(keys_alone=4.5), bounds=Bounds(revoke=REVOKE))
-CUTS = ("keys", "keys", "change", "cut_region", "cut_machine", "kill", "freeze", "sleep", "term")
+FAULTS = ("keys", "keys", "change", "cut_region", "cut_machine", "kill", "freeze", "sleep", "term")
 
 
-def day(**kw):
+def run_with_keys(**kw):
     """Run with key changes and partitioned daemons; return the scene and the rules broken."""
-    return forward_faults.run(**{**dict(town="hamlet", secs_=14, gap=0.7, keys=True, kinds=CUTS), **kw})
+    return forward_faults.run(**{**dict(town="hamlet", secs_=14, gap=0.7, keys=True, kinds=FAULTS), **kw})
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_a_run_with_closed_revocation_breaks_no_rule(seed):
-    scene, broken = day(seed=seed, **CLOSED)
+    scene, broken = run_with_keys(seed=seed, **CLOSED)
     assert broken == []
     answers = scene.told()
     assert answers["200"] > 200 and answers["401"] > 20
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("town, seed", [("navrang", 5), ("banyan", 6)])
 def test_a_run_with_all_faults_and_keys_breaks_no_rule(town, seed):
-    scene, broken = day(town=town, seed=seed, kinds=forward_faults.ALL, gap=2.0)
+    scene, broken = run_with_keys(town=town, seed=seed, kinds=forward_faults.ALL, gap=2.0)
     assert broken == [] and scene.told()["200"] > 200
 
 
@@ -90,7 +90,7 @@
     assert [fault[1:3] for fault in s.r.faults] == [("CONFIG", "its key was taken away")]
 
 
-def first_table_stays(mp):
+def keep_first_callers(mp):
     """Make the router keep the callers of the first configuration."""
     real, kept = router.build_caller_table, []
 
@@ -121,7 +121,7 @@
     ("UNASKED", with_changed_target(tenant="mallory")),
     ("UNASKED", with_changed_target(tenant=None)),
     ("ROUTE", unguarded('if not route.get("public"):', "if False:")),
-    ("CONFIG", first_table_stays),
+    ("CONFIG", keep_first_callers),
     ("CONFIG", unguarded("if caller is None:", "if caller is None or now.total_seconds() > 14:")),
     ("HOME", unguarded('request.homes = effective_homes(route["homes"], caller)', "pass")),
 ]
@@ -130,4 +130,4 @@
 @pytest.mark.parametrize("rule, plant", PLANTED, ids=[f"{rule}-{number}" for number, (rule, _) in enumerate(PLANTED)])
 def test_a_planted_fault_in_key_handling_is_detected(monkeypatch, rule, plant):
     plant(monkeypatch)
-    assert rule in {broken[1] for broken in day(seed=1, stop=True, kinds=("keys",), **CLOSED)[1]}
+    assert rule in {broken[1] for broken in run_with_keys(seed=1, stop=True, kinds=("keys",), **CLOSED)[1]}
--- a/tests/routing/test_cold_replicas.py
+++ b/tests/routing/test_cold_replicas.py
@@ -70,13 +70,13 @@
     return [rule for _, rule, *_ in broken]
 
 
-DAYS = [dict(town="hamlet", seed=1, kinds=("cold_return",)), dict(town="navrang", seed=12), dict(town="banyan", seed=6)]
+RUNS = [dict(town="hamlet", seed=1, kinds=("cold_return",)), dict(town="navrang", seed=12), dict(town="banyan", seed=6)]
 
 
-@pytest.mark.parametrize("day", DAYS, ids=[day["town"] for day in DAYS])
-def test_the_limit_holds_under_load_once_the_list_shows_it(day):
-    assert breaches(**day) == []
-    assert "FAILBACK" in breaches(**day, list_every=timedelta(seconds=1))  # the list is read half as often
+@pytest.mark.parametrize("run", RUNS, ids=[run["town"] for run in RUNS])
+def test_the_limit_holds_under_load_once_the_list_shows_it(run):
+    assert breaches(**run) == []
+    assert "FAILBACK" in breaches(**run, list_every=timedelta(seconds=1))  # the list is read half as often
 
 
 def test_requests_sent_while_warm_count_towards_the_limit_when_a_replica_turns_cold():
--- a/tests/routing/test_health_checks.py
+++ b/tests/routing/test_health_checks.py
@@ -20,44 +20,44 @@
     def __init__(self, *, n, replicas, rng, make=HealthChecks):
         self.rng, self.make = rng, make
         self.region = {f"d{i}": "abc"[i % 3] for i in range(n)}
-        self.places = {f"r{i}": "abc"[rng.randrange(3)] for i in range(replicas)}
-        self.d, self.dead, self.asks, self.wait = {}, set(), [], []
+        self.replica_regions = {f"r{i}": "abc"[rng.randrange(3)] for i in range(replicas)}
+        self.d, self.dead, self.checks, self.pending_answers = {}, set(), [], []
         for i in self.region:
             self.start(i)
-        self.view()
+        self.update_views()
 
     def start(self, i):
         self.dead.discard(i)
         self.d[i] = self.make(own_name=i, tuning=OPT)
 
-    def view(self, of=None):
+    def update_views(self, of=None):
         live = tuple((i, r) for i, r in self.region.items() if i not in self.dead)
         for i, r in live:
             if of is None or r == of:
                 self.d[i].set_live_daemons(live)
-                self.d[i].set_replicas(self.places)
+                self.d[i].set_replicas(self.replica_regions)
 
     def step(self, now, silent=()):
         """Run one step; answers arrive 0.1 s later, none from silent replicas."""
-        for at, i, x in [w for w in self.wait if w[0] <= now]:
-            self.wait.remove((at, i, x))
+        for at, i, x in [w for w in self.pending_answers if w[0] <= now]:
+            self.pending_answers.remove((at, i, x))
             if i not in self.dead:
                 self.d[i].on_answer(x)
         for i in self.region:
             if i in self.dead:
                 continue
             for x in self.d[i].due(now):
-                self.asks.append((now, i, x))
+                self.checks.append((now, i, x))
                 if x not in silent:
-                    self.wait.append((now + SEC / 10, i, x))
+                    self.pending_answers.append((now + SEC / 10, i, x))
 
 
-def faults(f, calm):
+def violations(f, calm):
     """Oracle: return a message per violation in the spans (from, until, live) in which all views were correct."""
     bad = []
     for a, b, live in calm:
-        here = [x for x in f.asks if a <= x[0] < b]
-        for r, place in f.places.items():
+        here = [x for x in f.checks if a <= x[0] < b]
+        for r, place in f.replica_regions.items():
             mine = [x for x in here if x[2] == r]
             who = {x[1] for x in mine}
             some = any(f.region[i] == place for i in live)
@@ -72,7 +72,7 @@
     return bad
 
 
-def play(seed, make=HealthChecks):
+def random_run(seed, make=HealthChecks):
     rng = random.Random(seed)
     f = Fleet(n=rng.choice((3, 6, 9, 30)), replicas=rng.choice((1, 5, 20, 60)), rng=rng, make=make)
     calm, since = [], 0 * SEC
@@ -87,7 +87,7 @@
                     f.start(i)
                 else:
                     f.dead.add(i)
-            f.view()
+            f.update_views()
             since = now
         f.step(now)
     calm.append((since, 70 * SEC, [i for i in f.region if i not in f.dead]))
@@ -96,7 +96,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_each_replica_is_checked_by_one_daemon_of_its_region_once_per_interval(seed):
-    assert faults(*play(seed)) == []
+    assert violations(*random_run(seed)) == []
 
 
 def planted(**kw):
@@ -130,11 +130,11 @@
 
 @pytest.mark.parametrize("rule", [everyone, local, anywhere, nobody_new])
 def test_the_oracle_detects_each_wrong_assignment(rule):
-    assert any(faults(*play(s, make=planted(assign=rule))) for s in range(6))
+    assert any(violations(*random_run(s, make=planted(assign=rule))) for s in range(6))
 
 
 def test_the_oracle_detects_a_daemon_that_checks_at_every_timer():
-    assert faults(*play(1, make=planted(due=lambda self, now: tuple(self.own_replicas))))
+    assert violations(*random_run(1, make=planted(due=lambda self, now: tuple(self.own_replicas))))
 
 
 def test_a_region_without_live_daemons_has_no_health_checker():
@@ -215,4 +215,4 @@
     p.on_process_paused()
     assert p.due(0.1 * SEC) == ("r",)
     p.set_replicas({})
-    assert (p.next_check_at, p.under_way, p.suspected, p.own_replicas) == ({}, {}, {}, frozenset())
+    assert (p.next_check_at, p.in_progress, p.suspected, p.own_replicas) == ({}, {}, {}, frozenset())
--- a/tests/routing/test_outlier_ejection.py
+++ b/tests/routing/test_outlier_ejection.py
@@ -21,8 +21,13 @@
 
 SEC = timedelta(seconds=1)
 MS = timedelta(milliseconds=1)
-HERE = {"d1": DaemonLocation("a1", "a"), "d2": DaemonLocation("a1", "a"), "d3": DaemonLocation("a2", "a"), "d4": DaemonLocation("a2", "a")}
-FAR = {"e1": DaemonLocation("b1", "b"), "e2": DaemonLocation("b2", "b")}
+LOCAL_DAEMONS = {
+    "d1": DaemonLocation("a1", "a"),
+    "d2": DaemonLocation("a1", "a"),
+    "d3": DaemonLocation("a2", "a"),
+    "d4": DaemonLocation("a2", "a"),
+}
+REMOTE_DAEMONS = {"e1": DaemonLocation("b1", "b"), "e2": DaemonLocation("b2", "b")}
 
 
 class Replica(NamedTuple):
@@ -39,46 +44,46 @@
     """Daemons that receive each other's rows at once, except those that are partitioned."""
 
     def __init__(self, members, replicas=REPLICAS):
-        self.now, self.replicas, self.rows, self.cut = 100 * SEC, replicas, [], set()
+        self.now, self.replicas, self.rows, self.partitioned = 100 * SEC, replicas, [], set()
         self.daemons = {i: OutlierEjection(own_name=i) for i in members}
         for d in self.daemons.values():
             d.set_daemons(members)
 
-    def spread(self):
+    def deliver_rows(self):
         """Deliver published rows to all daemons that are not partitioned; rows of partitioned ones are delivered after they return."""
         for i, d in self.daemons.items():
-            if i in self.cut:
+            if i in self.partitioned:
                 continue
             for row in d.take_rows():
                 self.rows.append((i, row))
                 for j, other in self.daemons.items():
-                    if j not in self.cut:
+                    if j not in self.partitioned:
                         other.on_rows(self.now, {row.key: (row.rank, row.value)}, self.replicas)
 
     def accuse(self, daemon, replica):
         self.daemons[daemon].accuse(self.now, self.replicas[replica], list(self.replicas.values()))
-        self.spread()
+        self.deliver_rows()
 
-    def answered(self, daemon, replica):
+    def record_answer(self, daemon, replica):
         self.daemons[daemon].on_answer(self.now, self.replicas[replica])
-        self.spread()
+        self.deliver_rows()
 
-    def out(self, daemon="d4"):
+    def avoided_by(self, daemon="d4"):
         return self.daemons[daemon].avoided(self.now, list(self.replicas.values()))
 
-    def go(self, span):
+    def advance_time(self, span):
         self.now += span
         for d in self.daemons.values():
             d.expire(self.now, self.replicas)
-        self.spread()
+        self.deliver_rows()
 
 
 def test_accusations_from_two_zones_eject_a_replica_for_all():
-    f = Fleet(HERE)
+    f = Fleet(LOCAL_DAEMONS)
     f.accuse("d1", "0")
-    assert all(f.out(i) == frozenset() for i in HERE)
+    assert all(f.avoided_by(i) == frozenset() for i in LOCAL_DAEMONS)
     f.accuse("d3", "0")
-    assert all(f.out(i) == {"0"} for i in HERE)
+    assert all(f.avoided_by(i) == {"0"} for i in LOCAL_DAEMONS)
 
 
 @pytest.mark.parametrize("guard", ["QUORUM", ""])
@@ -87,39 +92,39 @@
     if guard:
         monkeypatch.setattr(outlier_ejection, guard, 0)
         monkeypatch.setattr(OutlierEjection, "has_quorum", lambda self, now, replica, state: bool(state.accusers))
-    f, taken = Fleet(HERE), False
+    f, taken = Fleet(LOCAL_DAEMONS), False
     for n in range(1000):
         for r in REPLICAS:
             f.daemons["d4"].on_rows(f.now, {f"{r} d1": ((n + 1,), (1000,))}, REPLICAS)
-        taken |= bool(f.out())
+        taken |= bool(f.avoided_by())
         f.now += 10 * MS
     assert taken == bool(guard)
 
 
 def test_daemons_of_a_single_zone_eject_no_replica_of_another_zone():
-    f = Fleet(HERE)
+    f = Fleet(LOCAL_DAEMONS)
     f.accuse("d1", "0")
     f.accuse("d2", "0")
-    assert f.out() == frozenset()
+    assert f.avoided_by() == frozenset()
     near = {"0": Replica("0", zone="a1")}
-    g = Fleet(HERE, near | {"1": Replica("1")})
+    g = Fleet(LOCAL_DAEMONS, near | {"1": Replica("1")})
     g.accuse("d1", "0")
     g.accuse("d2", "0")
-    assert g.out() == {"0"}  # accusations from its own zone cannot stem from a partition
+    assert g.avoided_by() == {"0"}  # accusations from its own zone cannot stem from a partition
 
 
 def test_accusations_from_other_regions_count_only_if_the_region_has_no_daemons():
-    f = Fleet(HERE | FAR)
+    f = Fleet(LOCAL_DAEMONS | REMOTE_DAEMONS)
     f.accuse("e1", "0")
     f.accuse("e2", "0")
-    assert f.rows == [] and f.out() == frozenset()
-    for i in FAR:  # not even if they publish accusations
+    assert f.rows == [] and f.avoided_by() == frozenset()
+    for i in REMOTE_DAEMONS:  # not even if they publish accusations
         f.daemons["d4"].on_rows(f.now, {f"0 {i}": ((9,), (1000,))}, REPLICAS)
-    assert f.out() == frozenset()
-    g = Fleet(FAR)
+    assert f.avoided_by() == frozenset()
+    g = Fleet(REMOTE_DAEMONS)
     g.accuse("e1", "0")
     g.accuse("e2", "0")
-    assert g.out("e1") == {"0"}
+    assert g.avoided_by("e1") == {"0"}
 
 
 @pytest.mark.parametrize("guard", [True, False])
@@ -128,22 +133,22 @@
     if not guard:
         monkeypatch.setattr(outlier_ejection, "REPLICAS_PER_EJECTION", 1)
     replicas = {str(i): Replica(str(i)) for i in range(count)}
-    f = Fleet(HERE, replicas)
+    f = Fleet(LOCAL_DAEMONS, replicas)
     for r in replicas:
         for i in ("d1", "d2", "d3"):
             f.daemons["d4"].on_rows(f.now, {f"{r} {i}": ((1,), (1000,))}, replicas)
-    assert (len(f.out()) <= count // 2) == guard
+    assert (len(f.avoided_by()) <= count // 2) == guard
 
 
 def test_a_daemon_that_accuses_half_of_the_replicas_stops_accusing():
-    f = Fleet(HERE)
+    f = Fleet(LOCAL_DAEMONS)
     for r in REPLICAS:
         f.accuse("d1", r)
     assert len({row.key for _, row in f.rows}) == len(REPLICAS) // 2
 
 
 def test_daemons_do_not_accuse_a_replica_that_is_already_ejected():
-    f = Fleet(HERE)
+    f = Fleet(LOCAL_DAEMONS)
     for i in ("d1", "d3", "d2", "d4"):
         f.accuse(i, "0")
     assert [i for i, row in f.rows if row.value] == ["d1", "d3"]
@@ -155,12 +160,12 @@
     for i in members:
         f.accuse(i, "0")
     assert [i for i, row in f.rows if row.value] == ["d0", "d1", "z"]
-    assert f.out("d9") == {"0"}
+    assert f.avoided_by("d9") == {"0"}
 
 
 def on_trial(f):
     """Return the daemons that may choose the replica now."""
-    return [i for i in f.daemons if "0" not in f.out(i)]
+    return [i for i in f.daemons if "0" not in f.avoided_by(i)]
 
 
 def eject(f):
@@ -169,23 +174,23 @@
 
 
 def test_after_an_ejection_a_single_daemon_tests_the_replica_and_acquits_it():
-    f = Fleet(HERE)
+    f = Fleet(LOCAL_DAEMONS)
     eject(f)
-    f.go(FIRST_EJECTION)
+    f.advance_time(FIRST_EJECTION)
     (tester,) = on_trial(f)
     d = f.daemons[tester]
     assert d.replica_to_try(f.now, list(REPLICAS.values())).id == "0"
-    f.answered(tester, "0")
-    assert len(on_trial(f)) == len(HERE)
+    f.record_answer(tester, "0")
+    assert len(on_trial(f)) == len(LOCAL_DAEMONS)
 
 
 def test_each_failed_trial_doubles_the_ejection_and_changes_the_tester():
-    f, spans, testers = Fleet(HERE), [], set()
+    f, spans, testers = Fleet(LOCAL_DAEMONS), [], set()
     eject(f)
     for _ in range(9):
         since = f.now
         while not on_trial(f):
-            f.go(50 * MS)
+            f.advance_time(50 * MS)
         spans.append(f.now - since)
         (tester,) = on_trial(f)
         testers.add(tester)
@@ -195,37 +200,37 @@
 
 
 def test_the_trial_ends_after_a_while_if_the_tester_sends_nothing():
-    f = Fleet(HERE)
+    f = Fleet(LOCAL_DAEMONS)
     eject(f)
-    f.go(FIRST_EJECTION + TRIAL_DURATION)
-    assert len(on_trial(f)) == len(HERE)
+    f.advance_time(FIRST_EJECTION + TRIAL_DURATION)
+    assert len(on_trial(f)) == len(LOCAL_DAEMONS)
 
 
 def test_accusations_are_withdrawn_and_no_state_is_left():
-    f = Fleet(HERE)
+    f = Fleet(LOCAL_DAEMONS)
     eject(f)
     for _ in range(30):
-        f.go(SEC)
+        f.advance_time(SEC)
     last = {row.key: row.value for _, row in f.rows}
     assert set(last.values()) == {None}
     assert all(not d.ejection_states and not d.own_rows for d in f.daemons.values())
     f.replicas = {}
-    f.go(SEC)
+    f.advance_time(SEC)
     assert all(not d.row_numbers for d in f.daemons.values())
 
 
 def test_accusations_of_a_daemon_that_was_partitioned_eject_nothing():
-    f = Fleet(HERE)
-    f.cut.add("d1")
+    f = Fleet(LOCAL_DAEMONS)
+    f.partitioned.add("d1")
     for r in REPLICAS:
         f.accuse("d1", r)
-    f.cut.clear()
-    f.spread()
-    assert all(f.out(i) == frozenset() for i in ("d2", "d3", "d4"))
+    f.partitioned.clear()
+    f.deliver_rows()
+    assert all(f.avoided_by(i) == frozenset() for i in ("d2", "d3", "d4"))
 
 
 def test_a_restarted_accuser_outranks_the_rows_of_its_earlier_process():
-    f = Fleet(HERE)
+    f = Fleet(LOCAL_DAEMONS)
     f.daemons["d1"].on_rows(f.now, {"0 d1": ((41,), (1000,))}, REPLICAS)  # a row of its earlier process
     f.accuse("d1", "0")
     assert f.rows[-1][1].rank == (42,)
@@ -251,7 +256,7 @@
 )
 def test_malformed_rows_are_ignored(key, value):
     d = OutlierEjection(own_name="d4")
-    d.set_daemons(HERE)
+    d.set_daemons(LOCAL_DAEMONS)
     d.on_rows(SEC, {key: ((1,), value)}, REPLICAS)
     d.on_rows(SEC, {"0 d3": ((1,), (1000,))}, REPLICAS)
     assert d.avoided(SEC, list(REPLICAS.values())) == frozenset()
@@ -259,7 +264,7 @@
 
 def test_an_accusation_is_valid_for_at_most_the_longest_ejection():
     d = OutlierEjection(own_name="d4")
-    d.set_daemons(HERE)
+    d.set_daemons(LOCAL_DAEMONS)
     d.on_rows(SEC, {"0 d1": ((1,), (10**9,))}, REPLICAS)
     d.on_rows(SEC + MAX_EJECTION + MS, {"0 d3": ((1,), (1000,))}, REPLICAS)
     assert d.avoided(SEC + MAX_EJECTION + MS, list(REPLICAS.values())) == frozenset()
@@ -268,16 +273,16 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_daemons_with_the_same_rows_eject_the_same_replicas(seed):
     """Random accusations, answers and waits: at most half of a service is ejected; if no more is accused, all but the tester agree."""
-    rng, f = random.Random(seed), Fleet(HERE)
+    rng, f = random.Random(seed), Fleet(LOCAL_DAEMONS)
     for _ in range(300):
-        what, i, r = rng.random(), rng.choice(list(HERE)), rng.choice(list(REPLICAS))
+        what, i, r = rng.random(), rng.choice(list(LOCAL_DAEMONS)), rng.choice(list(REPLICAS))
         if what < 0.4:
             f.accuse(i, r)
         elif what < 0.6:
-            f.answered(i, r)
+            f.record_answer(i, r)
         else:
-            f.go(rng.randrange(900) * MS)
-        outs = [f.out(i) for i in HERE]
+            f.advance_time(rng.randrange(900) * MS)
+        outs = [f.avoided_by(i) for i in LOCAL_DAEMONS]
         assert all(len(o) <= len(REPLICAS) // 2 for o in outs)
         held = [{x for x, c in d.ejection_states.items() if c.is_active(f.now)} for d in f.daemons.values()]
         assert all(h == held[0] for h in held) and all(o <= h for o, h in zip(outs, held))
@@ -291,9 +296,9 @@
 
     def __init__(self, *rs, **kw):
         super().__init__(*rs, **kw)
-        self.feed("roll", tuple(member(daemon, place.zone, place.region) for daemon, place in HERE.items()))
+        self.feed("roll", tuple(member(daemon, place.zone, place.region) for daemon, place in LOCAL_DAEMONS.items()))
 
-    def tell(self, replica, *daemons, value=(1000,), rank=(1,)):
+    def receive_accusations(self, replica, *daemons, value=(1000,), rank=(1,)):
         return self.feed("told", SUSPECT, {f"{replica} {d}": (rank, value) for d in daemons})
 
     def published(self, *ev):
@@ -302,7 +307,7 @@
 
 def test_requests_avoid_an_ejected_replica_and_return_after_the_ejection():
     b = AccusationBench(route(), replicas=(endpoint("1"), endpoint("2")))
-    b.tell("1", "d2", "d3")
+    b.receive_accusations("1", "d2", "d3")
     assert {only_effect(b.request()[1], "try")[3]["replica"] for _ in range(8)} == {"2"}
     b.advance(MAX_EJECTION / SEC + TRIAL_DURATION / SEC)
     assert {only_effect(b.request()[1], "try")[3]["replica"] for _ in range(24)} == {"1", "2"}
@@ -310,7 +315,7 @@
 
 def test_the_only_replica_is_used_even_if_accused():
     b = AccusationBench(route(), replicas=(endpoint("1"),))
-    b.tell("1", "d2", "d3", "d4")
+    b.receive_accusations("1", "d2", "d3", "d4")
     assert only_effect(b.request()[1], "try")[3]["replica"] == "1"
 
 
@@ -333,7 +338,7 @@
     b = AccusationBench(route(kind="pure", tries=2), replicas=tuple(endpoint(str(i)) for i in range(1, 9)))
     outcomes = []
     for rank in range(1, 30):  # until this daemon is the tester
-        b.tell("1", "d2", "d3", rank=(rank,))
+        b.receive_accusations("1", "d2", "d3", rank=(rank,))
         for _ in range(20):
             b.now += SEC / 2
             rid, es = b.request()
--- a/tests/routing/test_overlapping_stops.py
+++ b/tests/routing/test_overlapping_stops.py
@@ -17,7 +17,7 @@
 DEADLINES_S = (None, 1, 3, 5, 7, 10, 15)
 GAP_S = 0.25
 SLOW_TURN = timedelta(milliseconds=120)
-DEPARTURE = "silverglade.routing.graceful_shutdown"
+SHUTDOWN_MODULE = "silverglade.routing.graceful_shutdown"
 
 
 @pytest.fixture(autouse=True)
@@ -28,7 +28,7 @@
     monkeypatch.setattr(Field, "fronts", fronts)
 
 
-class Day(Scene):
+class MixedDeadlineScene(Scene):
     def order(self, row, z, path=None, deadline=None):
         seconds = self.rng.choice(DEADLINES_S)
         super().order(row, z, path, seconds and seconds * SECOND)
@@ -48,9 +48,9 @@
     turn()
 
 
-def rolled(seed, *, rate=2.0):
+def stop_all(seed, *, rate=2.0):
     """Stop all edge daemons one after the other; return the scene and the rules broken."""
-    scene = Day(town="banyan", seed=seed)
+    scene = MixedDeadlineScene(town="banyan", seed=seed)
     scene.settle()
     scene.rate, scene.long = rate, (0.25, 0.5, 1.0)[seed % 3]
     scene.traffic()
@@ -69,12 +69,12 @@
 
 
 def lost(seeds):
-    return [(seed, breach) for seed in seeds for breach in rolled(seed)[1] if breach[1] in ("LOST", "REFUSED")]
+    return [(seed, breach) for seed in seeds for breach in stop_all(seed)[1] if breach[1] in ("LOST", "REFUSED")]
 
 
 def test_no_stream_is_accepted_late_and_cut_while_all_daemons_stop_in_sequence():
     """Guards against a stream that is forwarded seconds after SIGTERM and cut at the end of the grace period (rule LOST)."""
-    scene, broken = rolled(1)
+    scene, broken = stop_all(1)
     assert len(scene.r.stopped) == 6 and scene.why.get(503, 0) > 20
     assert [breach for breach in broken if breach[1] in ("LOST", "REFUSED")] == []
     assert lost([2]) == []
@@ -97,5 +97,5 @@
 )
 def test_without_a_guard_streams_are_accepted_late_and_cut(monkeypatch, old, new):
     """Checks that the runs above reproduce the incident once a guard is removed."""
-    without(monkeypatch, DEPARTURE, old, new, f"{DEPARTURE}.GracefulShutdown", "silverglade.routing.context.GracefulShutdown")
+    without(monkeypatch, SHUTDOWN_MODULE, old, new, f"{SHUTDOWN_MODULE}.GracefulShutdown", "silverglade.routing.context.GracefulShutdown")
     assert any(lost([seed]) for seed in range(4))
--- a/tests/routing/test_prefill_placement.py
+++ b/tests/routing/test_prefill_placement.py
@@ -55,7 +55,7 @@
     backlogs.remove("1", PrefillId("d3", 99))
     backlogs.remove("9", PrefillId("d3", 99))
     backlogs.expire(now + PREFILL_EXPIRY, {"1"})
-    assert backlogs.replicas["1"].reading == {}
+    assert backlogs.replicas["1"].prefills == {}
     backlogs.expire(now, set())
     assert backlogs.replicas == {}
 
@@ -113,7 +113,7 @@
             rid, _ = self.request(prefix=SHORT[0], tokens=SHORT[1])
             self.report(rid, 1, "done")
 
-    def long(self):
+    def send_long_prompts(self):
         """Send long prompts until other daemons hold both backlogs; return the request id and the queries."""
         for _ in range(60):
             rid, es = self.request(prefix=((f"s{self.requests_made}", 2500), *LONG[0][1:]), tokens=LONG[1])
@@ -124,7 +124,7 @@
             self.report(rid, 1, "done")
         raise AssertionError("no prompt for which other daemons hold both backlogs")
 
-    def tell(self, ask, cost):
+    def reply(self, ask, cost):
         return self.feed("msg", ask[1], ("load-told", ask[2][1], ask[2][2], cost))
 
 
@@ -135,9 +135,9 @@
 @pytest.mark.parametrize("costs, chosen", [((9000, 100), 1), ((100, 9000), 0), ((500, 500), 0)])
 def test_the_replica_with_less_to_prefill_is_chosen_and_its_holder_notified(costs, chosen):
     b = BacklogBench()
-    rid, asks = b.long()
-    assert tries(b.tell(asks[0], costs[0])) == []
-    es = b.tell(asks[1], costs[1])
+    rid, asks = b.send_long_prompts()
+    assert tries(b.reply(asks[0], costs[0])) == []
+    es = b.reply(asks[1], costs[1])
     assert tries(es) == [asks[chosen][2][2]]
     puts = [e for e in es if e[0] == "send"]
     assert [p[1:] for p in puts] == [(asks[chosen][1], ("load-put", asks[chosen][2][2], puts[0][2][2], *asks[0][2][3:]))]
@@ -149,19 +149,19 @@
 @pytest.mark.parametrize("what", [("unsent", "refused"), ("lost", None), ("gone",), ("not-run", 503, 0.1)])
 def test_an_attempt_that_ends_before_its_first_token_is_removed_from_the_backlog(what):
     b = BacklogBench()
-    rid, asks = b.long()
-    b.tell(asks[0], 1)
-    b.tell(asks[1], 2)
+    rid, asks = b.send_long_prompts()
+    b.reply(asks[0], 1)
+    b.reply(asks[1], 2)
     assert ("load-read", asks[0][2][2]) in [e[2][:2] for e in b.report(rid, 1, *what) if e[0] == "send"]
 
 
 def test_without_a_reply_the_first_replica_is_used_and_the_holder_not_queried_for_a_while():
     b = BacklogBench()
-    _, asks = b.long()
-    b.tell(asks[1], 1)
+    _, asks = b.send_long_prompts()
+    b.reply(asks[1], 1)
     es = b.advance(REPLY_TIMEOUT / SEC)
     assert tries(es) == [asks[0][2][2]]
-    assert b.tell(asks[0], 1) == []  # after the time-out
+    assert b.reply(asks[0], 1) == []  # after the time-out
     for _ in range(20):
         es = b.request(prefix=((f"t{b.requests_made}", 2500), *LONG[0][1:]), tokens=LONG[1])[1]
         assert asks[0][1] not in [e[1] for e in es if e[0] == "send" and e[2][0] == "load-ask"]
@@ -172,28 +172,28 @@
 
 def test_a_client_that_disconnects_during_the_query_gets_no_attempt():
     b = BacklogBench()
-    rid, asks = b.long()
+    rid, asks = b.send_long_prompts()
     b.report(rid, 0, "gone")
-    assert [b.tell(a, 1) for a in asks] == [[], []]
+    assert [b.reply(a, 1) for a in asks] == [[], []]
     assert tries(b.advance(1)) == []
 
 
 def test_a_replica_that_leaves_during_the_query_gets_no_attempt():
     b = BacklogBench()
-    _, asks = b.long()
+    _, asks = b.send_long_prompts()
     gone = asks[0][2][2]
     b.feed("listed", (endpoint(gone, leaving=True),), False)
-    b.tell(asks[0], 0)
-    assert gone not in tries(b.tell(asks[1], 5000))
+    b.reply(asks[0], 0)
+    assert gone not in tries(b.reply(asks[1], 5000))
 
 
-@pytest.mark.parametrize("frm, number, replica", [("x", 0, None), (None, 99, None), (None, 0, "77")])
-def test_unsolicited_replies_change_nothing(frm, number, replica):
+@pytest.mark.parametrize("sender, number, replica", [("x", 0, None), (None, 99, None), (None, 0, "77")])
+def test_unsolicited_replies_change_nothing(sender, number, replica):
     b = BacklogBench()
-    _, asks = b.long()
+    _, asks = b.send_long_prompts()
     _, to, (_, n, r, *_) = asks[0]
-    assert b.feed("msg", frm or to, ("load-told", number or n, replica or r, 1)) == []
-    assert tries(b.tell(asks[1], 5)) == []
+    assert b.feed("msg", sender or to, ("load-told", number or n, replica or r, 1)) == []
+    assert tries(b.reply(asks[1], 5)) == []
 
 
 @pytest.mark.parametrize(
--- a/tests/routing/test_reachability.py
+++ b/tests/routing/test_reachability.py
@@ -11,21 +11,21 @@
 
 from ..support.router_bench import RouterBench, endpoint, only_effect, route
 
-WAIT = timedelta(milliseconds=400)
+CONNECT_TIMEOUT = timedelta(milliseconds=400)
 
 
-def failed(r, now, replica):
-    r.on_connect_failure(now, "b", replica, since=now - WAIT)
+def fail_connection(r, now, replica):
+    r.on_connect_failure(now, "b", replica, since=now - CONNECT_TIMEOUT)
 
 
 def test_a_region_stays_reachable_if_another_replica_answered_meanwhile():
     r = RegionReachability()
     for i in range(9):
-        r.on_answer((10 + i) * SEC - WAIT / 2, "b")
-        failed(r, (10 + i) * SEC, str(i))
+        r.on_answer((10 + i) * SEC - CONNECT_TIMEOUT / 2, "b")
+        fail_connection(r, (10 + i) * SEC, str(i))
     assert not r.is_unreachable("b")
-    failed(r, 30 * SEC, "1")
-    failed(r, 30 * SEC, "2")
+    fail_connection(r, 30 * SEC, "1")
+    fail_connection(r, 30 * SEC, "2")
     assert r.is_unreachable("b")
 
 
@@ -39,21 +39,21 @@
 
 def test_a_region_becomes_unreachable_after_a_few_replicas_and_is_tested_periodically():
     r, now = RegionReachability(), 10 * SEC
-    failed(r, now, "1")
-    failed(r, now, "1")
+    fail_connection(r, now, "1")
+    fail_connection(r, now, "1")
     assert not r.is_unreachable("b") and r.due_tests(now, REPLICAS) == [] and r.next_test(None) is None
-    failed(r, now, "2")
+    fail_connection(r, now, "2")
     assert r.is_unreachable("b") and not r.is_unreachable("c")
     tested, pauses = [], []
     for _ in range(9):
         at = now
         now = r.next_test(None)
-        assert r.due_tests(now - WAIT / 99, REPLICAS) == [] or now == at
+        assert r.due_tests(now - CONNECT_TIMEOUT / 99, REPLICAS) == [] or now == at
         chosen = r.due_tests(now, REPLICAS) if now > at or not pauses else []
         pauses.append(now - at)
         tested.append([x.id for x in chosen])
         for x in chosen:
-            failed(r, now + WAIT, x.id)
+            fail_connection(r, now + CONNECT_TIMEOUT, x.id)
     assert tested[:2] == [["3", "4"], ["5"]]  # replicas not tried yet come first
     assert all(len(x) == 1 for x in tested[1:]) and {x for row in tested[2:] for x in row} == {"1", "2", "3", "4", "5"}
     assert pauses[:2] == [0 * SEC, FIRST_TEST_INTERVAL] and set(pauses[2:]) == {MAX_TEST_INTERVAL}
@@ -63,8 +63,8 @@
 
 def test_a_new_replica_of_an_unreachable_region_is_tested_at_once():
     r, now = RegionReachability(), 10 * SEC
-    failed(r, now, "1")
-    failed(r, now, "2")
+    fail_connection(r, now, "1")
+    fail_connection(r, now, "2")
     r.due_tests(now, REPLICAS)
     assert r.due_tests(now, REPLICAS) == []
     r.on_replica_listed(now, "c")
@@ -76,16 +76,16 @@
 def test_failures_far_apart_or_of_one_replica_do_not_make_a_region_unreachable():
     r = RegionReachability()
     for i in range(5):
-        failed(r, 10 * i * SEC, str(i))
-        failed(r, 10 * i * SEC + WAIT, str(i))
+        fail_connection(r, 10 * i * SEC, str(i))
+        fail_connection(r, 10 * i * SEC + CONNECT_TIMEOUT, str(i))
         assert not r.is_unreachable("b")
 
 
 def test_later_failures_of_open_connections_do_not_delay_the_first_test():
     r = RegionReachability()
     for i in range(9):
-        failed(r, 10 * SEC + i * WAIT / 10, str(i))
-    assert r.next_test(None) <= 10 * SEC + WAIT
+        fail_connection(r, 10 * SEC + i * CONNECT_TIMEOUT / 10, str(i))
+    assert r.next_test(None) <= 10 * SEC + CONNECT_TIMEOUT
 
 
 def requests(effects):
@@ -102,7 +102,7 @@
     tried, n = [], 1
     while es[0][0] == "try":
         tried.append(es[0][3]["replica"])
-        b.advance(WAIT / SEC)
+        b.advance(CONNECT_TIMEOUT / SEC)
         es, n = b.report(rid, n, "unsent", "connect-timeout"), n + 1
     return tried, es
 
@@ -169,7 +169,7 @@
     assert only_effect(es, "try") and only_effect(b.request()[1], "try")
 
 
-def waits(s, *, zone, secs):
+def refusal_durations(s, *, zone, secs):
     """Return the sorted durations of a zone's client requests that the system itself answered with 503."""
     got = []
     for a, sent in s.r.sent.items():
@@ -179,7 +179,7 @@
     return sorted(got)
 
 
-def cut_off(town="banyan", seed=1):
+def partitioned_region(town="banyan", seed=1):
     """Partition a region's daemons from all other replicas and stop its own; return the scene and the durations of refusals."""
     s = Scene(town=town, seed=seed)
     s.settle()
@@ -193,22 +193,22 @@
     at = s.w.now
     s.w.run(6)
     lives = {n.life for n in s.w.nodes.values() if n.zone == z}
-    return s, waits(s, zone=lives, secs=at)
+    return s, refusal_durations(s, zone=lives, secs=at)
 
 
 @pytest.mark.parametrize("seed", (1, 2, 3, 4, 9, 17, 32))
 def test_requests_to_unreachable_regions_are_refused_at_once(seed):
-    s, took = cut_off(seed=seed)
+    s, took = partitioned_region(seed=seed)
     assert len(took) > 30 and took[len(took) * 3 // 4] < 0.1 * SEC and took[-1] < 1.25 * SEC, took[-20:]
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_requests_are_served_again_soon_after_a_partition_heals(seed):
-    s, _ = cut_off(seed=seed)
+    s, _ = partitioned_region(seed=seed)
     s.w.heal()
     healed, lives = s.w.now, {n.life for n in s.w.nodes.values() if n.zone == "kaohsiung"}
     s.w.run(8)
-    reached_again = healed + MAX_TEST_INTERVAL + 2 * WAIT
+    reached_again = healed + MAX_TEST_INTERVAL + 2 * CONNECT_TIMEOUT
     late = [x for x in s.r.sent.values() if x.life in lives and x.at > reached_again and s.r.got[x.attempt].ended]
     refused = [x for x in late if s.r.got[x.attempt].status == 503]
     assert len(late) > 20 and not refused
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -11,16 +11,16 @@
 
 SEC = timedelta(seconds=1)
 OPT = tuning()
-WIN, RATIO, SLACK = OPT["budget_window"], OPT["budget_ratio"], OPT["budget_slack"]
+WINDOW, RATIO, SLACK = OPT["budget_window"], OPT["budget_ratio"], OPT["budget_slack"]
 
 
-def broken(asks, extras, win=WIN, ratio=RATIO, slack=SLACK):
+def largest_excess(asks, retry_times, win=WINDOW, ratio=RATIO, slack=SLACK):
     """Oracle: return the largest excess over the budget in any window (0 for none); times must be sorted."""
     from bisect import bisect_left as lo
     from bisect import bisect_right as hi
 
     worst, half = 0.0, win / 2
-    starts = {x for x in extras} | {x - win for x in extras}
+    starts = {x for x in retry_times} | {x - win for x in retry_times}
     for q in asks:  # windows that just exclude or include a request
         starts |= {
             q,
@@ -32,7 +32,7 @@
         }
     count = lambda d, a, b: hi(d, b) - lo(d, a)
     for s in starts:
-        x = count(extras, s, s + win)
+        x = count(retry_times, s, s + win)
         if x > slack:
             most = max(count(asks, s, s + win), count(asks, s - win, s), count(asks, s - half, s + half))
             worst = max(worst, x - ratio * most - slack)
@@ -45,38 +45,38 @@
     def __init__(self, *, n, rng, make=RetryBudget):
         self.rng, self.make, self.n = rng, make, n
         self.all = [make(tuning=OPT, started_at=0 * SEC) for _ in range(n)]
-        self.side = [0] * n  # side of the partition
-        self.knows = [n] * n
-        self.asks, self.extras = [], []
+        self.partition_side = [0] * n  # side of the partition
+        self.known_daemons = [n] * n
+        self.asks, self.retry_times = [], []
 
     def restart(self, i, now):
         self.all[i] = self.make(tuning=OPT, started_at=now)
-        self.knows[i] = sum(s == self.side[i] for s in self.side)  # only the reachable ones
+        self.known_daemons[i] = sum(s == self.partition_side[i] for s in self.partition_side)  # only the reachable ones
 
     def cut(self, a, b):
         for i in range(a, b):
-            self.side[i] = 1
+            self.partition_side[i] = 1
 
     def heal(self):
-        self.side = [0] * self.n
-        self.knows = [max(k, self.n) for k in self.knows]
+        self.partition_side = [0] * self.n
+        self.known_daemons = [max(k, self.n) for k in self.known_daemons]
 
-    def ask(self, i, now):
+    def send_request(self, i, now):
         """Count a request that the client sent up to 0.2 s earlier."""
         self.all[i].on_request(now, "s")
         self.asks.append(now - self.rng.random() * 0.2 * SEC)
 
-    def again(self, i, now):
-        if self.all[i].spend(now, "s", daemons=self.knows[i]):
-            self.extras.append(now + self.rng.random() * 0.2 * SEC)
+    def try_retry(self, i, now):
+        if self.all[i].spend(now, "s", daemons=self.known_daemons[i]):
+            self.retry_times.append(now + self.rng.random() * 0.2 * SEC)
             return True
         return False
 
     def worst(self):
-        return broken(sorted(self.asks), sorted(self.extras))
+        return largest_excess(sorted(self.asks), sorted(self.retry_times))
 
 
-def play(seed, make=RetryBudget, secs=45):
+def random_run(seed, make=RetryBudget, secs=45):
     """Varying load, bursts of failures, restarts, and a partition (with possible restarts on one side)."""
     rng = random.Random(seed)
     n = rng.choice((1, 3, 6, 9, 9, 30))
@@ -107,18 +107,18 @@
             lam = base * level / 20
             while rng.random() < lam / (1 + lam):
                 at = now + rng.random() * step
-                f.ask(i, at)
+                f.send_request(i, at)
                 if failing:
                     for _ in range(3):
-                        f.again(i, at)
+                        f.try_retry(i, at)
             if failing:
-                f.again(i, now + step)  # streams that are resumed elsewhere
+                f.try_retry(i, now + step)  # streams that are resumed elsewhere
     return f
 
 
 @pytest.mark.parametrize("seed", range(40))
 def test_no_sliding_window_has_more_retries_than_the_budget(seed):
-    assert play(seed).worst() == 0
+    assert random_run(seed).worst() == 0
 
 
 def planted(**kw):
@@ -141,7 +141,7 @@
 
 
 def test_the_oracle_detects_daemons_that_each_spend_the_whole_slack():
-    assert any(play(s, make=planted(share=whole_slack)).worst() > 0 for s in range(6))
+    assert any(random_run(s, make=planted(share=whole_slack)).worst() > 0 for s in range(6))
 
 
 def test_the_oracle_detects_daemons_that_spend_slack_again_after_each_restart():
@@ -153,7 +153,7 @@
             for i in range(9):
                 if tick % 100 == 50:
                     h.restart(i, now)
-                h.again(i, now)
+                h.try_retry(i, now)
     assert f.worst() > 0 and g.worst() == 0
 
 
@@ -165,10 +165,10 @@
         for i in range(20):
             for j in range(400):
                 at = (16 * SEC if i % 2 else 22.5 * SEC) + j * SEC / 1000
-                f.ask(i, at)
+                f.send_request(i, at)
         for j in range(200):
             for i in range(20):
-                f.again(i, 25 * SEC + j * SEC / 1000)
+                f.try_retry(i, 25 * SEC + j * SEC / 1000)
         return f.worst()
 
     assert run() == 0
@@ -193,12 +193,12 @@
         f = Fleet(n=3, rng=random.Random(4), make=make)
         for i in range(3):
             for j in range(400):
-                f.ask(i, 20.5 * SEC + j * SEC / 1000)
+                f.send_request(i, 20.5 * SEC + j * SEC / 1000)
             for j in range(400):
-                f.ask(i, 28.5 * SEC + j * SEC / 1000)
+                f.send_request(i, 28.5 * SEC + j * SEC / 1000)
         for j in range(600):
             for i in range(3):
-                f.again(i, 30 * SEC + j * SEC / 1000)
+                f.try_retry(i, 30 * SEC + j * SEC / 1000)
         return f.worst()
 
     assert run(Plain) > 0
--- a/tests/routing/test_router_seeds.py
+++ b/tests/routing/test_router_seeds.py
@@ -56,11 +56,11 @@
     assert a == b and int(a.split()[0]) > 20
 
 
-def warped(monkeypatch, turn, ev=lambda now, ev: ev):
+def intercepted(monkeypatch, turn, ev=lambda now, ev: ev):
     """Replace the router by one whose effects and events pass through `turn` and `ev`."""
     real = daemon_components.MachineComponent
 
-    class Warped(real):
+    class Intercepted(real):
         def handle(self, now, event):
             raw_event = ev(now, event if isinstance(event, tuple) else event_to_tuple(event))
             for effect in super().handle(now, raw_event) if raw_event else ():
@@ -69,7 +69,7 @@
                     yield effect if changed == raw_effect else changed
 
     def component(machine):
-        return (Warped if isinstance(machine, Router) else real)(machine)
+        return (Intercepted if isinstance(machine, Router) else real)(machine)
 
     monkeypatch.setattr(daemon_components, "MachineComponent", component)
 
@@ -102,7 +102,7 @@
 
 
 def effects(turn, **kw):
-    return lambda mp: warped(mp, turn, **kw)
+    return lambda mp: intercepted(mp, turn, **kw)
 
 
 def nth(n, make):
@@ -111,11 +111,11 @@
     return lambda now, e: make(e) if e[0] == "try" and next(k) % n == 0 else (e,)
 
 
-def stuck(now, ev, seen=[]):  # noqa: B006
+def configuration_stuck(now, ev, seen=[]):  # noqa: B006
     return ev if ev[0] != "book" or now.total_seconds() < 14 else None
 
 
-def back_and_forth():
+def configuration_alternating():
     old = {}
 
     def ev(now, got):
@@ -129,27 +129,27 @@
     return ev
 
 
-def forgets_where(now, e):
+def without_last_event(now, e):
     return (("try", *e[1:3], dict(e[3], last_event=None)),) if e[0] == "try" and e[3]["resume"] else (e,)
 
 
-def every_time(mp):
+def all_repeatable(mp):
     mp.setattr(Request, "is_repeatable", property(lambda request: True))
 
 
-def spends(mp):
+def unlimited_retries(mp):
     mp.setattr(RetryBudget, "spend", lambda *a, **kw: True)
 
 
-def floods(mp):
+def unlimited_slow_start(mp):
     mp.setattr(SlowStart, "take", lambda *a, **kw: True)
 
 
-def keeps(now, e):
+def drop_error_answers(now, e):
     return () if e[0] == "answer" and e[2] in (502, 503, 504) else (e,)
 
 
-def tries_on(mp):
+def allow_nine_attempts(mp):
     """Make the router treat every route as one that allows nine attempts."""
     real = attempts.find_route
 
@@ -161,24 +161,24 @@
 
 
 PLANTED = [
-    ("TRIES", tries_on, ("spoil",), dict(gap=0.2, town="navrang")),
+    ("TRIES", allow_nine_attempts, ("spoil",), dict(gap=0.2, town="navrang")),
     ("DUE", effects(lambda now, e: (("try", *e[1:3], dict(e[3], deadline_ms=60000)),) if e[0] == "try" else (e,)), (), {}),
     ("DRAIN", eligible_replicas(leaving=False), ("release",), {}),
     ("EVAC", eligible_replicas(drained_zones=frozenset()), ("evacuate",), {}),
     ("HOME", eligible_replicas(homes=()), (), {}),
     ("ROUTE", eligible_replicas(service=None), (), {}),
-    ("TWICE", every_time, ("crash", "spoil"), {}),
-    ("BUDGET", spends, ("spoil",), dict(opt=tuning(budget_slack=0.0), bounds=Bounds(slack=2), gap=0.3)),
-    ("FAILBACK", floods, ("cold_return",), {}),
+    ("TWICE", all_repeatable, ("crash", "spoil"), {}),
+    ("BUDGET", unlimited_retries, ("spoil",), dict(opt=tuning(budget_slack=0.0), bounds=Bounds(slack=2), gap=0.3)),
+    ("FAILBACK", unlimited_slow_start, ("cold_return",), {}),
     ("REFUSED", effects(lambda now, e: (("answer", e[1], 503, 0.1, 1),) if e[0] == "answer" and e[2] == 502 else (e,)), ("spoil",), {}),
     ("LOST", effects(nth(40, lambda e: (e, ("break", e[1])))), (), {}),
-    ("ORDER", effects(forgets_where), ("crash",), dict(pace=3.0)),
-    ("CONFIG", lambda mp: warped(mp, lambda now, e: (e,), ev=stuck), ("change",), {}),
-    ("CONFIG", lambda mp: warped(mp, lambda now, e: (e,), ev=back_and_forth()), ("change",), {}),
+    ("ORDER", effects(without_last_event), ("crash",), dict(pace=3.0)),
+    ("CONFIG", lambda mp: intercepted(mp, lambda now, e: (e,), ev=configuration_stuck), ("change",), {}),
+    ("CONFIG", lambda mp: intercepted(mp, lambda now, e: (e,), ev=configuration_alternating()), ("change",), {}),
     ("RECOVER", effects(lambda now, e: (("answer", e[1], 502, None, 1),) if e[0] == "try" and now.total_seconds() > 14 else (e,)), (), {}),
     ("DENIED", effects(nth(20, lambda e: (("answer", e[1], 403, None, 1),))), (), {}),
-    ("SILENT", effects(keeps), ("spoil",), {}),
-    ("LEAK", lambda mp: warped(mp, lambda now, e: (e,), ev=lambda now, e: None if e[0] == "tried" and e[3] == "done" else e), (), {}),
+    ("SILENT", effects(drop_error_answers), ("spoil",), {}),
+    ("LEAK", lambda mp: intercepted(mp, lambda now, e: (e,), ev=lambda now, e: None if e[0] == "tried" and e[3] == "done" else e), (), {}),
 ]
 
 
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -16,7 +16,7 @@
 EXCESS, SLACK = OPT["cold_excess"], OPT["cold_slack"]
 
 
-def most(times):
+def max_per_second(times):
     """Oracle: return the largest number of requests in any sliding second."""
     t = sorted(times)
     return max((bisect_left(t, a + SEC) - i for i, a in enumerate(t)), default=0)
@@ -37,27 +37,27 @@
         self.ids = [f"d{i}" for i in range(n)]
         self.d = {i: make(own_name=i, tuning=OPT, started_at=-60 * SEC) for i in self.ids}
         self.side = dict.fromkeys(self.ids, 0)
-        self.down, self.frozen, self.sent, self.view = {}, {}, [], {}
-        self.seen = {i: dict.fromkeys(self.ids, 0 * SEC) for i in self.ids}
+        self.down, self.paused, self.sent, self.view = {}, {}, [], {}
+        self.last_seen = {i: dict.fromkeys(self.ids, 0 * SEC) for i in self.ids}
         self.lag = rng.uniform(0.2, 3) * SEC
         self.up = dict.fromkeys(self.ids, -60 * SEC)
 
-    def lives(self, i):
-        return i not in self.down and i not in self.frozen
+    def is_running(self, i):
+        return i not in self.down and i not in self.paused
 
     def gossip(self, now):
-        live = [i for i in self.ids if self.lives(i)]
+        live = [i for i in self.ids if self.is_running(i)]
         old = {x: dict.fromkeys((i for i in live if self.side[i] == x and now - self.up[i] >= self.lag), now) for x in (0, 1)}
         for i in live:
-            self.seen[i][i] = now
+            self.last_seen[i][i] = now
             if now - self.up[i] >= self.lag:
-                self.seen[i].update(old[self.side[i]])
+                self.last_seen[i].update(old[self.side[i]])
 
     def members(self, i, now):
         """Return the known members, refreshed once a second as in a daemon."""
         at, names = self.view.get(i, (None, None))
         if at is None or not SEC > now - at or at < self.up[i]:
-            at, names = self.view[i] = (now, frozenset(j for j, t in self.seen[i].items() if now - t < 60 * SEC))
+            at, names = self.view[i] = (now, frozenset(j for j, t in self.last_seen[i].items() if now - t < 60 * SEC))
         return names
 
     def kill(self, i):
@@ -65,17 +65,17 @@
 
     def start(self, i, now):
         self.down.pop(i, None)
-        self.d[i], self.up[i], self.seen[i] = self.make(own_name=i, tuning=OPT, started_at=now), now, {i: now}
+        self.d[i], self.up[i], self.last_seen[i] = self.make(own_name=i, tuning=OPT, started_at=now), now, {i: now}
 
-    def thaw(self, i, now):
-        if self.frozen.pop(i, None):
-            self.seen[i] = dict.fromkeys(self.seen[i], now)  # after a pause all members count as just seen
+    def resume(self, i, now):
+        if self.paused.pop(i, None):
+            self.last_seen[i] = dict.fromkeys(self.last_seen[i], now)  # after a pause all members count as just seen
             self.d[i].on_process_paused(now)
 
-    def rush(self, now, per_s, k, replica="r"):
+    def send_burst(self, now, per_s, k, replica="r"):
         """Let every live daemon try k requests within 0.1 s."""
         for i in self.ids:
-            if self.lives(i):
+            if self.is_running(i):
                 names = self.members(i, now)
                 for j in range(k):
                     at = now + j * SEC / 10 / k
@@ -84,7 +84,7 @@
                     self.sent.append(at)
 
 
-def play(seed, make=SlowStart, n=None, secs=40, rush=True):
+def random_run(seed, make=SlowStart, n=None, secs=40, rush=True):
     rng = random.Random(seed)
     n = n or rng.choice((3, 6, 9, 12, 45))
     f = Fleet(n=n, rng=rng, make=make)
@@ -113,19 +113,19 @@
                 case "start":
                     f.start(i, now)
                 case "freeze":
-                    f.frozen[i] = True
+                    f.paused[i] = True
                 case "thaw":
-                    f.thaw(i, now)
+                    f.resume(i, now)
         if n < 100 or tick % 5 == 0:
             f.gossip(now)
-        f.rush(now, per_s, int(per_s) + 2)
+        f.send_burst(now, per_s, int(per_s) + 2)
     return f, per_s
 
 
 @pytest.mark.parametrize("seed", range(30))
 def test_no_sliding_second_exceeds_the_limit_of_a_replica_in_slow_start(seed):
-    f, per_s = play(seed)
-    assert most(f.sent) <= per_s * EXCESS + SLACK
+    f, per_s = random_run(seed)
+    assert max_per_second(f.sent) <= per_s * EXCESS + SLACK
 
 
 @pytest.mark.parametrize("n,per_s", [(3, 11.0), (9, 11.0), (420, 11.0), (420, 900.5), (45, 44.9), (9, 0.5)])
@@ -133,14 +133,14 @@
     f = Fleet(n=n, rng=random.Random(n))
     for tick in range(30):
         now = tick * SEC / 10
-        f.rush(now, per_s, int(per_s) + 2)
-    assert most(f.sent) == int(per_s)
+        f.send_burst(now, per_s, int(per_s) + 2)
+    assert max_per_second(f.sent) == int(per_s)
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_a_fleet_of_420_daemons_stays_within_the_limit_through_partitions_and_restarts(seed):
-    f, per_s = play(seed + 100, n=420, secs=12)
-    assert f.sent and most(f.sent) <= per_s * EXCESS + SLACK
+    f, per_s = random_run(seed + 100, n=420, secs=12)
+    assert f.sent and max_per_second(f.sent) <= per_s * EXCESS + SLACK
 
 
 def test_shares_sum_to_the_limit_and_only_decrease_when_names_are_added():
@@ -221,7 +221,7 @@
 
 
 def breaks(make, seeds=range(8)):
-    return any(most(f.sent) > per_s * EXCESS + SLACK for f, per_s in (play(s, make=make) for s in seeds))
+    return any(max_per_second(f.sent) > per_s * EXCESS + SLACK for f, per_s in (random_run(s, make=make) for s in seeds))
 
 
 def test_the_oracle_detects_daemons_that_each_use_the_whole_limit():
@@ -238,8 +238,8 @@
     def run(make):
         f = Fleet(n=3, rng=random.Random(1), make=make)
         for t in (10.9, 11.0):
-            f.rush(t * SEC, 30.0, 40)
-        return most(f.sent)
+            f.send_burst(t * SEC, 30.0, 40)
+        return max_per_second(f.sent)
 
     assert run(planted(count=count)) > 30 * EXCESS + SLACK >= run(SlowStart)
 
@@ -255,8 +255,8 @@
         f.side.update(dict.fromkeys(f.ids[:4], 1))
         for t in range(0, 100):
             f.gossip(t * SEC)
-            f.rush(t * SEC, 27.0, 30)
-        return most(f.sent)
+            f.send_burst(t * SEC, 27.0, 30)
+        return max_per_second(f.sent)
 
     assert run(0 * SEC) > 27 * EXCESS + SLACK
     assert run(OPT["cold_recall"]) <= 27
@@ -272,11 +272,11 @@
             f.kill(i)
             f.start(i, 0 * SEC)
             f.d[i] = SlowStart(own_name=i, tuning=opt, started_at=0 * SEC)
-            f.seen[i].update(dict.fromkeys(f.ids[:2], 0 * SEC))  # its seed members
+            f.last_seen[i].update(dict.fromkeys(f.ids[:2], 0 * SEC))  # its seed members
         for t in range(0, 120):
             f.gossip(t * SEC / 10)
-            f.rush(t * SEC / 10, 11.0, 12)
-        return most(f.sent)
+            f.send_burst(t * SEC / 10, 11.0, 12)
+        return max_per_second(f.sent)
 
     assert run({**OPT, "cold_settle": 0 * SEC}) > 11 * EXCESS + SLACK
     assert run(OPT) <= 11
@@ -292,14 +292,14 @@
         for t in range(0, 160):
             now = t * 1.2 * SEC
             if t == 2:
-                f.frozen.update(dict.fromkeys(f.ids[:4], True))
+                f.paused.update(dict.fromkeys(f.ids[:4], True))
             if t == 150:
                 for i in f.ids[:4]:
-                    f.thaw(i, now)
-                f.rush(now, 24.0, 30)  # before any member is seen again
+                    f.resume(i, now)
+                f.send_burst(now, 24.0, 30)  # before any member is seen again
             f.gossip(now)
-            f.rush(now, 24.0, 30)
-        return most(f.sent)
+            f.send_burst(now, 24.0, 30)
+        return max_per_second(f.sent)
 
     assert run(planted(on_process_paused=lambda self, now: None)) > 24
     assert run(SlowStart) <= 24
