--- a/tests/routing/test_at_most_once.py
+++ b/tests/routing/test_at_most_once.py
@@ -1,10 +1,10 @@
-"""Runs at most once (docs/control-safety.md 5): seeded days of silence, resets, frozen daemons and SIGTERM."""
+"""At-most-once execution (docs/control-safety.md 5) in seeded runs with silence, resets, paused daemons and SIGTERM."""
 
 import pytest
 
 from silverglade.testbed.faults import forwarding_faults as forward_faults
 
-DAYS = {
+FAULTS = {
     "frozen": ("freeze", "dark"),
     "terminated": ("term", "roll_term", "dark", "crash"),
     "cut": ("cut_machine", "cut_replicas", "dark"),
@@ -12,9 +12,9 @@
 }
 
 
-@pytest.mark.parametrize("name", DAYS)
-def test_no_request_runs_twice_or_gets_anothers_answer(name):
-    s, bad = forward_faults.run(town="hamlet", seed=31, kinds=DAYS[name], secs_=14, gap=0.8)
+@pytest.mark.parametrize("name", FAULTS)
+def test_no_request_runs_twice_or_gets_the_response_of_another(name):
+    s, bad = forward_faults.run(town="hamlet", seed=31, kinds=FAULTS[name], secs_=14, gap=0.8)
     assert bad == [] and s.told()["200"] > 1000
     once = [a for a, sent in s.r.sent.items() if not sent.again]
     assert len(once) > 500 and all(len(s.r.runs_of[a]) <= 1 for a in once)
@@ -22,8 +22,8 @@
     assert all(a in unpromised for a in once if s.r.runs_of[a])
 
 
-def test_a_part_that_sends_again_after_a_loss_is_caught(monkeypatch):
+def test_a_router_that_retries_after_a_loss_is_detected(monkeypatch):
     from silverglade.routing.request import Request
 
     monkeypatch.setattr(Request, "is_repeatable", property(lambda q: True))
-    assert "TWICE" in {b[1] for b in forward_faults.run(town="hamlet", seed=31, kinds=DAYS["reset"], secs_=14, gap=0.8, stop=True)[1]}
+    assert "TWICE" in {b[1] for b in forward_faults.run(town="hamlet", seed=31, kinds=FAULTS["reset"], secs_=14, gap=0.8, stop=True)[1]}
--- a/tests/routing/test_reachability.py
+++ b/tests/routing/test_reachability.py
@@ -1,31 +1,31 @@
-"""A region that takes no connection goes last as a whole (design 15.5)."""
+"""Unreachable regions are avoided as a whole (design 15.5)."""
 
 from datetime import timedelta
 from typing import NamedTuple
 
 import pytest
 
-from silverglade.routing.reachability import FIRST_TEST_INTERVAL, LONGEST_TEST_INTERVAL, UNREACHABLE_AFTER, RegionReachability
+from silverglade.routing.reachability import FAILURES_UNTIL_UNREACHABLE, FIRST_TEST_INTERVAL, MAX_TEST_INTERVAL, RegionReachability
 from silverglade.testbed.fake_servers.request_format import SEC
 from silverglade.testbed.simulator.forwarding_scenario import Scene
 
 from ..support.router_bench import RouterBench, endpoint, only_effect, route
 
-WAIT = timedelta(milliseconds=400)
+CONNECT_TIMEOUT = timedelta(milliseconds=400)
 
 
-def failed(r, now, replica):
-    r.on_connect_failure(now, "b", replica, since=now - WAIT)
+def fail_connection(r, now, replica):
+    r.on_connect_failure(now, "b", replica, since=now - CONNECT_TIMEOUT)
 
 
-def test_a_region_of_which_another_replica_answered_meanwhile_is_not_closed():
+def test_a_region_stays_reachable_if_another_replica_answered_meanwhile():
     r = RegionReachability()
     for i in range(9):
-        r.on_answer((10 + i) * SEC - WAIT / 2, "b")
-        failed(r, (10 + i) * SEC, str(i))
+        r.on_answer((10 + i) * SEC - CONNECT_TIMEOUT / 2, "b")
+        fail_connection(r, (10 + i) * SEC, str(i))
     assert not r.is_unreachable("b")
-    failed(r, 30 * SEC, "1")
-    failed(r, 30 * SEC, "2")
+    fail_connection(r, 30 * SEC, "1")
+    fail_connection(r, 30 * SEC, "2")
     assert r.is_unreachable("b")
 
 
@@ -37,34 +37,34 @@
 REPLICAS = [Replica(str(i)) for i in range(1, 6)] + [Replica("9", "c")]
 
 
-def test_a_region_is_closed_after_a_few_of_its_replicas_and_tested_at_a_steady_pace():
+def test_a_region_becomes_unreachable_after_a_few_replicas_and_is_tested_periodically():
     r, now = RegionReachability(), 10 * SEC
-    failed(r, now, "1")
-    failed(r, now, "1")
+    fail_connection(r, now, "1")
+    fail_connection(r, now, "1")
     assert not r.is_unreachable("b") and r.due_tests(now, REPLICAS) == [] and r.next_test(None) is None
-    failed(r, now, "2")
+    fail_connection(r, now, "2")
     assert r.is_unreachable("b") and not r.is_unreachable("c")
     tested, pauses = [], []
     for _ in range(9):
         at = now
         now = r.next_test(None)
-        assert r.due_tests(now - WAIT / 99, REPLICAS) == [] or now == at
+        assert r.due_tests(now - CONNECT_TIMEOUT / 99, REPLICAS) == [] or now == at
         chosen = r.due_tests(now, REPLICAS) if now > at or not pauses else []
         pauses.append(now - at)
         tested.append([x.id for x in chosen])
         for x in chosen:
-            failed(r, now + WAIT, x.id)
-    assert tested[:2] == [["3", "4"], ["5"]]  # those not tried yet first
+            fail_connection(r, now + CONNECT_TIMEOUT, x.id)
+    assert tested[:2] == [["3", "4"], ["5"]]  # replicas not tried yet come first
     assert all(len(x) == 1 for x in tested[1:]) and {x for row in tested[2:] for x in row} == {"1", "2", "3", "4", "5"}
-    assert pauses[:2] == [0 * SEC, FIRST_TEST_INTERVAL] and set(pauses[2:]) == {LONGEST_TEST_INTERVAL}
+    assert pauses[:2] == [0 * SEC, FIRST_TEST_INTERVAL] and set(pauses[2:]) == {MAX_TEST_INTERVAL}
     r.on_answer(now, "b")
     assert not r.is_unreachable("b") and r.next_test(None) is None
 
 
-def test_a_new_replica_of_a_closed_region_is_tested_at_once():
+def test_a_new_replica_of_an_unreachable_region_is_tested_at_once():
     r, now = RegionReachability(), 10 * SEC
-    failed(r, now, "1")
-    failed(r, now, "2")
+    fail_connection(r, now, "1")
+    fail_connection(r, now, "2")
     r.due_tests(now, REPLICAS)
     assert r.due_tests(now, REPLICAS) == []
     r.on_replica_listed(now, "c")
@@ -73,19 +73,19 @@
     assert r.due_tests(now, [*REPLICAS[:4], Replica("new")])[0].id in ("3", "4", "new")
 
 
-def test_failures_that_lie_far_apart_or_of_one_replica_close_nothing():
+def test_failures_far_apart_or_of_one_replica_do_not_make_a_region_unreachable():
     r = RegionReachability()
     for i in range(5):
-        failed(r, 10 * i * SEC, str(i))
-        failed(r, 10 * i * SEC + WAIT, str(i))
+        fail_connection(r, 10 * i * SEC, str(i))
+        fail_connection(r, 10 * i * SEC + CONNECT_TIMEOUT, str(i))
         assert not r.is_unreachable("b")
 
 
-def test_what_was_under_way_when_the_region_was_closed_does_not_put_its_test_off():
+def test_later_failures_of_open_connections_do_not_delay_the_first_test():
     r = RegionReachability()
     for i in range(9):
-        failed(r, 10 * SEC + i * WAIT / 10, str(i))
-    assert r.next_test(None) <= 10 * SEC + WAIT
+        fail_connection(r, 10 * SEC + i * CONNECT_TIMEOUT / 10, str(i))
+    assert r.next_test(None) <= 10 * SEC + CONNECT_TIMEOUT
 
 
 def requests(effects):
@@ -93,34 +93,34 @@
 
 
 def bare_connections(effects):
-    """The replicas to which a bare connection is tried."""
+    """Return the replicas to which a bare connection is tested."""
     return [e[1] for e in effects if e[0] == "reach"]
 
 
 def timeouts(b, rid, es):
-    """-> the replicas that a request tries one after another while none takes a connection, and the last effects."""
+    """Return the replicas that a request tries while all connections time out, and the final effects."""
     tried, n = [], 1
     while es[0][0] == "try":
         tried.append(es[0][3]["replica"])
-        b.advance(WAIT / SEC)
+        b.advance(CONNECT_TIMEOUT / SEC)
         es, n = b.report(rid, n, "unsent", "connect-timeout"), n + 1
     return tried, es
 
 
-def test_a_request_does_not_walk_through_a_region_behind_a_cut_and_the_next_are_refused_at_once():
+def test_a_request_tries_few_replicas_of_a_partitioned_region_and_later_ones_are_refused_at_once():
     reps = tuple(endpoint(str(i), "b1") for i in range(1, 9))
     b = RouterBench(route(homes=["b"]), replicas=reps)
     tried, end = timeouts(b, *b.request())
-    assert len(tried) == UNREACHABLE_AFTER and len(bare_connections(end)) == UNREACHABLE_AFTER
+    assert len(tried) == FAILURES_UNTIL_UNREACHABLE and len(bare_connections(end)) == FAILURES_UNTIL_UNREACHABLE
     assert not set(bare_connections(end)) & set(tried)
     assert only_effect(requests(end), "answer")[2] == 503
     for _ in range(20):
         _, _, status, wait, _ = only_effect(b.request()[1], "answer")
         assert status == 503 and wait > 0
     seen = set(bare_connections(end))
-    for _ in range(12):  # bare connections, no request, look whether it is back
+    for _ in range(12):  # the region is tested with bare connections, not with requests
         es = b.advance(1)
-        assert requests(es) == [] and 1 <= len(bare_connections(es)) <= UNREACHABLE_AFTER
+        assert requests(es) == [] and 1 <= len(bare_connections(es)) <= FAILURES_UNTIL_UNREACHABLE
         seen |= set(bare_connections(es))
         for i in bare_connections(es):
             b.feed("reached", i, False)
@@ -130,8 +130,8 @@
     assert all(b.request()[1][0][0] == "try" for _ in range(5))
 
 
-def test_a_replica_that_is_not_behind_the_cut_is_found():
-    """Two of three take no connection: the third is tried at once, and opens the region again."""
+def test_a_reachable_replica_of_an_unreachable_region_is_found():
+    """Connections to two of three replicas time out: the third is tested at once and makes the region reachable again."""
     b = RouterBench(route(homes=["b"]), replicas=tuple(endpoint(str(i), "b1") for i in range(1, 4)))
     tried, end = timeouts(b, *b.request())
     (third,) = bare_connections(end)
@@ -143,7 +143,7 @@
     assert all(only_effect(b.request()[1], "try")[3]["replica"] not in tried for _ in range(5))
 
 
-def test_the_daemons_own_bound_of_connections_speaks_against_no_replica():
+def test_reaching_the_own_connection_limit_is_no_failure_of_the_replica():
     b = RouterBench(route(kind="effectful"), replicas=(endpoint("1"),))
     rid, _ = b.request()
     b.report(rid, 1, "unsent", "pool-full")
@@ -155,13 +155,13 @@
     assert only_effect(b.request()[1], "try")[3]["replica"] == near
 
 
-def test_other_regions_go_first_and_a_refusal_to_connect_is_no_cut():
+def test_after_a_connect_timeout_other_regions_come_first_and_a_refused_connection_does_not_count():
     reps = (*(endpoint(str(i), "b1") for i in range(1, 4)), endpoint("7", "c1"))
     b = RouterBench(route(homes=["b", "c"]), replicas=reps, region="b")
     rid, es = b.request()
     assert only_effect(es, "try")[3]["replica"] in "123"
     b.advance(0.4)
-    assert only_effect(b.report(rid, 1, "unsent", "connect-timeout"), "try")[3]["replica"] == "7"  # not its neighbour
+    assert only_effect(b.report(rid, 1, "unsent", "connect-timeout"), "try")[3]["replica"] == "7"  # not another replica of the same region
     b = RouterBench(route(homes=["b"]), replicas=reps)
     rid, es = b.request()
     for n in (1, 2):
@@ -169,8 +169,8 @@
     assert only_effect(es, "try") and only_effect(b.request()[1], "try")
 
 
-def waits(s, *, zone, secs):
-    """How long the ended requests of a zone's clients took that were answered by the system itself with 503."""
+def refusal_durations(s, *, zone, secs):
+    """Return the sorted durations of a zone's client requests that the system itself answered with 503."""
     got = []
     for a, sent in s.r.sent.items():
         g = s.r.got[a]
@@ -179,8 +179,8 @@
     return sorted(got)
 
 
-def cut_off(town="banyan", seed=1):
-    """A region's daemons reach no replica of the others, and its own are gone -> the scene, how long its refusals took."""
+def partitioned_region(town="banyan", seed=1):
+    """Partition a region's daemons from all other replicas and stop its own; return the scene and the durations of refusals."""
     s = Scene(town=town, seed=seed)
     s.settle()
     s.traffic()
@@ -193,22 +193,22 @@
     at = s.w.now
     s.w.run(6)
     lives = {n.life for n in s.w.nodes.values() if n.zone == z}
-    return s, waits(s, zone=lives, secs=at)
+    return s, refusal_durations(s, zone=lives, secs=at)
 
 
 @pytest.mark.parametrize("seed", (1, 2, 3, 4, 9, 17, 32))
-def test_refusals_behind_a_cut_come_at_once(seed):
-    s, took = cut_off(seed=seed)
+def test_requests_to_unreachable_regions_are_refused_at_once(seed):
+    s, took = partitioned_region(seed=seed)
     assert len(took) > 30 and took[len(took) * 3 // 4] < 0.1 * SEC and took[-1] < 1.25 * SEC, took[-20:]
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
-def test_after_the_cut_requests_are_served_again_within_a_test_and_a_pause(seed):
-    s, _ = cut_off(seed=seed)
+def test_requests_are_served_again_soon_after_a_partition_heals(seed):
+    s, _ = partitioned_region(seed=seed)
     s.w.heal()
     healed, lives = s.w.now, {n.life for n in s.w.nodes.values() if n.zone == "kaohsiung"}
     s.w.run(8)
-    reached_again = healed + LONGEST_TEST_INTERVAL + 2 * WAIT
+    reached_again = healed + MAX_TEST_INTERVAL + 2 * CONNECT_TIMEOUT
     late = [x for x in s.r.sent.values() if x.life in lives and x.at > reached_again and s.r.got[x.attempt].ended]
     refused = [x for x in late if s.r.got[x.attempt].status == 503]
     assert len(late) > 20 and not refused
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Further tries of a fleet without messages (design 16.1), against a sliding window."""
+"""The retry budget of a fleet without coordination (design 16.1), checked over sliding windows."""
 
 import random
 from datetime import timedelta
@@ -11,17 +11,17 @@
 
 SEC = timedelta(seconds=1)
 OPT = tuning()
-WIN, RATIO, SLACK = OPT["budget_window"], OPT["budget_ratio"], OPT["budget_slack"]
+WINDOW, RATIO, SLACK = OPT["budget_window"], OPT["budget_ratio"], OPT["budget_slack"]
 
 
-def broken(asks, extras, win=WIN, ratio=RATIO, slack=SLACK):
-    """The oracle: -> the worst of all windows by which the rule is broken (0: none). Times sorted."""
+def largest_excess(asks, retry_times, win=WINDOW, ratio=RATIO, slack=SLACK):
+    """Oracle: return the largest excess over the budget in any window (0 for none); times must be sorted."""
     from bisect import bisect_left as lo
     from bisect import bisect_right as hi
 
     worst, half = 0.0, win / 2
-    starts = {x for x in extras} | {x - win for x in extras}
-    for q in asks:  # windows that just lose or gain a request
+    starts = {x for x in retry_times} | {x - win for x in retry_times}
+    for q in asks:  # windows that just exclude or include a request
         starts |= {
             q,
             q + timedelta(microseconds=1),
@@ -32,7 +32,7 @@
         }
     count = lambda d, a, b: hi(d, b) - lo(d, a)
     for s in starts:
-        x = count(extras, s, s + win)
+        x = count(retry_times, s, s + win)
         if x > slack:
             most = max(count(asks, s, s + win), count(asks, s - win, s), count(asks, s - half, s + half))
             worst = max(worst, x - ratio * most - slack)
@@ -40,44 +40,44 @@
 
 
 class Fleet:
-    """Daemons that share nothing; each knows some of the others."""
+    """Daemons that share no state; each knows some of the others."""
 
     def __init__(self, *, n, rng, make=RetryBudget):
         self.rng, self.make, self.n = rng, make, n
         self.all = [make(tuning=OPT, started_at=0 * SEC) for _ in range(n)]
-        self.side = [0] * n  # who is cut from whom
-        self.knows = [n] * n
-        self.asks, self.extras = [], []
+        self.partition_side = [0] * n  # side of the partition
+        self.known_daemons = [n] * n
+        self.asks, self.retry_times = [], []
 
     def restart(self, i, now):
         self.all[i] = self.make(tuning=OPT, started_at=now)
-        self.knows[i] = sum(s == self.side[i] for s in self.side)  # only those it can reach
+        self.known_daemons[i] = sum(s == self.partition_side[i] for s in self.partition_side)  # only the reachable ones
 
     def cut(self, a, b):
         for i in range(a, b):
-            self.side[i] = 1
+            self.partition_side[i] = 1
 
     def heal(self):
-        self.side = [0] * self.n
-        self.knows = [max(k, self.n) for k in self.knows]
+        self.partition_side = [0] * self.n
+        self.known_daemons = [max(k, self.n) for k in self.known_daemons]
 
-    def ask(self, i, now):
-        """The client sent a moment before."""
+    def send_request(self, i, now):
+        """Count a request that the client sent up to 0.2 s earlier."""
         self.all[i].on_request(now, "s")
         self.asks.append(now - self.rng.random() * 0.2 * SEC)
 
-    def again(self, i, now):
-        if self.all[i].spend(now, "s", daemons=self.knows[i]):
-            self.extras.append(now + self.rng.random() * 0.2 * SEC)
+    def try_retry(self, i, now):
+        if self.all[i].spend(now, "s", daemons=self.known_daemons[i]):
+            self.retry_times.append(now + self.rng.random() * 0.2 * SEC)
             return True
         return False
 
     def worst(self):
-        return broken(sorted(self.asks), sorted(self.extras))
+        return largest_excess(sorted(self.asks), sorted(self.retry_times))
 
 
-def play(seed, make=RetryBudget, secs=45):
-    """Waves of requests, bursts of failures, restarts, one side cut (and perhaps started anew)."""
+def random_run(seed, make=RetryBudget, secs=45):
+    """Varying load, bursts of failures, restarts, and a partition (with possible restarts on one side)."""
     rng = random.Random(seed)
     n = rng.choice((1, 3, 6, 9, 9, 30))
     f = Fleet(n=n, rng=rng, make=make)
@@ -107,22 +107,22 @@
             lam = base * level / 20
             while rng.random() < lam / (1 + lam):
                 at = now + rng.random() * step
-                f.ask(i, at)
+                f.send_request(i, at)
                 if failing:
                     for _ in range(3):
-                        f.again(i, at)
+                        f.try_retry(i, at)
             if failing:
-                f.again(i, now + step)  # streams that go on elsewhere
+                f.try_retry(i, now + step)  # streams that are resumed elsewhere
     return f
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_no_sliding_window_has_more_extras_than_the_rule_gives(seed):
-    assert play(seed).worst() == 0
+def test_no_sliding_window_has_more_retries_than_the_budget(seed):
+    assert random_run(seed).worst() == 0
 
 
 def planted(**kw):
-    """A class with one rule left out."""
+    """Return a subclass with one rule replaced."""
 
     class Without(RetryBudget):
         pass
@@ -140,11 +140,11 @@
     return OPT["budget_slack"] * OPT["budget_slack_part"] / max(1, self.largest_fleet(now, daemons))
 
 
-def test_the_oracle_finds_a_fleet_in_which_each_takes_the_whole_slack():
-    assert any(play(s, make=planted(share=whole_slack)).worst() > 0 for s in range(6))
+def test_the_oracle_detects_daemons_that_each_spend_the_whole_slack():
+    assert any(random_run(s, make=planted(share=whole_slack)).worst() > 0 for s in range(6))
 
 
-def test_the_oracle_finds_daemons_that_spend_slack_again_after_each_restart():
+def test_the_oracle_detects_daemons_that_spend_slack_again_after_each_restart():
     f = Fleet(n=9, rng=random.Random(1), make=planted(share=no_first_window))
     g = Fleet(n=9, rng=random.Random(1))
     for h in (f, g):
@@ -153,22 +153,22 @@
             for i in range(9):
                 if tick % 100 == 50:
                     h.restart(i, now)
-                h.again(i, now)
+                h.try_retry(i, now)
     assert f.worst() > 0 and g.worst() == 0
 
 
-def test_the_oracle_finds_daemons_that_pick_the_best_of_the_three_counts_each_for_itself(monkeypatch):
-    """Half of the fleet asked in one window, half in the next: the largest counts sum to more."""
+def test_the_oracle_detects_daemons_that_each_use_the_largest_of_their_three_counts(monkeypatch):
+    """Half of the fleet has requests in one window, half in the next: the sum of the largest counts exceeds the largest sum."""
 
     def run():
         f = Fleet(n=20, rng=random.Random(3))
         for i in range(20):
             for j in range(400):
                 at = (16 * SEC if i % 2 else 22.5 * SEC) + j * SEC / 1000
-                f.ask(i, at)
+                f.send_request(i, at)
         for j in range(200):
             for i in range(20):
-                f.again(i, 25 * SEC + j * SEC / 1000)
+                f.try_retry(i, 25 * SEC + j * SEC / 1000)
         return f.worst()
 
     assert run() == 0
@@ -176,8 +176,8 @@
     assert run() > 0
 
 
-def test_the_oracle_finds_a_window_that_loses_its_requests():
-    """Extras bounded by the last window's requests alone: a later window has the extras and not the requests."""
+def test_the_oracle_detects_a_budget_based_on_the_last_window_alone():
+    """If retries are limited by the last window's requests alone, a later window contains the retries without the requests."""
 
     class Plain(RetryBudget):
         def spend(self, now, service, *, daemons):
@@ -186,26 +186,26 @@
             asks = sum(x.count for x in self.requests.get(service, ()) if x.slot > k - 40)
             if mine > 0.2 * asks + self.share(now, daemons):
                 return False
-            module.count_one(self.retries, service, k)
+            module.increment_count(self.retries, service, k)
             return True
 
     def run(make):
         f = Fleet(n=3, rng=random.Random(4), make=make)
         for i in range(3):
             for j in range(400):
-                f.ask(i, 20.5 * SEC + j * SEC / 1000)
+                f.send_request(i, 20.5 * SEC + j * SEC / 1000)
             for j in range(400):
-                f.ask(i, 28.5 * SEC + j * SEC / 1000)
+                f.send_request(i, 28.5 * SEC + j * SEC / 1000)
         for j in range(600):
             for i in range(3):
-                f.again(i, 30 * SEC + j * SEC / 1000)
+                f.try_retry(i, 30 * SEC + j * SEC / 1000)
         return f.worst()
 
     assert run(Plain) > 0
     assert run(RetryBudget) == 0
 
 
-def test_a_steady_service_gets_nearly_the_whole_ratio():
+def test_a_service_with_constant_load_gets_nearly_the_whole_ratio():
     b, got, asked = RetryBudget(tuning=OPT, started_at=0 * SEC), 0, 0
     for tick in range(60 * 50):
         now = tick * SEC / 50
@@ -216,7 +216,7 @@
     assert 0.8 * RATIO * asked < got <= RATIO * OPT["budget_ratio_part"] * asked
 
 
-def test_a_start_without_a_known_fleet_has_no_slack_and_a_young_daemon_none_either():
+def test_no_slack_without_known_daemons_or_during_the_first_window():
     b = RetryBudget(tuning=OPT, started_at=0 * SEC)
     assert not b.spend(30 * SEC, "s", daemons=0)
     assert b.spend(30 * SEC, "s", daemons=3)
@@ -226,7 +226,7 @@
     assert b.spend(40 * SEC, "s", daemons=3)
 
 
-def test_the_largest_fleet_known_lately_divides_the_slack():
+def test_slack_is_divided_by_the_largest_recent_fleet():
     b = RetryBudget(tuning=OPT, started_at=0 * SEC)
     b.largest_fleet(20 * SEC, 9)
     part = OPT["budget_slack"] * OPT["budget_slack_part"]
@@ -234,7 +234,7 @@
     assert b.share(22 * SEC + OPT["budget_recall"], 3) == part / 3
 
 
-def test_services_do_not_spend_each_others_requests():
+def test_each_service_has_its_own_budget():
     b = RetryBudget(tuning=OPT, started_at=0 * SEC)
     for j in range(1000):
         b.on_request(20 * SEC + j * SEC / 1000, "a")
--- a/tests/routing/test_router_seeds.py
+++ b/tests/routing/test_router_seeds.py
@@ -1,4 +1,4 @@
-"""Seeded days of the forwarding path (design 15); a part with a planted fault is caught by the rules in the same days."""
+"""Seeded runs of the forwarding path (design 15); each planted fault breaks a rule in the same runs."""
 
 import itertools
 import os
@@ -22,18 +22,18 @@
 
 
 @pytest.mark.parametrize("town", ["navrang", "banyan"])
-def test_a_quiet_day_serves_everyone(town):
+def test_a_run_without_faults_serves_all_requests(town):
     s = Scene(town=town, seed=1)
     s.settle()
     s.traffic()
     s.w.run(10)
     assert s.finish() == []
     n = s.told()
-    assert n.pop("200") > 300 and sum(n.values()) == n.get("404", 0)  # the looks at routes that never were
+    assert n.pop("200") > 300 and sum(n.values()) == n.get("404", 0)  # requests on routes that never existed
 
 
 @pytest.mark.parametrize("town,seed", [("navrang", 1), ("banyan", 2), ("drawn", 3)])
-def test_a_day_of_all_failures_breaks_no_rule(town, seed):
+def test_a_run_with_all_faults_breaks_no_rule(town, seed):
     s, bad = forward_faults.run(town=town, seed=seed, secs_=20)
     assert bad == []
     assert s.told()["200"] > 200
@@ -46,7 +46,7 @@
 """
 
 
-def test_a_replay_is_the_same_run_in_another_process():
+def test_a_run_is_deterministic_across_processes():
     a, b = (
         subprocess.run(
             [sys.executable, "-c", DAY], env=dict(os.environ, PYTHONHASHSEED=h), capture_output=True, text=True, check=True
@@ -56,11 +56,11 @@
     assert a == b and int(a.split()[0]) > 20
 
 
-def warped(monkeypatch, turn, ev=lambda now, ev: ev):
-    """The part with its effects, and what it hears, changed on the way."""
+def intercepted(monkeypatch, turn, ev=lambda now, ev: ev):
+    """Replace the router by one whose effects and events pass through `turn` and `ev`."""
     real = daemon_components.MachineComponent
 
-    class Warped(real):
+    class Intercepted(real):
         def handle(self, now, event):
             raw_event = ev(now, event if isinstance(event, tuple) else event_to_tuple(event))
             for effect in super().handle(now, raw_event) if raw_event else ():
@@ -69,16 +69,16 @@
                     yield effect if changed == raw_effect else changed
 
     def component(machine):
-        return (Warped if isinstance(machine, Router) else real)(machine)
+        return (Intercepted if isinstance(machine, Router) else real)(machine)
 
     monkeypatch.setattr(daemon_components, "MachineComponent", component)
 
 
-def usable(**wrong):
-    """Replicas are chosen without one of the rules."""
+def eligible_replicas(**wrong):
+    """Return a plant that makes the router ignore one of the rules for eligible replicas."""
 
     def fn(mp):
-        real = attempts.usable
+        real = attempts.eligible_replicas
 
         def f(reps, **kw):
             if "service" in wrong:
@@ -96,26 +96,26 @@
                 ]
             return real(reps, **{**kw, **wrong})
 
-        mp.setattr(attempts, "usable", f)
+        mp.setattr(attempts, "eligible_replicas", f)
 
     return fn
 
 
 def effects(turn, **kw):
-    return lambda mp: warped(mp, turn, **kw)
+    return lambda mp: intercepted(mp, turn, **kw)
 
 
 def nth(n, make):
-    """Every n-th try becomes something else."""
+    """Return a function that replaces every n-th started attempt."""
     k = itertools.count(1)
     return lambda now, e: make(e) if e[0] == "try" and next(k) % n == 0 else (e,)
 
 
-def stuck(now, ev, seen=[]):  # noqa: B006
+def configuration_stuck(now, ev, seen=[]):  # noqa: B006
     return ev if ev[0] != "book" or now.total_seconds() < 14 else None
 
 
-def back_and_forth():
+def configuration_alternating():
     old = {}
 
     def ev(now, got):
@@ -129,28 +129,28 @@
     return ev
 
 
-def forgets_where(now, e):
+def without_last_event(now, e):
     return (("try", *e[1:3], dict(e[3], last_event=None)),) if e[0] == "try" and e[3]["resume"] else (e,)
 
 
-def every_time(mp):
+def all_repeatable(mp):
     mp.setattr(Request, "is_repeatable", property(lambda request: True))
 
 
-def spends(mp):
+def unlimited_retries(mp):
     mp.setattr(RetryBudget, "spend", lambda *a, **kw: True)
 
 
-def floods(mp):
+def unlimited_slow_start(mp):
     mp.setattr(SlowStart, "take", lambda *a, **kw: True)
 
 
-def keeps(now, e):
+def drop_error_answers(now, e):
     return () if e[0] == "answer" and e[2] in (502, 503, 504) else (e,)
 
 
-def tries_on(mp):
-    """The part takes a route for one that lets it try nine replicas."""
+def allow_nine_attempts(mp):
+    """Make the router treat every route as one that allows nine attempts."""
     real = attempts.find_route
 
     def find_route(*a):
@@ -161,32 +161,32 @@
 
 
 PLANTED = [
-    ("TRIES", tries_on, ("spoil",), dict(gap=0.2, town="navrang")),
+    ("TRIES", allow_nine_attempts, ("spoil",), dict(gap=0.2, town="navrang")),
     ("DUE", effects(lambda now, e: (("try", *e[1:3], dict(e[3], deadline_ms=60000)),) if e[0] == "try" else (e,)), (), {}),
-    ("DRAIN", usable(leaving=False), ("release",), {}),
-    ("EVAC", usable(drained_zones=frozenset()), ("evacuate",), {}),
-    ("HOME", usable(homes=()), (), {}),
-    ("ROUTE", usable(service=None), (), {}),
-    ("TWICE", every_time, ("crash", "spoil"), {}),
-    ("BUDGET", spends, ("spoil",), dict(opt=tuning(budget_slack=0.0), bounds=Bounds(slack=2), gap=0.3)),
-    ("FAILBACK", floods, ("cold_return",), {}),
+    ("DRAIN", eligible_replicas(leaving=False), ("release",), {}),
+    ("EVAC", eligible_replicas(drained_zones=frozenset()), ("evacuate",), {}),
+    ("HOME", eligible_replicas(homes=()), (), {}),
+    ("ROUTE", eligible_replicas(service=None), (), {}),
+    ("TWICE", all_repeatable, ("crash", "spoil"), {}),
+    ("BUDGET", unlimited_retries, ("spoil",), dict(opt=tuning(budget_slack=0.0), bounds=Bounds(slack=2), gap=0.3)),
+    ("FAILBACK", unlimited_slow_start, ("cold_return",), {}),
     ("REFUSED", effects(lambda now, e: (("answer", e[1], 503, 0.1, 1),) if e[0] == "answer" and e[2] == 502 else (e,)), ("spoil",), {}),
     ("LOST", effects(nth(40, lambda e: (e, ("break", e[1])))), (), {}),
-    ("ORDER", effects(forgets_where), ("crash",), dict(pace=3.0)),
-    ("CONFIG", lambda mp: warped(mp, lambda now, e: (e,), ev=stuck), ("change",), {}),
-    ("CONFIG", lambda mp: warped(mp, lambda now, e: (e,), ev=back_and_forth()), ("change",), {}),
+    ("ORDER", effects(without_last_event), ("crash",), dict(pace=3.0)),
+    ("CONFIG", lambda mp: intercepted(mp, lambda now, e: (e,), ev=configuration_stuck), ("change",), {}),
+    ("CONFIG", lambda mp: intercepted(mp, lambda now, e: (e,), ev=configuration_alternating()), ("change",), {}),
     ("RECOVER", effects(lambda now, e: (("answer", e[1], 502, None, 1),) if e[0] == "try" and now.total_seconds() > 14 else (e,)), (), {}),
     ("DENIED", effects(nth(20, lambda e: (("answer", e[1], 403, None, 1),))), (), {}),
-    ("SILENT", effects(keeps), ("spoil",), {}),
-    ("LEAK", lambda mp: warped(mp, lambda now, e: (e,), ev=lambda now, e: None if e[0] == "tried" and e[3] == "done" else e), (), {}),
+    ("SILENT", effects(drop_error_answers), ("spoil",), {}),
+    ("LEAK", lambda mp: intercepted(mp, lambda now, e: (e,), ev=lambda now, e: None if e[0] == "tried" and e[3] == "done" else e), (), {}),
 ]
 
 
-SOUND = {}  # what the part as it is breaks in the same days: nothing
+SOUND = {}  # rules broken by the unmodified router in the same runs: none
 
 
 @pytest.mark.parametrize("rule,plant,kinds,kw", PLANTED, ids=[f"{r}-{i}" for i, (r, *_) in enumerate(PLANTED)])
-def test_a_part_with_a_planted_fault_is_caught(monkeypatch, rule, plant, kinds, kw):
+def test_a_planted_fault_is_detected(monkeypatch, rule, plant, kinds, kw):
     kw = dict(dict(gap=1.5, town="hamlet", seed=2, kinds=kinds or ("swing",), secs_=14), **kw)
     if (key := repr(kw)) not in SOUND:
         SOUND[key] = forward_faults.run(**kw)[1]
