--- a/silverglade/http/__init__.py
+++ b/silverglade/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP (design 2, 15): the APIs of clients, replicas, the platform and operators; connections to replicas."""
+"""HTTP (design 2, 15): APIs for clients, replicas, the platform and operators, and the connection pool to replicas."""
--- a/silverglade/http/app.py
+++ b/silverglade/http/app.py
@@ -1,8 +1,8 @@
-"""The product's own HTTP API (design 2), as one ASGI app: tenants' requests, and the calls of replicas, platform and operators.
+"""The product's own HTTP API (design 2) as one ASGI app: tenants' requests, and calls by replicas, the platform and operators.
 
-There are two paths of a client's request through a daemon. *Tenants' requests* (`POST /v1/orders/{class}`, design 6) are handled
-here: their results come from the tenants' ingress. *Forwarded requests* (design 15), with any method and path, come in on an address
-of their own and are handled in forwarding_protocol.py. All other calls of the API are in handlers.py.
+A daemon handles two kinds of client requests. *Tenants' requests* (`POST /v1/orders/{class}`, design 6) are handled here; their
+results come from the tenants' ingress. *Forwarded requests* (design 15), with any method and path, arrive on a separate address and
+are handled in forwarding_protocol.py. All other calls of the API are in handlers.py.
 """
 
 from __future__ import annotations
@@ -38,25 +38,25 @@
 
 RETRY_WHEN_BUSY_MS = 1000
 
-ACKNOWLEDGE_EVERY = 32
-"""So many pieces of a stream are acknowledged at a time."""
+PIECES_PER_ACKNOWLEDGEMENT = 32
+"""How many pieces of a stream are acknowledged together."""
 
-SINGLE_HEADERS = frozenset(
+NON_REPEATABLE_HEADERS = frozenset(
     (b"authorization", b"idempotency-key", b"silverglade-attempt", b"silverglade-due", b"silverglade-prefix", b"content-length")
 )
-"""A request that has one of them twice could be read in two ways."""
+"""Headers that a request must not repeat: it would be ambiguous which value counts."""
 
 
 async def handle_tenant_request(daemon: Daemon, request_class: str, scope: Scope, receive: Receive, send: Send) -> None:
-    """Handle one request of a tenant: its head is checked, then there must be room for its body, then the body is read."""
+    """Handle one request of a tenant: check its head, reserve memory for its body, then read the body and send the response."""
     headers = header_table(scope)
     key, attempt = headers.get("idempotency-key", ""), headers.get("silverglade-attempt", "")
-    due, prefix = headers.get("silverglade-due", ""), headers.get("silverglade-prefix", "")
-    head = (bearer_key(headers), request_class, key, due, prefix, attempt)
-    ran = "no" if not key or attempt == "1" else "maybe"  # no owner has looked (design 6.5)
+    deadline, prefix = headers.get("silverglade-due", ""), headers.get("silverglade-prefix", "")
+    head = (bearer_key(headers), request_class, key, deadline, prefix, attempt)
+    ran = "no" if not key or attempt == "1" else "maybe"  # no shard owner has checked the key yet (design 6.5)
     try:
-        if has_repeated_header(scope, SINGLE_HEADERS):
-            raise InvalidHeaderError("a header stands twice")
+        if has_repeated_header(scope, NON_REPEATABLE_HEADERS):
+            raise InvalidHeaderError("a header that must not be repeated occurs more than once")
         code, answer = await daemon.call("head", head)
         if code != result_codes.OK:
             await send_error(send, code, ran=answer.get("ran", ran), wait_ms=answer.get("wait"), detail=answer.get("detail", ""))
@@ -72,15 +72,15 @@
 
 
 def _expected_length(headers: HeaderTable, max_bytes: int) -> int:
-    """Return how long a body will be at most."""
+    """Return an upper bound of the body's length in bytes: its stated length, at most `max_bytes`."""
     length = headers.get("content-length", "")
     return min(int(length), max_bytes) if is_whole_number(length, max_digits=MAX_LENGTH_DIGITS) else max_bytes
 
 
 class TenantResponse:
-    """The response to one request of a tenant, made of its results as they come.
+    """The response to one request of a tenant, sent as its results arrive.
 
-    A stream's status waits for its first piece. A stream that breaks off ends with a fault event and an unclean close.
+    The status of a stream is sent with its first piece. A stream that fails ends with a fault event and without a last chunk.
     """
 
     def __init__(self, daemon: Daemon, request_id: str, send: Send) -> None:
@@ -92,14 +92,14 @@
         self._has_ended = False
 
     async def run(self, results: AsyncIterable[tuple[Any, ...]], receive: Receive) -> None:
-        """Pass all results on; given up when the client leaves, or when passing them on fails."""
+        """Send all results to the client. If the client disconnects or sending fails, the request is abandoned."""
         try:
-            await self._pass_on_all(results, receive)
+            await self._forward_results(results, receive)
         finally:
             with anyio.CancelScope(shield=True):
                 await self._daemon.tenant_requests.abandon(self._request_id)
 
-    async def _pass_on_all(self, results: AsyncIterable[tuple[Any, ...]], receive: Receive) -> None:
+    async def _forward_results(self, results: AsyncIterable[tuple[Any, ...]], receive: Receive) -> None:
         async with anyio.create_task_group() as task_group:
 
             async def watch_client() -> None:
@@ -108,12 +108,12 @@
 
             task_group.start_soon(watch_client)
             async for result in results:
-                await self._pass_on(result)
+                await self._forward_result(result)
             if not self._has_ended and not self._has_begun:
                 await send_error(self._send, result_codes.LINK_LOST, ran="maybe")
             task_group.cancel_scope.cancel()
 
-    async def _pass_on(self, result: tuple[Any, ...]) -> None:
+    async def _forward_result(self, result: tuple[Any, ...]) -> None:
         match result:
             case ("key", key, _):
                 self._key = key
@@ -146,7 +146,7 @@
             self._has_begun = True
             await self._start([(b"content-type", b"text/event-stream"), *self._key_header()])
         await self._send(event_message("", number, data))
-        if number % ACKNOWLEDGE_EVERY == 0:
+        if number % PIECES_PER_ACKNOWLEDGEMENT == 0:
             await self._daemon.tenant_requests.acknowledge(self._request_id, number)
 
     async def _send_fault(self, code: int, ran: str, wait_ms: float | None, detail: str) -> None:
@@ -154,14 +154,14 @@
             data = json.dumps(error_body(code=code, ran=ran)).encode()
             await self._send(event_message("fault", -1, data))
         else:
-            await send_error(self._send, code, ran=ran, wait_ms=wait_ms, detail=detail, more_headers=self._key_header())
+            await send_error(self._send, code, ran=ran, wait_ms=wait_ms, detail=detail, extra_headers=self._key_header())
         self._has_ended = True
 
 
 def event_message(name: str, number: int, data: bytes) -> dict[str, Any]:
     """Return the ASGI message that sends one server-sent event.
 
-    :param number: its id; below 0: none.
+    :param number: the event's id; no id is sent if negative.
     """
     lines = [b"event: " + name.encode()] if name else []
     if number >= 0:
@@ -171,7 +171,7 @@
 
 
 def app(daemon: Daemon) -> App:
-    """Return the product's own API of a daemon."""
+    """Return the ASGI app of a daemon's own API."""
 
     async def run(scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] != "http":
--- a/silverglade/http/asgi.py
+++ b/silverglade/http/asgi.py
@@ -1,4 +1,4 @@
-"""Helpers for ASGI apps: headers, bodies within bounds, JSON responses."""
+"""Helpers for ASGI apps: headers, bodies of bounded size, JSON responses."""
 
 from __future__ import annotations
 
@@ -19,30 +19,33 @@
 App = Callable[[Scope, Receive, Send], Awaitable[None]]
 Headers = Iterable[tuple[bytes, bytes]]
 HeaderTable = Mapping[str, str]
-"""Header's name in lower case -> value."""
+"""Header name in lower case -> value."""
 
 MAX_BODY_BYTES = 4 * 1024 * 1024 + 1024
-"""Of a call that says nothing else."""
+"""Limit for calls that set no other."""
 
 BODY_TIMEOUT_S: float = 20
 
-JITTER = (0.8, 1.6)
-"""Of `Retry-After`, so that a crowd does not return at once."""
+RETRY_AFTER_JITTER = (0.8, 1.6)
+"""Range of the random factor of `Retry-After`, which prevents many clients from retrying at the same time."""
 
 
 def header_table(scope: Scope) -> dict[str, str]:
-    """Return a request's headers by name; of several the last counts."""
+    """Return a request's headers by name; of repeated headers, the last one counts."""
     return {name.decode("latin-1").lower(): value.decode("latin-1") for name, value in scope["headers"]}
 
 
 def has_repeated_header(scope: Scope, names: frozenset[bytes]) -> bool:
-    """Whether a request has one of these headers, given in lower case, more than once."""
+    """Return whether a request has any of these headers more than once.
+
+    :param names: in lower case.
+    """
     found = [name for raw_name, _ in scope["headers"] if (name := raw_name.lower()) in names]
     return len(found) > len(set(found))
 
 
 def bearer_key(headers: HeaderTable) -> str:
-    """Return the bearer key of a request, or empty."""
+    """Return the bearer key of a request, or an empty string."""
     value = headers.get("authorization", "")
     return value[len("bearer ") :].strip() if value[: len("bearer ")].lower() == "bearer " else ""
 
@@ -50,9 +53,9 @@
 async def read_body(receive: Receive, headers: HeaderTable, max_bytes: int = MAX_BODY_BYTES) -> bytes:
     """Read a whole body.
 
-    :raises BodyTooLargeError: it is larger than allowed, or says so.
-    :raises TruncatedBodyError: the client left before its end.
-    :raises SlowBodyError: it did not come in time.
+    :raises BodyTooLargeError: it is larger than `max_bytes`, or its stated length is.
+    :raises TruncatedBodyError: the client disconnected before the end of the body.
+    :raises SlowBodyError: it did not arrive within `BODY_TIMEOUT_S`.
     """
     stated_length = headers.get("content-length", "")
     if is_whole_number(stated_length, max_digits=MAX_LENGTH_DIGITS) and int(stated_length) > max_bytes:
@@ -74,21 +77,21 @@
 
 
 async def wait_for_disconnect(receive: Receive) -> None:
-    """Wait until the client has left; its body was read before."""
+    """Wait until the client has disconnected. Its body must have been read before."""
     while (await receive())["type"] != "http.disconnect":
         pass
 
 
-async def send_response(send: Send, status: int, content_type: bytes, body: bytes, more_headers: Headers = ()) -> None:
+async def send_response(send: Send, status: int, content_type: bytes, body: bytes, extra_headers: Headers = ()) -> None:
     """Send a complete response."""
-    headers = [(b"content-type", content_type), (b"content-length", str(len(body)).encode()), *more_headers]
+    headers = [(b"content-type", content_type), (b"content-length", str(len(body)).encode()), *extra_headers]
     await send({"type": "http.response.start", "status": status, "headers": headers})
     await send({"type": "http.response.body", "body": body})
 
 
-async def send_json(send: Send, status: int, data: Any, more_headers: Headers = ()) -> None:
-    """Send a complete response in JSON."""
-    await send_response(send, status, b"application/json", json.dumps(data).encode() + b"\n", more_headers)
+async def send_json(send: Send, status: int, data: Any, extra_headers: Headers = ()) -> None:
+    """Send a complete JSON response."""
+    await send_response(send, status, b"application/json", json.dumps(data).encode() + b"\n", extra_headers)
 
 
 async def send_error(
@@ -98,16 +101,16 @@
     ran: str = "no",
     wait_ms: float | None = None,
     detail: str = "",
-    more_headers: Headers = (),
+    extra_headers: Headers = (),
 ) -> None:
-    """Send a result code that is an error.
+    """Send an error response for a result code.
 
-    :param ran: whether the request's key may have run (docs/faults.md).
-    :param wait_ms: when the client may come back; jitter is added.
+    :param ran: whether the request with this key may have run (docs/faults.md).
+    :param wait_ms: after how long the client may retry, before jitter.
     """
     retry_after = None
     if wait_ms:
-        retry_after = max(1, round(wait_ms / 1000 * random.uniform(*JITTER) + 0.5))
-        more_headers = (*more_headers, (b"retry-after", str(retry_after).encode()))
+        retry_after = max(1, round(wait_ms / 1000 * random.uniform(*RETRY_AFTER_JITTER) + 0.5))
+        extra_headers = (*extra_headers, (b"retry-after", str(retry_after).encode()))
     body = error_body(code=code, ran=ran, retry_after=retry_after, detail=detail)
-    await send_json(send, http_status(code), body, more_headers)
+    await send_json(send, http_status(code), body, extra_headers)
--- a/silverglade/http/connection_pool.py
+++ b/silverglade/http/connection_pool.py
@@ -1,8 +1,8 @@
-"""Connections to replicas (design 15): small pools, kept no longer than the replica says.
+"""Connection pools to replicas (design 15). An idle connection is kept no longer than the replica's keep-alive time-out allows.
 
-A new connection has its price, and a stale one may swallow a request that cannot be repeated. So one is used again only while it is
-surely idle: within the time that the replica gave, less a margin for what is on the way, with nothing to be read on it. Whatever
-arrives on an idle connection belongs to no request and closes it.
+Opening a connection is expensive, but a stale one may lose a request that cannot be repeated. A connection is therefore reused only
+while it is certain to be idle: within the keep-alive time that the replica gave, less a margin for the time in transit, and with no
+unread bytes. Bytes that arrive on an idle connection belong to no request, and close it.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 
 SECOND = timedelta(seconds=1)
 
-SAME_REGION_S = 0.01
-"""A connection takes no longer to come up in the same region."""
+SAME_REGION_CONNECT_S = 0.01
+"""Upper bound of the connect time within a region; a connection that took longer leads to another region."""
 
 MIN_MARGIN_S, MAX_MARGIN_S = 0.05, 0.5
-"""A connection is given up so long before the replica's own time is up."""
+"""An idle connection is closed this long before the replica's own keep-alive time-out."""
 
 HIGH_WATER_BYTES = 64 * 1024
-"""Bytes held unread; above it the replica is not read on. Requests above it are written in several pieces."""
+"""Reading from the replica pauses while more received bytes than this are unread. Larger requests are written in several pieces."""
 
-KEEP_ELSEWHERE_S = 4.0
-"""How long a connection to another region is kept for which the replica gave no time."""
+OTHER_REGION_KEEP_S = 4.0
+"""How long an idle connection to another region is kept if the replica gave no keep-alive time-out."""
 
-MAX_IDLE = 512
-"""Idle connections of the daemon in all."""
+MAX_IDLE_CONNECTIONS = 512
+"""Idle connections of the daemon, over all replicas."""
 
 MIN_SWEEP_INTERVAL_S = 0.05
 
@@ -47,9 +47,9 @@
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 3),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 8000),
 )
-"""A dead machine says nothing: these end the wait (seconds, seconds, number, and ms).
+"""A machine that has failed sends nothing: these options end the wait for it (units: s, s, a count, ms).
 
-TCP_NODELAY is set by asyncio on sockets that name their protocol.
+asyncio sets TCP_NODELAY on sockets that were created with an explicit protocol number.
 """
 
 PoolKey = tuple[str, str]
@@ -59,20 +59,20 @@
 class RequestNotSentError(Exception):
     """Not one byte of the request was written.
 
-    :ivar why: a word for the router.
+    :ivar reason: reported to the router.
     """
 
-    def __init__(self, why: str, /) -> None:
-        self.why = why
-        super().__init__(why)
+    def __init__(self, reason: str, /) -> None:
+        self.reason = reason
+        super().__init__(reason)
 
 
 class StaleConnectionError(RequestNotSentError):
-    """A kept connection turned out to be over before anything was written on it."""
+    """A reused connection turned out to be closed before any byte was written on it."""
 
 
 class ReplicaActivity:
-    """When bytes of one replica came last on any of its connections, in seconds of the monotonic clock."""
+    """When a replica last sent bytes on any of its connections, in seconds of the monotonic clock."""
 
     __slots__ = ("received_at",)
 
@@ -81,23 +81,24 @@
 
 
 class ReplicaStream(asyncio.Protocol, httpcore.AsyncNetworkStream):
-    """A connection as httpcore wants it, which knows whether a byte of the request was written.
+    """A network stream for httpcore that records whether any byte of the current request was written.
 
-    What is to be written waits for the first read and leaves in one piece. While `discards_writes` is set it is swallowed: so a
-    request whose place was taken by a surplus response is read on for, and is never sent twice.
+    Writes are buffered until the first read and then sent in one piece. While `discards_writes` is set they are dropped: if a surplus
+    response was read in place of the request's own, reading goes on for its own without the request being sent twice.
 
+    :ivar has_ended: the replica has closed its side, or the connection is lost.
     :ivar was_written: a byte of the current request was written.
     :ivar on_idle_activity: called when anything happens on an idle connection; None while it is in use.
-    :ivar before_read: awaited before more is read.
-    :ivar received_at: when bytes came last, in seconds of the monotonic clock; `replica_activity`: on any connection to this replica.
-    :ivar connect_s: how long it took to come up: there and back once.
+    :ivar before_read: awaited before each read.
+    :ivar received_at: when bytes last arrived, in seconds of the monotonic clock; `replica_activity`: on any connection to this replica.
+    :ivar connect_s: how long it took to connect, in seconds: one round trip.
     """
 
     transport: asyncio.Transport
 
     def __init__(self) -> None:
         self.received: deque[bytes] = deque()
-        self.ended = False
+        self.has_ended = False
         self.was_written = False
         self.discards_writes = False
         self.on_idle_activity: Callable[[], None] | None = None
@@ -112,7 +113,7 @@
         self._reading_paused = False
 
     def begin_request(self) -> None:
-        """Prepare for the next request on this connection."""
+        """Reset the state that belongs to one request."""
         self.was_written = False
         self.discards_writes = False
         self.on_idle_activity = None
@@ -121,12 +122,12 @@
     # called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Keep bytes for the reader; on an idle connection they belong to no request."""
+        """Buffer received bytes for the reader; on an idle connection, where they belong to no request, call `on_idle_activity` instead."""
         self.received_at = self.replica_activity.received_at = time.monotonic()
         if self.on_idle_activity:
             return self.on_idle_activity()
@@ -139,16 +140,16 @@
         return None
 
     def eof_received(self) -> bool:
-        """Note that the replica sends no more; the connection stays open for writing."""
-        self.ended = True
+        """Record that the replica has closed its side; the connection stays open for writing."""
+        self.has_ended = True
         if self.on_idle_activity:
             self.on_idle_activity()
         self._wake_reader()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note that the connection is over."""
-        self.ended = True
+        """Record that the connection is lost, and the error if there is one."""
+        self.has_ended = True
         self._error = self._error or exc
         if self.on_idle_activity:
             self.on_idle_activity()
@@ -161,17 +162,17 @@
     # called by httpcore
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Queue bytes until the first read."""
+        """Buffer bytes until the first read."""
         if buffer and not self.discards_writes:
             self._unwritten.append(buffer)
 
     def _flush(self) -> None:
-        """Write what is queued.
+        """Write the buffered bytes.
 
-        :raises StaleConnectionError: the connection turned out to be over, or not idle, before the first byte.
+        :raises StaleConnectionError: before the first byte of the request, the connection was closed or had unread bytes.
         """
         pieces, self._unwritten = self._unwritten, []
-        if not self.was_written and (self.ended or self.received or self.transport.is_closing()):
+        if not self.was_written and (self.has_ended or self.received or self.transport.is_closing()):
             raise StaleConnectionError("ended before the request")
         self.was_written = True
         if sum(map(len, pieces)) <= HIGH_WATER_BYTES:
@@ -180,9 +181,9 @@
             self.transport.write(piece)
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Return the next bytes; none at the end.
+        """Return the next bytes; empty at the end of the stream.
 
-        :raises httpcore.ReadError: the connection broke.
+        :raises httpcore.ReadError: the connection was lost.
         """
         if self._unwritten:
             self._flush()
@@ -191,7 +192,7 @@
         while not self.received:
             if self._error:
                 raise httpcore.ReadError(str(self._error))
-            if self.ended or self.transport.is_closing():
+            if self.has_ended or self.transport.is_closing():
                 return b""
             self._waiter = asyncio.get_running_loop().create_future()
             try:
@@ -206,7 +207,7 @@
         return data
 
     async def aclose(self) -> None:
-        """Close the connection, for httpcore."""
+        """Close the connection at once; httpcore calls this."""
         self.close()
 
     def close(self) -> None:
@@ -216,8 +217,8 @@
             self.transport.abort()
 
     def is_usable(self) -> bool:
-        """Whether it is open with nothing to be read on it, in the kernel neither."""
-        if self.ended or self.received or self.transport.is_closing():
+        """Return whether the connection is open without unread bytes, including those in the kernel's receive buffer."""
+        if self.has_ended or self.received or self.transport.is_closing():
             return False
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
@@ -227,12 +228,12 @@
 async def connect(*, addr: str, local: str | None, timeout: timedelta) -> ReplicaStream:
     """Open a connection.
 
-    :param local: the IP number from which to connect, or None.
-    :raises TimeoutError: it did not come up in time.
-    :raises OSError: it was refused, or there is no way, or that is no address.
+    :param local: the IP address from which to connect, or None.
+    :raises TimeoutError: it was not established in time.
+    :raises OSError: it was refused, the address is unreachable, or `addr` is not a valid address.
     """
     if not is_address(addr):
-        raise OSError(f"no address: {addr!r}")
+        raise OSError(f"not a valid address: {addr!r}")
     ip, port = addr.rsplit(":", 1)
     loop = asyncio.get_running_loop()
     family = socket.AF_INET6 if ":" in ip else socket.AF_INET
@@ -256,12 +257,12 @@
 
 
 class PooledConnection:
-    """A connection of a pool: in use from `take` to `release`.
+    """A connection of a pool, in use from `take` to `release`.
 
-    :ivar stream: the connection itself; unset until it is open, as is `http`, the client's side of HTTP/1.1 on it.
+    :ivar stream: the network stream; unset until the connection is open, as is `http`, the HTTP/1.1 client connection on it.
     :ivar reusable_until: in seconds of the monotonic clock; 0 for a new one.
     :ivar last_attempt: id of the attempt that it carried last.
-    :ivar closes_on_release: its replica has left the endpoint list.
+    :ivar closes_on_release: its replica has left the endpoint list, so that it is not reused.
     """
 
     __slots__ = ("key", "activity", "stream", "http", "reusable_until", "last_attempt", "closes_on_release", "is_open")
@@ -278,7 +279,7 @@
         self.closes_on_release = False
 
     def attach(self, stream: ReplicaStream) -> None:
-        """Take over an open stream."""
+        """Attach an open stream, and set up HTTP/1.1 on it."""
         ip, port = self.key[0].rsplit(":", 1)
         self.stream = stream
         self.is_open = True
@@ -286,22 +287,22 @@
         self.http = httpcore.AsyncHTTP11Connection(origin=httpcore.Origin(b"http", ip.encode(), int(port)), stream=stream)
 
     def has_surplus(self) -> bool:
-        """Whether bytes came behind a complete response."""
+        """Return whether bytes were received after a complete response."""
         return bool(self.stream.received or self.http._h11_state.trailing_data[0])
 
 
 class ConnectionPool:
     """Connections to all replicas.
 
-    :param local: the IP number from which to connect, or None.
-    :param keep: how long a connection within the region is kept for which the replica gave no time.
-    :param max_idle: idle connections in all.
+    :param local: the IP address from which to connect, or None.
+    :param keep: how long an idle connection within the region is kept if the replica gave no keep-alive time-out.
+    :param max_idle: the most idle connections, over all replicas.
     :ivar connections: all connections, by address and replica.
-    :ivar idle: those not in use, the one used last at the end.
-    :ivar activity: when bytes of a replica came last.
+    :ivar idle: connections not in use, by address and replica, the most recently used one last.
+    :ivar activity: when each replica last sent bytes.
     """
 
-    def __init__(self, *, local: str | None = None, keep: timedelta = timedelta(seconds=15), max_idle: int = MAX_IDLE) -> None:
+    def __init__(self, *, local: str | None = None, keep: timedelta = timedelta(seconds=15), max_idle: int = MAX_IDLE_CONNECTIONS) -> None:
         self.local = local
         self.keep_s = keep / SECOND
         self.max_idle = max_idle
@@ -312,12 +313,14 @@
         self.sweep_timer: asyncio.TimerHandle | None = None
 
     async def take(self, *, addr: str, replica: str, cap: int, timeout: timedelta, attempt: bytes | None = None) -> PooledConnection:
-        """Return a usable connection: the idle one that was used last, else a new one.
+        """Return a usable connection: the most recently used idle one, or else a new one.
 
-        One that carried this very attempt before is left alone: a second response to that could not be told from the response to this.
+        A connection that has carried this same attempt before is skipped: a second response to the earlier request could not be told
+        apart from the response to this one.
 
         :param cap: the most connections to this replica.
-        :raises RequestNotSentError: there is no connection.
+        :param attempt: id of the attempt that is to be sent.
+        :raises RequestNotSentError: the pool is full, or no connection could be opened.
         """
         key = (addr, replica)
         connection = self._take_idle(key, attempt)
@@ -341,7 +344,7 @@
         return connection
 
     def _take_idle(self, key: PoolKey, attempt: bytes | None) -> PooledConnection | None:
-        """Return the usable idle connection that was used last; close those found unusable."""
+        """Return the most recently used idle connection that is usable; close those found unusable."""
         idle, now = self.idle.get(key, ()), time.monotonic()
         for position in range(len(idle) - 1, -1, -1):
             connection = idle[position]
@@ -352,8 +355,11 @@
                 return connection
         return None
 
-    async def reaches(self, *, addr: str, timeout: timedelta) -> bool:
-        """Whether there is a way to an address, by a bare connection that is closed at once. A refusal came from there too."""
+    async def is_reachable(self, *, addr: str, timeout: timedelta) -> bool:
+        """Return whether an address is reachable, by a TCP connection that is closed at once.
+
+        A refused connection counts as reachable, since the refusal came from that address.
+        """
         try:
             stream = await connect(addr=addr, local=self.local, timeout=timeout)
         except ConnectionError:
@@ -364,16 +370,16 @@
         return True
 
     def release(self, connection: PooledConnection, *, keep: float | None = None, last: bytes | None = None) -> None:
-        """Give a connection back.
+        """Return a connection to the pool.
 
-        :param keep: seconds for which it may be used again; without, it is closed.
+        :param keep: seconds for which it may be reused; if None or 0, it is closed.
         :param last: id of the attempt that it carried.
         """
         if (
             not keep
             or connection.closes_on_release
             or self.idle_count >= self.max_idle
-            or connection.stream.ended
+            or connection.stream.has_ended
             or connection.key not in self.connections
         ):
             self._close(connection)
@@ -407,7 +413,7 @@
             del self.connections[key]
 
     def sweep(self) -> None:
-        """Close the idle connections whose time is up, and come back for the next."""
+        """Close the idle connections that have expired, and schedule the next sweep."""
         self.sweep_timer, now = None, time.monotonic()
         for connection in [each for idle in self.idle.values() for each in idle if each.reusable_until <= now]:
             self._close(connection)
@@ -416,8 +422,8 @@
             delay = max(MIN_SWEEP_INTERVAL_S, next_end - now)
             self.sweep_timer = asyncio.get_running_loop().call_later(delay, self.sweep)
 
-    def forget(self, replica: str) -> None:
-        """Close all connections to a replica that has left the list: idle ones now, others with their responses."""
+    def remove_replica(self, replica: str) -> None:
+        """Close all connections to a replica that has left the endpoint list: idle ones now, those in use when they are released."""
         for key in [key for key in self.activity if key[1] == replica]:
             del self.activity[key]
         for key in [key for key in self.connections if key[1] == replica]:
@@ -427,8 +433,8 @@
                 else:
                     connection.closes_on_release = True
 
-    def renew(self, replica: str) -> None:
-        """Close the idle connections to a replica that is suspected; what follows begins with a new one."""
+    def close_idle(self, replica: str) -> None:
+        """Close the idle connections to a suspected replica, so that the next request opens a new one."""
         for key in [key for key in self.idle if key[1] == replica]:
             for connection in list(self.idle[key]):
                 self._close(connection)
@@ -441,10 +447,11 @@
             self._close(connection)
 
     def reuse_time(self, headers: Mapping[bytes, bytes], connect_s: float) -> float | None:
-        """Return for how many seconds an idle connection may be used again, by the response's headers; None: not at all.
+        """Return for how many seconds an idle connection may be reused, according to the response's headers; None if not at all.
 
-        The response was on its way to us and the next request will be on its way to the replica. Where no time is told there may be
-        none, or one below a second: then only an end that is on its way harms.
+        The margin covers both directions: the response was in transit to this daemon, and the next request will be in transit to the
+        replica. Where the headers state no keep-alive time-out, the replica may have none, or one below a second; in that case only a
+        close that is already in transit does harm.
         """
         if b"close" in headers.get(b"connection", b"").lower():
             return None
@@ -452,11 +459,11 @@
             name, _, value = parameter.strip().partition(b"=")
             if name.strip() == b"timeout":
                 return _keep_alive_time(value.strip(), connect_s)
-        return self.keep_s if connect_s < SAME_REGION_S else min(self.keep_s, KEEP_ELSEWHERE_S)
+        return self.keep_s if connect_s < SAME_REGION_CONNECT_S else min(self.keep_s, OTHER_REGION_KEEP_S)
 
 
 def _keep_alive_time(value: bytes, connect_s: float) -> float | None:
-    """Return the seconds of a keep-alive time-out less a margin for both ways; None where it cannot be read."""
+    """Return a keep-alive time-out in seconds, less a margin for both directions; None if the value is invalid."""
     if not is_whole_number(value, max_digits=MAX_KEEP_ALIVE_DIGITS):
         return None
     margin: float = min(MAX_MARGIN_S, MIN_MARGIN_S + 2 * connect_s)
--- a/silverglade/http/dialect.py
+++ b/silverglade/http/dialect.py
@@ -1,6 +1,7 @@
-"""Names of headers that a request carries to a replica and back (design 15.1).
+"""Names of the headers of requests to replicas and of their responses (design 15.1).
 
-Decisions know fields, never names. `OWN` is the product's own dialect; an adapter brings another.
+Code that makes decisions uses the fields of `Dialect`, never header names. `DEFAULT_DIALECT` has the product's own names; a platform
+adapter supplies others.
 """
 
 from __future__ import annotations
@@ -12,23 +13,23 @@
     """Header names in lower case, as bytes, and two paths.
 
     :ivar attempt: the id of one attempt, given by the client, echoed by the replica.
-    :ivar deadline: ms that the client will wait from here on.
-    :ivar prefix: ID:TOKENS,... the parts of the prompt in order.
-    :ivar last_event: the stream goes on behind this event.
-    :ivar seal: the replica's mark of a complete, successful response.
-    :ivar expect: only this replica may run it; others answer 421.
-    :ivar version: only weights of this version may run it; others answer 421.
-    :ivar not_run: the replica says that it did not run the request.
-    :ivar replica: who answers a health check.
-    :ivar cold_ms: ms that the replica stays cold.
-    :ivar model: the model that is asked for.
-    :ivar tokens: IN,OUT: tokens of the prompt, and the most out.
-    :ivar urgency: 0 to 9, 0 goes first.
-    :ivar credentials: the client's scheme and key; no replica is shown it where the configuration has callers (design 17).
+    :ivar deadline: how many ms the client will still wait.
+    :ivar prefix: the parts of the prompt in order, as ID:TOKENS,...
+    :ivar last_event: id of the event after which a stream resumes.
+    :ivar seal: set by the replica on a complete, successful response; a success without it is not accepted.
+    :ivar expect: the only replica that may run the request; others answer 421.
+    :ivar version: the only version of the weights that may run the request; replicas with another answer 421.
+    :ivar not_run: the replica states that it did not run the request.
+    :ivar replica: id of the replica that answers a health check.
+    :ivar cold_ms: for how many ms the replica stays cold.
+    :ivar model: the requested model.
+    :ivar tokens: IN,OUT: the prompt's number of tokens, and the most output tokens.
+    :ivar urgency: 0 to 9; 0 is the most urgent.
+    :ivar credentials: the client's scheme and key; not forwarded to replicas if the configuration has callers (design 17).
     :ivar scheme: of the credentials, in lower case.
-    :ivar tenant: the caller that holds the key, said by the daemon alone.
-    :ivar health: path of a GET: is the replica well.
-    :ivar report: path of a GET: what the replica does now.
+    :ivar tenant: the caller that holds the key; set only by the daemon.
+    :ivar health: path of the health check, a GET.
+    :ivar report: path of the load report, a GET.
     """
 
     attempt: bytes = b"silverglade-attempt-id"
@@ -51,4 +52,4 @@
     report: str = "/v1/report"
 
 
-OWN = Dialect()
+DEFAULT_DIALECT = Dialect()
--- a/silverglade/http/event_stream.py
+++ b/silverglade/http/event_stream.py
@@ -1,6 +1,6 @@
-"""A stream of server-sent events, split between events with its bytes unchanged (design 15.3).
+"""Splits a stream of server-sent events at event boundaries, leaving its bytes unchanged (design 15.3).
 
-An event ends with an empty line; a line ends with CR, LF or both.
+An event ends with an empty line; a line ends with CR, LF or CR LF.
 """
 
 from __future__ import annotations
@@ -10,41 +10,41 @@
 MAX_EVENT_BYTES = 1024 * 1024
 
 MAX_ID_DIGITS = 18
-"""Of an event's id that counts as a number."""
+"""Of an event id that counts as a number."""
 
-ENCODING, UNDECODABLE = "utf-8", "surrogateescape"
-"""How an event's id is text here: its bytes come out again as they were, whatever they are."""
+ENCODING, ENCODING_ERRORS = "utf-8", "surrogateescape"
+"""How event ids are decoded: any bytes are encoded again unchanged."""
 
-NO_NUMBER = -1
-"""Stands for an id that is no number."""
+NOT_A_NUMBER = -1
+"""The number of an id that is not numeric."""
 
 CR = 13
 LINE_ENDS = b"\r\n"
 EMPTY_LINES = (b"\n\n", b"\n\r", b"\r\r")
-"""Where two of these bytes meet a line is empty. The LF that may follow a CR belongs to it."""
+"""Pairs of bytes that mark an empty line. An LF that follows a final CR belongs to the same line end."""
 
 
 def end_of_last_event(data: bytes, start: int = 0) -> int:
-    """Return where the last complete event in `data` ends; 0 without one.
+    """Return the position after the last complete event in `data`; 0 if there is none.
 
-    :param start: no empty line lies before it.
+    :param start: where to start searching; there must be no empty line before it.
     """
     end = 0
     for pair in EMPTY_LINES:
         position = data.rfind(pair, start)
         if position >= 0:
-            behind = position + len(pair)
-            end = max(end, behind + (pair[1] == CR and data[behind : behind + 1] == b"\n"))
-    if not end and data[:1] in (b"\r", b"\n"):  # the rest of an empty line that came in two parts
+            after = position + len(pair)
+            end = max(end, after + (pair[1] == CR and data[after : after + 1] == b"\n"))
+    if not end and data[:1] in (b"\r", b"\n"):  # the rest of an empty line that arrived in two parts
         end = 2 if data[:2] == b"\r\n" else 1
     return end
 
 
 class EventSplitter:
-    """Takes bytes and returns as many complete events as there are.
+    """Buffers the bytes of a stream and returns them as complete events.
 
     :ivar rest: the beginning of an event that is not complete yet.
-    :ivar max_bytes: of one event.
+    :ivar max_bytes: the most bytes of an incomplete event.
     """
 
     __slots__ = ("rest", "max_bytes")
@@ -54,9 +54,9 @@
         self.max_bytes = max_bytes
 
     def feed(self, data: bytes) -> bytes:
-        """Take further bytes and return the events that are complete with them.
+        """Add bytes, and return the events that are now complete.
 
-        :raises ValueError: an event is too long.
+        :raises ValueError: an incomplete event is longer than `max_bytes`.
         """
         start = max(0, len(self.rest) - 2)
         if self.rest:
@@ -69,7 +69,7 @@
 
 
 def last_event_id(events: bytes) -> str | None:
-    """Return the value of the last id line in complete events; None without one."""
+    """Return the value of the last id line in complete events; None if there is none."""
     start = max(events.rfind(b"\nid:"), events.rfind(b"\rid:"))
     if start >= 0:
         start += len(b"\nid:")
@@ -81,16 +81,16 @@
     while end < len(events) and events[end] not in LINE_ENDS:
         end += 1
     value = events[start:end]
-    return (value[1:] if value[:1] == b" " else value).decode(ENCODING, UNDECODABLE)
+    return (value[1:] if value[:1] == b" " else value).decode(ENCODING, ENCODING_ERRORS)
 
 
 def event_number(event_id: str) -> int:
-    """Return the number that an event's id is, or `NO_NUMBER`."""
-    return int(event_id) if is_whole_number(event_id, max_digits=MAX_ID_DIGITS) else NO_NUMBER
+    """Return an event id as a number, or `NOT_A_NUMBER`."""
+    return int(event_id) if is_whole_number(event_id, max_digits=MAX_ID_DIGITS) else NOT_A_NUMBER
 
 
 def events_after(events: bytes, last_id: str) -> tuple[bytes, bool]:
-    """Return the events behind the one with this id, and whether one of them has an id of its own."""
+    """Return the events from the first with a number above `last_id` on, and whether there is one."""
     last_number, position = event_number(last_id), 0
     while position < len(events):
         end = end_of_event(events, position)
@@ -102,7 +102,7 @@
 
 
 def end_of_event(events: bytes, start: int) -> int:
-    """Return where the event that begins at `start` ends."""
+    """Return the position after the event that begins at `start`."""
     line_is_empty, position = True, start
     while position < len(events):
         byte = events[position]
--- a/silverglade/http/forwarding_protocol.py
+++ b/silverglade/http/forwarding_protocol.py
@@ -1,7 +1,8 @@
-"""Forwarded requests of clients (design 15): any method, path and body, over uvicorn's h11 protocol.
+"""Clients' requests that are forwarded to replicas (design 15): any method, path and body, on uvicorn's h11 protocol.
 
-This is one of two paths of a client's request: tenants' requests of the product's own API are handled in app.py. Here a connection's
-protocol is itself the app, so that it sees at once when its client leaves, and can end a response so that it looks broken off.
+This is one of two kinds of client requests: tenants' requests, which use the product's own API, are handled in app.py. Here the
+protocol of a connection is itself the ASGI app, so that it detects at once that its client has disconnected, and can end a response
+so that it does not look complete.
 """
 
 from __future__ import annotations
@@ -25,20 +26,20 @@
 from .asgi import Receive, Scope, Send
 from .connection_pool import SECOND
 from .dialect import Dialect
-from .event_stream import ENCODING, UNDECODABLE
+from .event_stream import ENCODING, ENCODING_ERRORS
 
 if TYPE_CHECKING:
     from ..server.request_forwarding import ForwardingDaemon, RequestForwarder
 
 LINGER_RESET = struct.pack("ii", 1, 0)
-"""SO_LINGER: closing resets the connection."""
+"""SO_LINGER with a time-out of 0: closing resets the connection."""
 
 REPLACED_HEADERS = frozenset((b"expect", b"content-length"))
-"""Not forwarded as they are: the whole body is read first."""
+"""Not forwarded unchanged, since the whole body is read before it is sent on."""
 
-HEADER_LINE_OVERHEAD = len(b": \r\n")
+HEADER_LINE_OVERHEAD_BYTES = len(b": \r\n")
 
-MAX_DIGITS = 16
+MAX_INTEGER_DIGITS = 16
 MAX_INTEGER = 2**53
 
 RETRY_WHEN_FULL_S = 1.0
@@ -48,15 +49,15 @@
 
 
 class TargetRecordingConnection(h11.Connection):
-    """Keeps the target as it was sent: a scope cannot tell "/a?" from "/a".
+    """Records the request target as it was sent; an ASGI scope does not distinguish "/a?" from "/a".
 
-    :ivar target: of the request that was read last.
+    :ivar target: of the most recently read request.
     """
 
     target: bytes = b""
 
     def next_event(self) -> Any:
-        """Return the next event, as h11 does."""
+        """Return h11's next event, and record the target of a request."""
         event = super().next_event()
         if type(event) is h11.Request:
             self.target = event.target
@@ -64,7 +65,7 @@
 
 
 class JoiningTransport:
-    """A transport that can join what is written within its context: a head and its body cost one call and one packet."""
+    """A transport that joins the writes made within its context, so that a head and its body take one system call and one packet."""
 
     def __init__(self, transport: asyncio.Transport) -> None:
         self._transport = transport
@@ -75,7 +76,7 @@
         return getattr(self._transport, name)
 
     def write(self, data: bytes) -> None:
-        """Write, or keep for the end of the context."""
+        """Write the data, or buffer it until the end of the context."""
         if self._depth:
             self._pieces.append(data)
         else:
@@ -94,20 +95,20 @@
             self._transport.write(data)
 
     def close(self) -> None:
-        """Write what is kept, and close."""
+        """Write the buffered data, and close the transport."""
         self._flush()
         self._transport.close()
 
 
 def parse_integer(value: bytes | None) -> int | None:
-    """Return a whole number from 0, or None."""
-    if value is None or not is_whole_number(value, max_digits=MAX_DIGITS) or int(value) >= MAX_INTEGER:
+    """Return a non-negative integer below `MAX_INTEGER`; None for any other value."""
+    if value is None or not is_whole_number(value, max_digits=MAX_INTEGER_DIGITS) or int(value) >= MAX_INTEGER:
         return None
     return int(value)
 
 
 def parse_prompt_parts(value: bytes | None) -> tuple[tuple[str, int], ...]:
-    """Return the parts of a prompt, given as ID:TOKENS,...: (id, tokens) each; none if they cannot be read."""
+    """Parse the parts of a prompt, ID:TOKENS,..., to pairs of (id, tokens); empty if any part is invalid."""
     parts = []
     for part in value.split(b",") if value else ():
         part_id, _, number = part.strip().rpartition(b":")
@@ -119,14 +120,14 @@
 
 
 def parse_token_counts(value: bytes | None) -> tuple[int, int] | None:
-    """Return the tokens of a prompt and the most out, given as IN,OUT; None if they cannot be read."""
+    """Parse IN,OUT: the prompt's number of tokens and the most output tokens; None if invalid."""
     first, _, second = (value or b"").partition(b",")
     tokens_in, tokens_out = parse_integer(first.strip()), parse_integer(second.strip())
     return None if tokens_in is None or tokens_out is None else (tokens_in, tokens_out)
 
 
-def parse_key(value: bytes | None, scheme: bytes) -> str | None:
-    """Return the digest of the key in a client's credentials, given as SCHEME KEY; None if there is none of this scheme."""
+def parse_key_digest(value: bytes | None, scheme: bytes) -> str | None:
+    """Return the digest of the key in a client's credentials, SCHEME KEY; None if there is no key of this scheme."""
     if value is None:
         return None
     given_scheme, _, key = value.strip().partition(b" ")
@@ -135,14 +136,14 @@
 
 
 def host_name(value: bytes) -> str:
-    """Return the host of a `Host` header in lower case, without its port."""
+    """Return the host of a `Host` header in lower case, without the port."""
     host = value.decode("latin-1").strip().lower()
     name, _, port = host.rpartition(":")
     return name if name and (port.isdigit() or not port) and not host.endswith("]") else host
 
 
 def request_facts(*, method: str, target: bytes, fields: Fields, size: int, dialect: Dialect) -> dict[str, Any]:
-    """Return what the router is told of a request.
+    """Return the facts of a request that are passed to the router.
 
     :param size: of the body, in bytes.
     """
@@ -159,15 +160,15 @@
         "prefix": parse_prompt_parts(fields.get(dialect.prefix)),
         "tokens": parse_token_counts(fields.get(dialect.tokens)),
         "model": text(dialect.model) or "",
-        "last_event": fields[dialect.last_event].decode(ENCODING, UNDECODABLE) if dialect.last_event in fields else None,
+        "last_event": fields[dialect.last_event].decode(ENCODING, ENCODING_ERRORS) if dialect.last_event in fields else None,
         "version": text(dialect.version),
-        "key": parse_key(fields.get(dialect.credentials), dialect.scheme),
+        "key": parse_key_digest(fields.get(dialect.credentials), dialect.scheme),
         "size": size,
     }
 
 
 class RequestRefusedError(Exception):
-    """A request is refused before the router hears of it; its connection ends."""
+    """A request is rejected before it is passed to the router; its connection is closed."""
 
     def __init__(self, status: int, code: int, retry_after: float | None = None) -> None:
         super().__init__(status, code)
@@ -176,12 +177,12 @@
         self.retry_after = retry_after
 
 
-class ClientLeftError(Exception):
-    """The client left before its request was complete."""
+class ClientDisconnectedError(Exception):
+    """The client disconnected before its request was complete."""
 
 
 class BodyReservation:
-    """What one request's body takes of the daemon's room for bodies."""
+    """The share of one request's body in the daemon's memory for buffered bodies."""
 
     __slots__ = ("size", "_daemon")
 
@@ -190,24 +191,24 @@
         self.size = 0
 
     def add(self, size: int) -> None:
-        """Take further bytes."""
+        """Reserve further bytes."""
         self.size += size
         self._daemon.buffered_body_bytes += size
 
     def is_full(self) -> bool:
-        """Whether all bodies together are too large."""
+        """Return whether all buffered bodies together exceed `MAX_BUFFERED_BODY_BYTES`."""
         return self._daemon.buffered_body_bytes > MAX_BUFFERED_BODY_BYTES
 
     def release(self) -> None:
-        """Give all back."""
+        """Release all reserved bytes."""
         self._daemon.buffered_body_bytes -= self.size
 
 
 class ForwardingProtocol(H11Protocol):
-    """A connection: a client's on the port given (any, if none is), else one of the daemon's own apps.
+    """The protocol of a connection: it forwards requests that arrive on `port` (on any port if None), and else serves the daemon's apps.
 
-    :ivar request: the forwarded request under way, or None.
-    :ivar head_timer: ends the connection unless a complete head comes in time.
+    :ivar request: the forwarded request in progress, or None.
+    :ivar head_timer: closes the connection unless a complete head arrives in time.
     """
 
     def __init__(self, *args: Any, forwarder: RequestForwarder, port: int | None = None, **kwargs: Any) -> None:
@@ -221,7 +222,7 @@
     # called by the event loop
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """Take over a new connection: a head that is begun must come complete in time, an idle connection ends."""
+        """Set up a new connection, with time-outs for incomplete heads and idle connections."""
         super().connection_made(transport)
         self._is_forwarding = self.port is None or bool(self.server) and self.server[1] == self.port  # type: ignore[index]
         if not self._is_forwarding:
@@ -243,7 +244,7 @@
             self.head_timer = None
 
     def data_received(self, data: bytes) -> None:
-        """Handle bytes of the client."""
+        """Handle bytes received from the client, and start or stop the head timer."""
         if not self._is_forwarding:
             super().data_received(data)
             return
@@ -255,14 +256,14 @@
             self._start_head_timer(self.forwarder.limits.header_timeout)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the request of a client that has left."""
+        """End the request of a client that has disconnected."""
         self._stop_head_timer()
         super().connection_lost(exc)
         if self.request:
             self.request.put(RequestEnd.CLIENT_GONE)
 
     def on_response_complete(self) -> None:
-        """Go on to the next request; the idle time may have changed with the configuration."""
+        """Continue with the next request; the idle time-out may have changed with the configuration."""
         if self._is_forwarding:
             self.timeout_keep_alive = self.forwarder.limits.idle_timeout / SECOND  # type: ignore[assignment]
         super().on_response_complete()
@@ -270,17 +271,18 @@
     # called by the request (client_request.py)
 
     def joined_writes(self) -> JoiningTransport:
-        """Return a context within which what is written leaves in one piece."""
+        """Return a context within which writes are joined and sent in one piece."""
         return self.transport  # type: ignore[return-value]
 
     def cut(self, cycle: Any) -> None:
-        """End the connection so that this cycle's response does not look complete: no last chunk, or too few bytes.
+        """Close the connection so that this cycle's response does not look complete: without the last chunk, or with too few bytes.
 
-        Before its head nothing at all is sent. Where it is complete already, the connection may be another request's by now.
+        If the response has not started, nothing is sent. If it is already complete, nothing is done, since the connection may be
+        in use by another request.
         """
         if cycle is not self.cycle or cycle.response_complete:
             return
-        if self.conn.their_http_version == b"1.0":  # there the end of the connection ends a response
+        if self.conn.their_http_version == b"1.0":  # in HTTP/1.0, closing the connection ends a response
             self.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             self.transport.abort()
         elif self.cycle.response_started and not self.flow.write_paused:
@@ -291,7 +293,7 @@
     # one request
 
     async def forward(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Read one request of a client and forward it; this is the ASGI app of the connection."""
+        """Read one request of a client and forward it. This is the connection's ASGI app."""
         headers = scope["headers"]
         fields = {name: value for name, value in reversed(headers)}
         reservation = BodyReservation(self.forwarder.daemon)
@@ -309,20 +311,20 @@
             await self.forwarder.run(request, facts)
         except RequestRefusedError as error:
             await send_result_code(send, error.status, error.code, retry_after=error.retry_after, close=True)
-        except ClientLeftError:
+        except ClientDisconnectedError:
             pass
         finally:
             reservation.release()
-            if self.request is request:  # the next request of a client that does not wait may be under way
+            if self.request is request:  # with pipelining, the next request may be in progress
                 self.request = None
 
     def _check_head(self, scope: Scope, fields: Fields) -> None:
-        """Check a head against the limits.
+        """Check a request head against the limits.
 
-        :raises RequestRefusedError: it is too large, ambiguous, or announces too large a body.
+        :raises RequestRefusedError: it is too large, ambiguous, or announces a body that is too large.
         """
         limits, length = self.forwarder.limits, fields.get(b"content-length")
-        header_bytes = sum([len(name) + len(value) + HEADER_LINE_OVERHEAD for name, value in scope["headers"]])
+        header_bytes = sum([len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES for name, value in scope["headers"]])
         if len(self._target()) + header_bytes > limits.header_bytes:
             raise RequestRefusedError(431, result_codes.HEADER_SIZE)
         if length is not None and b"transfer-encoding" in fields or scope["method"] == "CONNECT":
@@ -337,11 +339,11 @@
     async def _read_body(self, receive: Receive, fields: Fields, reservation: BodyReservation) -> bytes:
         """Read the whole body.
 
-        :raises RequestRefusedError: it is too large, too slow, or there is no room for it.
-        :raises ClientLeftError: the client left before its end.
+        :raises RequestRefusedError: it is too large or too slow, or the daemon's memory for bodies is full.
+        :raises ClientDisconnectedError: the client disconnected before the end of the body.
         """
         limits, body = self.forwarder.limits, b""
-        if not self.cycle.more_body:  # all of it came with the head
+        if not self.cycle.more_body:  # the whole body arrived with the head
             body = bytes(self.cycle.body)
             reservation.add(len(body))
         elif fields.get(b"content-length", b"0") != b"0" or b"transfer-encoding" in fields:
@@ -353,14 +355,18 @@
         return body
 
     async def _receive_body(self, receive: Receive, limits: ClientLimits, reservation: BodyReservation) -> bytes:
-        """Receive a body piece by piece, until it ends or is too large."""
+        """Receive a body in pieces, until it ends or is too large.
+
+        :raises RequestRefusedError: no piece arrived within the idle time-out.
+        :raises ClientDisconnectedError: the client disconnected before the end of the body.
+        """
         pieces = []
         with anyio.CancelScope() as scope:
             while True:
                 scope.deadline = anyio.current_time() + limits.idle_timeout / SECOND
                 message = await receive()
                 if message["type"] == "http.disconnect":
-                    raise ClientLeftError
+                    raise ClientDisconnectedError
                 pieces.append(message["body"])
                 reservation.add(len(message["body"]))
                 if not message["more_body"] or reservation.size > limits.body_bytes or reservation.is_full():
@@ -370,7 +376,7 @@
         return pieces[0] if len(pieces) == 1 else b"".join(pieces)
 
     def _new_request(self, scope: Scope, fields: Fields, body: bytes, send: Send) -> ClientRequest:
-        """Return the request as it is to be forwarded."""
+        """Return the request to forward, with the headers that replicas get."""
         forwarder = self.forwarder
         headers = [header for header in end_to_end_headers(scope["headers"], fields) if header[0] not in REPLACED_HEADERS]
         if body or b"content-length" in fields:
--- a/silverglade/http/handlers.py
+++ b/silverglade/http/handlers.py
@@ -1,4 +1,4 @@
-"""Calls of replicas, the platform and operators (design 2.2, 2.3): who may make them, and which operation each asks for."""
+"""API calls by replicas, the platform and operators (design 2.2, 2.3): access control, and the mapping of calls to operations."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     from ..server.daemon import Daemon
 
 MAX_VERSION_DIGITS = 18
-"""Of numbers in a header: they stay within what daemons can send each other."""
+"""Of numbers in a header, so that they fit into the messages between daemons."""
 
 MAX_WAIT_DIGITS = 9
 MAX_CHANGE_ID_LENGTH = 100
@@ -37,7 +37,7 @@
 GENERATED_CHANGE_ID_BYTES = 8
 
 CHANGING_OPERATIONS = frozenset(("config-put", "evac", "reopen"))
-"""Operations that are given up when their caller leaves (operator_changes.py)."""
+"""Operations that are cancelled when their caller disconnects (operator_changes.py)."""
 
 METRICS_CONTENT_TYPE = b"text/plain; version=0.0.4"
 
@@ -53,42 +53,42 @@
 
     @property
     def segments(self) -> list[str]:
-        """The path's parts."""
+        """The non-empty segments of the path."""
         return [segment for segment in self.path.split("/") if segment]
 
     async def json(self) -> Any:
-        """Return the body, parsed.
+        """Return the parsed body.
 
-        :raises InvalidInputError: it is no JSON that can be used.
+        :raises InvalidInputError: it is not JSON, or has values that are not accepted.
         """
         return parse_json(await read_body(self.receive, self.headers))
 
     def wait(self) -> tuple[timedelta, ...]:
-        """Return how long the caller says that it waits for an answer (design 5.4): nothing, or one time.
+        """Return how long the caller waits for a response (design 5.4), as a tuple of one time, or empty if it does not state one.
 
-        :raises InvalidCallError: the header cannot be read.
+        :raises InvalidCallError: the header is invalid.
         """
         value = self.headers.get("silverglade-wait", "")
         if value and not is_whole_number(value, max_digits=MAX_WAIT_DIGITS):
-            raise InvalidCallError("Silverglade-Wait wants whole milliseconds")
+            raise InvalidCallError("Silverglade-Wait must be a whole number of milliseconds")
         return (milliseconds(int(value)),) if value else ()
 
     def base_version(self) -> tuple[int, int]:
-        """Return the version that a change replaces: (epoch, number).
+        """Return the version that a change replaces, as (epoch, number).
 
-        :raises MissingVersionError: there is none.
-        :raises InvalidCallError: it cannot be read.
+        :raises MissingVersionError: the header is missing.
+        :raises InvalidCallError: the header is invalid.
         """
         value = self.headers.get("if-match", "").strip().strip('"')
         if not value:
             raise MissingVersionError()
         epoch, _, number = value.partition(".")
         if not all(is_whole_number(part, max_digits=MAX_VERSION_DIGITS) for part in (epoch, number)):
-            raise InvalidCallError("If-Match wants EPOCH.NUMBER")
+            raise InvalidCallError("If-Match must have the form EPOCH.NUMBER")
         return int(epoch), int(number)
 
     def change_id(self) -> str:
-        """Return the change's id: the caller's own, or a new one.
+        """Return the id of the change: the one that the caller gave, or a random one.
 
         :raises InvalidCallError: it is too long.
         """
@@ -99,20 +99,20 @@
 
 
 class Operation(NamedTuple):
-    """An operation of the daemon machine, and its arguments."""
+    """An operation of the daemon's state machine, and its arguments."""
 
     name: str
     arguments: tuple[Any, ...] = ()
 
 
 def listed_replicas(raw: Any) -> tuple[tuple[str, int | None, bool], ...]:
-    """Return the platform's list of replicas: (id, incarnation or None, leaving) each.
+    """Return the platform's list of replicas as tuples (id, incarnation or None, leaving).
 
-    :raises InvalidCallError: it has another form.
+    :raises InvalidCallError: the document does not have the required form.
     """
     rows = raw.get("replicas") if isinstance(raw, dict) else None
     if not isinstance(rows, list):
-        raise InvalidCallError('wants {"replicas": [...]}')
+        raise InvalidCallError('must be {"replicas": [...]}')
     replicas = []
     for position, row in enumerate(rows):
         if not (
@@ -127,7 +127,7 @@
 
 
 def allowed_roles(method: str, segments: list[str]) -> tuple[str, ...]:
-    """Return which roles may make a call (design 8.7)."""
+    """Return the roles that may make a call (design 8.7)."""
     match segments[:2]:
         case ["v1", "replicas"] if method in ("PUT", "DELETE"):
             return ("replica",)
@@ -139,11 +139,11 @@
 
 
 def check_access(settings: Mapping[str, Any], method: str, segments: list[str], key: str) -> None:
-    """Check the caller's key against the roles of the call; a role without a key is open.
+    """Check that the caller's key belongs to a role that may make the call; without a key in the settings, a role's calls are open.
 
-    :raises MissingKeyError: there is none.
-    :raises WrongRoleError: it is another role's.
-    :raises UnknownKeyError: it is nobody's.
+    :raises MissingKeyError: the call has no key.
+    :raises WrongRoleError: the key belongs to another role.
+    :raises UnknownKeyError: the key belongs to no role.
     """
     roles = allowed_roles(method, segments)
     expected_keys = [settings[f"{role}_key"] for role in roles]
@@ -163,7 +163,7 @@
 async def handle(daemon: Daemon, request: ApiRequest) -> None:
     """Handle one call.
 
-    :raises SilvergladeError: it is refused before any component hears of it.
+    :raises SilvergladeError: the call is rejected before it reaches a component.
     """
     segments = request.segments
     check_access(daemon.settings, request.method, segments, bearer_key(request.headers))
@@ -181,7 +181,7 @@
 
 
 def _read_operation(request: ApiRequest, segments: list[str]) -> Operation | None:
-    """Return the operation of a call that changes nothing, or None."""
+    """Return the operation of a read-only call, or None for any other call."""
     match request.method, segments:
         case "GET", ["v1", "config"]:
             return Operation("config-get")
@@ -195,7 +195,7 @@
 
 
 async def _write_operation(request: ApiRequest, segments: list[str]) -> Operation:
-    """Return the operation of a call that changes something.
+    """Return the operation of a call that changes state.
 
     :raises NotFoundError: there is no such call.
     """
@@ -217,7 +217,7 @@
 
 
 async def _send_result(request: ApiRequest, segments: list[str], code: int, fields: Mapping[str, Any]) -> None:
-    """Send what an operation has come to."""
+    """Send the result of an operation."""
     if code == result_codes.OK:
         headers: tuple[tuple[bytes, bytes], ...] = ()
         if "version" in fields and segments[1] == "config":
@@ -230,12 +230,12 @@
 
 
 async def _send_health(daemon: Daemon, request: ApiRequest) -> None:
-    """Answer that the daemon is there, with its name."""
+    """Send the daemon's name, which shows that it is running."""
     await send_json(request.send, 200, {"daemon": daemon.settings["name"]})
 
 
 async def _send_metrics(daemon: Daemon, request: ApiRequest) -> None:
-    """Send the metrics; the library is loaded by the first that asks for them."""
+    """Send the metrics. The metrics library is loaded by the first such call."""
     from .metrics import exposition
 
     await send_response(request.send, 200, METRICS_CONTENT_TYPE, await exposition(daemon))
@@ -245,4 +245,4 @@
     ("GET", ("healthz",)): _send_health,
     ("GET", ("metrics",)): _send_metrics,
 }
-"""Calls that are no operation of the daemon machine."""
+"""Calls that are handled without an operation of the daemon's state machine."""
--- a/silverglade/http/listener.py
+++ b/silverglade/http/listener.py
@@ -1,4 +1,4 @@
-"""The HTTP server (design 2, 15.7): uvicorn by library, signals left to the daemon; one server on every address."""
+"""The HTTP server (design 2, 15.7): one uvicorn server on all addresses; signals are handled by the daemon."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
     from ..server.fault_containment import FaultLog
 
 BACKLOG = 1024
-"""A full queue of new connections drops the opening packet, which costs its client seconds."""
+"""When the queue of new connections is full, SYN packets are dropped, which delays clients by seconds."""
 
 KEEP_ALIVE_S = 30
 
-SETUP_S = 0.05
-"""For connections that were accepted last to be set up: some turns of the event loop."""
+CONNECTION_SETUP_S = 0.05
+"""Lets connections that have just been accepted be set up, which takes a few iterations of the event loop."""
 
 
-class ResponseBrokenOffError(Exception):
-    """A response broke off after its beginning; the server closes the connection, so that it does not look complete."""
+class TruncatedResponseError(Exception):
+    """A response failed after it had started; the server closes the connection, so that it does not look complete."""
 
 
 class Server(uvicorn.Server):
-    """Uvicorn's server without its handling of signals, and idle while nothing comes in.
+    """Uvicorn's server without signal handling and without periodic work.
 
-    :ivar closing: set when it is to close.
+    :ivar closing: set to make the server close.
     """
 
     def __init__(self, config: uvicorn.Config, closing: anyio.Event) -> None:
@@ -46,22 +46,22 @@
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Leave signals to the daemon."""
+        """Install no signal handlers; the daemon has its own."""
         yield
 
     async def main_loop(self) -> None:
-        """Wait without uvicorn's ticking: nothing of it is used here, and an idle daemon is to stay idle."""
+        """Wait for `closing` without uvicorn's periodic tick, which is not needed here and would use processor time in an idle daemon."""
         await self.closing.wait()
 
     async def shutdown(self, sockets: list[socket.socket] | None = None) -> None:
-        """Close: first nothing more is accepted, then what was accepted comes up, then listeners and idle connections close.
+        """Stop accepting, wait until accepted connections are set up, then close listeners and idle connections.
 
-        A connection that asyncio has accepted but not set up when its listener closes would be neither read nor closed.
+        A connection that asyncio has accepted but not yet set up when its listener closes would be neither read nor closed.
         """
         loop = asyncio.get_running_loop()
         for listening in sockets or []:
             loop.remove_reader(listening)
-        await anyio.sleep(SETUP_S)
+        await anyio.sleep(CONNECTION_SETUP_S)
         await super().shutdown(sockets)
 
 
@@ -71,7 +71,10 @@
 
 
 def bound_socket(address: str) -> socket.socket:
-    """Return a socket bound to an address, with its protocol named: asyncio sets TCP_NODELAY on no other."""
+    """Return a socket that is bound to an address.
+
+    It is created with an explicit protocol number, because asyncio sets TCP_NODELAY only on connections of such sockets.
+    """
     ip, port = address.rsplit(":", 1)
     family = socket.AF_INET6 if ":" in ip else socket.AF_INET
     bound = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
@@ -80,8 +83,8 @@
     return bound
 
 
-def by_address(apps: Mapping[str, App]) -> App:
-    """Return an app that hands each call to the app of the address at which it came in."""
+def dispatch_by_address(apps: Mapping[str, App]) -> App:
+    """Return an app that passes each call to the app of the address (its port) on which the call arrived."""
     apps_by_port = {port_of(address): each for address, each in apps.items()}
 
     async def run(scope: Scope, receive: Receive, send: Send) -> None:
@@ -92,39 +95,40 @@
 
 
 def with_faults_contained(inner: App, faults: FaultLog) -> App:
-    """Return an app in which a fault of the program ends the one call in which it arose.
+    """Return an app in which an unexpected exception ends only the call that raised it.
 
-    Its client is told that it may have run, or, once its answer has begun, gets one that does not look complete.
+    The client gets an error that says that the call may have run, or, if its response has started, a response that does not look
+    complete.
     """
 
     async def run(scope: Scope, receive: Receive, send: Send) -> None:
         has_begun = False
 
-        async def noting_send(message: Message) -> None:
+        async def recording_send(message: Message) -> None:
             nonlocal has_begun
             has_begun = True
             await send(message)
 
         try:
-            await inner(scope, receive, noting_send)
-        except Exception as error:  # noqa: BLE001  any fault
+            await inner(scope, receive, recording_send)
+        except Exception as error:  # noqa: BLE001  any exception
             faults.note("call", error)
             if has_begun:
-                raise ResponseBrokenOffError from error
+                raise TruncatedResponseError from error
             await send_error(send, result_codes.LINK_LOST, ran="maybe")
 
     return run
 
 
 async def serve(daemon: Daemon) -> None:
-    """Serve a daemon's APIs until it closes them."""
+    """Serve a daemon's APIs until `daemon.closing` is set."""
     apps: dict[str, App] = {daemon.settings["http"]: app(daemon), **daemon.apps()}
     client_address = daemon.adapter.client_address if daemon.adapter else ""
     protocol: Any = "h11"
     if client_address:
         protocol = partial(ForwardingProtocol, forwarder=daemon.forwarder, port=port_of(client_address))
     config = uvicorn.Config(
-        with_faults_contained(by_address(apps), daemon.faults),
+        with_faults_contained(dispatch_by_address(apps), daemon.faults),
         log_config=None,
         access_log=False,
         lifespan="off",
--- a/silverglade/http/metrics.py
+++ b/silverglade/http/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics (design 8.4), written out by library."""
+"""Metrics (design 8.4) in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
     from ..server.daemon import Daemon
 
 RESULT_PREFIX = "code-"
-"""In the daemon's counts: of a final result, by its code; all others are log events."""
+"""Prefix of final results, by code, among the daemon's counts; all other counts are of log events."""
 
 UNKNOWN = -1
 
 
-class FixedMetrics(Collector):
-    """Metrics that were collected already."""
+class CollectedMetrics(Collector):
+    """A collector of metrics that have already been collected."""
 
     def __init__(self, metrics: list[Metric]) -> None:
         self._metrics = metrics
 
     def collect(self) -> Iterable[Metric]:
-        """Return them."""
+        """Return the metrics."""
         return self._metrics
 
 
 async def exposition(daemon: Daemon) -> bytes:
-    """Return all metrics of a daemon in the text format."""
+    """Return all metrics of a daemon in the Prometheus text format."""
     _, status = await daemon.call("status", ())
     _, fleet = await daemon.call("fleet", ())
     _, replicas = await daemon.call("replicas", ())
@@ -40,7 +40,7 @@
         faults.add_metric([what], count)
     metrics = [events, results, faults, _retries(status), _state(daemon, status, fleet), _replica_slots(replicas)]
     registry = CollectorRegistry()
-    registry.register(FixedMetrics(metrics))
+    registry.register(CollectedMetrics(metrics))
     return generate_latest(registry)
 
 
--- a/silverglade/http/operator_changes.py
+++ b/silverglade/http/operator_changes.py
@@ -1,4 +1,4 @@
-"""An operator's change at the HTTP API: checked before it is handed on, given up when its caller leaves (design 5.4)."""
+"""Operators' changes over the HTTP API: checked before they are passed on, cancelled when the caller disconnects (design 5.4)."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 if TYPE_CHECKING:
     from ..server.daemon import Daemon
 
-EVENT_LOOP_TURNS = 8
-"""After so many a caller that left before its call was read has been seen to leave."""
+DISCONNECT_CHECK_TURNS = 8
+"""Iterations of the event loop after which the disconnect of a caller that left before its call was read has been noticed."""
 
 Change = TypeVar("Change", bound=tuple[Any, ...])
 
 
 def checked_size(change: Change) -> Change:
-    """Return a change that daemons can send each other.
+    """Return the change unchanged if it fits into a message between daemons.
 
-    :raises InvalidCallError: it cannot be sent at all.
+    :raises InvalidCallError: it has values that cannot be encoded.
     :raises ChangeTooLargeError: it is too large.
     """
     try:
@@ -39,7 +39,10 @@
 async def call_unless_caller_leaves(
     daemon: Daemon, receive: Receive, operation: str, arguments: tuple[Any, ...]
 ) -> tuple[int, Mapping[str, Any]] | None:
-    """Call an operation and return its result; None when the caller has left. The request's body was read before."""
+    """Call an operation and return its result; cancel it and return None if the caller disconnects.
+
+    The body of the request must have been read before.
+    """
     result = None
     async with anyio.create_task_group() as task_group:
 
@@ -48,7 +51,7 @@
             task_group.cancel_scope.cancel()
 
         task_group.start_soon(watch_caller)
-        for _ in range(EVENT_LOOP_TURNS):
+        for _ in range(DISCONNECT_CHECK_TURNS):
             await anyio.lowlevel.checkpoint()
         result = await daemon.call(operation, arguments)
         task_group.cancel_scope.cancel()
--- a/silverglade/server/attempt_runner.py
+++ b/silverglade/server/attempt_runner.py
@@ -15,7 +15,7 @@
 
 from ..http.connection_pool import SECOND, ConnectionPool, PooledConnection, RequestNotSentError, StaleConnectionError
 from ..http.dialect import Dialect
-from ..http.event_stream import ENCODING, UNDECODABLE, EventSplitter, events_after, last_event_id
+from ..http.event_stream import ENCODING, ENCODING_ERRORS, EventSplitter, events_after, last_event_id
 from .attempt import Attempt, AttemptResult, AttemptTarget, LossReason, Outcome
 from .client_request import ClientRequest, Headers, HeaderTable, HeldResponse, end_to_end_headers, parse_seconds
 from .response_timeouts import ReportSilence, SilenceWatch
@@ -187,7 +187,7 @@
                     addr=target.addr, replica=target.replica, cap=target.cap, timeout=target.connect, attempt=request.attempt_id
                 )
             except RequestNotSentError as error:
-                return AttemptResult(Outcome.UNSENT, (error.why,))
+                return AttemptResult(Outcome.UNSENT, (error.reason,))
             keep_s = None
             connection.stream.begin_request()
             self.silence.begin(request, number, target, connection)
@@ -197,7 +197,7 @@
                 return result
             except StaleConnectionError as error:  # ended between `take` and the first byte
                 if not connection.reusable_until:  # a new one: this replica has no place for it
-                    return AttemptResult(Outcome.UNSENT, (error.why,))
+                    return AttemptResult(Outcome.UNSENT, (error.reason,))
             finally:
                 self.silence.end(request)
                 self.pool.release(connection, keep=keep_s, last=request.attempt_id)
@@ -212,7 +212,7 @@
         if target.urgency is not None:
             added.append((dialect.urgency, b"%d" % target.urgency))
         if target.last_event is not None:
-            added.append((dialect.last_event, target.last_event.encode(ENCODING, UNDECODABLE)))
+            added.append((dialect.last_event, target.last_event.encode(ENCODING, ENCODING_ERRORS)))
         replaced = {name for name, _ in added}
         if target.tenant is not None:
             replaced |= {dialect.credentials, dialect.tenant}  # no replica is shown a key, nor a tenant that the client named
@@ -364,6 +364,6 @@
 
     def _reuse_time(self, connection: PooledConnection, fields: HeaderTable) -> float | None:
         """Return for how many seconds the connection may be used again; None: not at all. Bytes behind a response end it."""
-        if not self.reuse or not connection.http.is_idle() or connection.has_surplus() or connection.stream.ended:
+        if not self.reuse or not connection.http.is_idle() or connection.has_surplus() or connection.stream.has_ended:
             return None
         return self.pool.reuse_time(fields, connection.stream.connect_s)
--- a/silverglade/server/daemon.py
+++ b/silverglade/server/daemon.py
@@ -17,7 +17,7 @@
 import anyio.lowlevel
 
 from ..duties.lease_times import LeaseTimes
-from ..http.dialect import OWN
+from ..http.dialect import DEFAULT_DIALECT
 from ..http.listener import serve
 from ..membership.rendezvous import highest_ranked
 from ..runtime import result_codes
@@ -160,7 +160,10 @@
         self.replica_pool = replica_calls.new_pool(local=local_ip)
         self.tenant_requests = TenantRequests(queues=self.queues, pool=self.replica_pool, event_counts=self.event_counts)
         self.forwarder = RequestForwarder(
-            daemon=self, dialect=adapter.dialect if adapter else OWN, local=local_ip, reuse="reuse" not in self.tuning["without"]
+            daemon=self,
+            dialect=adapter.dialect if adapter else DEFAULT_DIALECT,
+            local=local_ip,
+            reuse="reuse" not in self.tuning["without"],
         )
         self.disk_writer = DiskWriter(
             data_folder=self.data_folder, delay_s=lambda: self.tuning["drill_disk"], report=self.queues.send, logger=logger
@@ -347,7 +350,7 @@
 
     async def _test_reachability(self, replica: str, address: str, timeout: timedelta) -> None:
         """Does a replica's machine take a connection, or refuse one?"""
-        reachable = await self.forwarder.pool.reaches(addr=address, timeout=timeout)
+        reachable = await self.forwarder.pool.is_reachable(addr=address, timeout=timeout)
         await self.queues.send(ReachabilityTested(replica, reachable), Queue.WORK)
 
     async def _read_replica_report(self, replica: str, address: str) -> None:
--- a/silverglade/server/request_forwarding.py
+++ b/silverglade/server/request_forwarding.py
@@ -111,9 +111,9 @@
             if request:
                 request.put(request_effect(*effect[1:]))
         elif tag == ForgetReplica.TAG:
-            self.pool.forget(subject)
+            self.pool.remove_replica(subject)
         elif tag == RenewConnections.TAG:
-            self.pool.renew(subject)
+            self.pool.close_idle(subject)
         elif tag == SetClientLimits.TAG:
             self.limits = ClientLimits.from_configuration(subject)
 
--- a/silverglade/testbed/experiments/loopback_cpu.py
+++ b/silverglade/testbed/experiments/loopback_cpu.py
@@ -16,21 +16,21 @@
 import uvicorn
 from uvicorn.server import ServerState
 
-from ...http.dialect import OWN
+from ...http.dialect import DEFAULT_DIALECT
 from ...http.forwarding_protocol import ForwardingProtocol
 from ...server.priority_queues import PriorityQueues
 from ...server.request_forwarding import RequestForwarder
 
-ID, SEAL = OWN.attempt, OWN.seal
+ID, SEAL = DEFAULT_DIALECT.attempt, DEFAULT_DIALECT.seal
 EVENTS = 36
 HEADS = (
     b"Content-Type: application/octet-stream",
     b"User-Agent: loopback/1",
     b"Accept: */*",
-    OWN.deadline + b": 5000",
-    OWN.model + b": m",
-    OWN.tokens + b": 1460,80",
-    OWN.prefix + b": 5c1e07a2:800,91bd3f06:410,e4402b7d:250",
+    DEFAULT_DIALECT.deadline + b": 5000",
+    DEFAULT_DIALECT.model + b": m",
+    DEFAULT_DIALECT.tokens + b": 1460,80",
+    DEFAULT_DIALECT.prefix + b": 5c1e07a2:800,91bd3f06:410,e4402b7d:250",
 )
 
 
@@ -39,7 +39,7 @@
 
     def __init__(self, addr):
         self.addr, self.buffered_body_bytes, self.draining, self.faults = addr, 0, False, None
-        self.queues, self.forwarder = PriorityQueues(), RequestForwarder(daemon=self, dialect=OWN)
+        self.queues, self.forwarder = PriorityQueues(), RequestForwarder(daemon=self, dialect=DEFAULT_DIALECT)
 
     async def think(self):
         while True:
--- a/silverglade/testbed/fake_servers/replica_server.py
+++ b/silverglade/testbed/fake_servers/replica_server.py
@@ -19,7 +19,7 @@
 import anyio.abc
 import h11
 
-from ...http.dialect import OWN, Dialect
+from ...http.dialect import DEFAULT_DIALECT, Dialect
 from .endpoint_list_server import EndpointListServer
 from .http_exchange import CLOSED, AnswerQueue, FieldNames, Header, ReceivedRequest, ServerConnection, clock, listen, reset
 from .replica_answers import Answer, Body, Crashed, Cut, Ended, Garbage, Head, Refused, RequestAnswer, RunBegan, StreamEvent, Surplus
@@ -67,7 +67,7 @@
         spec: ReplicaSpec,
         seed: int = 1,
         warm: bool = True,
-        dialect: Dialect = OWN,
+        dialect: Dialect = DEFAULT_DIALECT,
         names: FieldNames | None = None,
         keep_s: int = 5,
         forget_rate: float = 0.0,
--- a/tests/configuration/test_bad_input.py
+++ b/tests/configuration/test_bad_input.py
@@ -64,7 +64,7 @@
 
 
 def replace_configuration(d, body=TEXT, base="5", **kw):
-    return call_platform_api(d, words.REPLACE, body, [] if base is None else [("Base-Version", base)], **kw)
+    return call_platform_api(d, words.CONFIG_REPLACE_PATH, body, [] if base is None else [("Base-Version", base)], **kw)
 
 
 def changed_text(**kw):
@@ -148,7 +148,7 @@
 def test_every_refusal_has_its_code_and_message(code, status):
     for got in (
         replace_configuration(Control(reply=(code, {"detail": "why"}))),
-        call_platform_api(Control(reply=(code, {})), words.EVACUATION + "z1/" + words.BEGIN),
+        call_platform_api(Control(reply=(code, {})), words.EVACUATION_PATH_PREFIX + "z1/" + words.BEGIN),
     ):
         assert got[0] == status and got[1]["code"] == code and got[1]["error"] == RESULT_CODES[code][2]
 
@@ -287,7 +287,9 @@
 
             with anyio.move_on_after(0.05) as scope:
                 await api.app(d, PlatformSettings)(
-                    {"type": "http", "method": "POST", "path": words.EVACUATION + "z1/begin", "headers": []}, receive_or_wait, send
+                    {"type": "http", "method": "POST", "path": words.EVACUATION_PATH_PREFIX + "z1/begin", "headers": []},
+                    receive_or_wait,
+                    send,
                 )
             return scope.cancelled_caught
 
--- a/tests/http/test_caller_keys.py
+++ b/tests/http/test_caller_keys.py
@@ -5,8 +5,8 @@
 from hypothesis import strategies as st
 
 from silverglade.configuration.schema import key_digest
-from silverglade.http.dialect import OWN
-from silverglade.http.forwarding_protocol import parse_key
+from silverglade.http.dialect import DEFAULT_DIALECT
+from silverglade.http.forwarding_protocol import parse_key_digest
 from silverglade.server import attempt_runner
 
 from ..support.scripted_replicas import SEAL, answer, chunk, event, one, scene, stream
@@ -15,7 +15,7 @@
 KEY = "top-secret"
 BEARER = f"Authorization: Bearer {KEY}"
 CLAIMED = "Silverglade-Tenant: mallory"
-TENANT = OWN.tenant.decode()
+TENANT = DEFAULT_DIALECT.tenant.decode()
 
 HEADS = [
     (BEARER, CLAIMED),
@@ -123,7 +123,7 @@
 
 def test_a_key_in_the_trailers_of_a_body_reaches_no_replica():
     async def talk(c, d, rep, client):
-        await c.say(f"POST /p HTTP/1.1\r\nHost: h\r\n{OWN.attempt.decode()}: a1\r\nTransfer-Encoding: chunked\r\n\r\n")
+        await c.say(f"POST /p HTTP/1.1\r\nHost: h\r\n{DEFAULT_DIALECT.attempt.decode()}: a1\r\nTransfer-Encoding: chunked\r\n\r\n")
         await c.say(chunk("ab") + f"0\r\n{BEARER}\r\n{CLAIMED}\r\n\r\n")
         return await c.answer()
 
@@ -167,13 +167,13 @@
     ],
 )
 def test_what_counts_as_a_key(value, key):
-    assert parse_key(value, b"token") == (None if key is None else key_digest(key))
+    assert parse_key_digest(value, b"token") == (None if key is None else key_digest(key))
 
 
 @given(st.binary(max_size=200))
 def test_any_bytes_are_a_key_or_none(value):
     for raw in (value, b"Bearer " + value):
-        digest = parse_key(raw, OWN.scheme)
+        digest = parse_key_digest(raw, DEFAULT_DIALECT.scheme)
         assert digest is None or len(digest) == 32
 
 
--- a/tests/http/test_connection_pool.py
+++ b/tests/http/test_connection_pool.py
@@ -65,7 +65,7 @@
         a = await take(cap=1)
         with pytest.raises(RequestNotSentError) as e:
             await take(cap=1)
-        assert e.value.why == "pool-full"
+        assert e.value.reason == "pool-full"
         pool.release(a, keep=5)
         assert await take(cap=1) is a
         pool.release(a)
@@ -200,7 +200,7 @@
 
 def test_bytes_that_wait_in_the_kernel_are_seen_before_a_connection_is_used():
     assert not surplus_in_the_kernel()
-    assert surplus_in_the_kernel(sound=lambda stream: not stream.ended and not stream.received)  # planted: the loop's word alone
+    assert surplus_in_the_kernel(sound=lambda stream: not stream.has_ended and not stream.received)  # planted: the loop's word alone
 
 
 def test_what_ends_between_take_and_the_first_byte_is_stale_not_lost():
@@ -248,7 +248,7 @@
         a, b, c = await take(), await take(), await take("i2")
         pool.release(a, keep=5)
         pool.release(c, keep=5)
-        pool.forget("i1")
+        pool.remove_replica("i1")
         assert a.stream.transport.is_closing() and not b.stream.transport.is_closing() and not c.stream.transport.is_closing()
         pool.release(b, keep=5)  # busy until now
         return b.stream.transport.is_closing() and set(pool.connections) == {c.key}
@@ -275,7 +275,7 @@
         monkeypatch.setattr(loop, "sock_connect", never, raising=False)
         with pytest.raises(RequestNotSentError) as e:
             await pool.take(addr=rep.addr, replica="i1", cap=1, timeout=10 * MS)
-        return e.value.why, pool.connections
+        return e.value.reason, pool.connections
 
     assert pooled(go) == ("connect-timeout", {})
 
@@ -422,9 +422,9 @@
         server = await asyncio.start_server(lambda r, w: w.close(), "127.0.0.1", 0)
         up = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
         pool = upstream.ConnectionPool()
-        reached = await pool.reaches(addr=up, timeout=SEC)
+        reached = await pool.is_reachable(addr=up, timeout=SEC)
         server.close()
-        refused = await pool.reaches(addr=up, timeout=SEC)  # nobody listens, but that word came from there
+        refused = await pool.is_reachable(addr=up, timeout=SEC)  # nobody listens, but that word came from there
         return reached, refused, pool.connections
 
     assert asyncio.run(go()) == (True, True, {})
@@ -435,4 +435,4 @@
         raise TimeoutError
 
     monkeypatch.setattr(upstream, "connect", never)
-    assert asyncio.run(upstream.ConnectionPool().reaches(addr="127.0.0.1:9", timeout=SEC)) is False
+    assert asyncio.run(upstream.ConnectionPool().is_reachable(addr="127.0.0.1:9", timeout=SEC)) is False
--- a/tests/http/test_forwarding_breaches.py
+++ b/tests/http/test_forwarding_breaches.py
@@ -11,7 +11,7 @@
 from silverglade.server import request_forwarding as forwarding
 
 from ..support import scripted_replicas as scripted
-from ..support.scripted_replicas import OWN
+from ..support.scripted_replicas import DEFAULT_DIALECT
 from . import test_connection_pool as test_upstream
 from . import test_forwarding, test_forwarding_ends
 from .test_connection_pool import TWICE
@@ -84,8 +84,14 @@
 CASES = [
     ("id", R, "is_ours", lambda s, a, h: True, looked(SKIPPED)),
     ("id missing", R, "is_ours", lambda s, a, h: True, looked(plain((1, "lost", "not-ours")))),
-    ("seal", scripted, "OWN", OWN._replace(seal=OWN.attempt), looked(plain((1, "lost", "no-seal")))),
-    ("word of not having run", scripted, "OWN", OWN._replace(not_run=b"x"), looked(plain((1, "not-run", 503, 0.75)))),
+    ("seal", scripted, "DEFAULT_DIALECT", DEFAULT_DIALECT._replace(seal=DEFAULT_DIALECT.attempt), looked(plain((1, "lost", "no-seal")))),
+    (
+        "word of not having run",
+        scripted,
+        "DEFAULT_DIALECT",
+        DEFAULT_DIALECT._replace(not_run=b"x"),
+        looked(plain((1, "not-run", 503, 0.75))),
+    ),
     ("length", R, "states_end", lambda s, a, r, h: True, looked(plain((1, "lost", "no-length")))),
     ("skipping", attempt_runner, "MAX_RESPONSES_READ", 1, looked(SKIPPED)),
     (
@@ -138,7 +144,7 @@
     ("first byte", T, "_flush", any_time, test_upstream.test_what_ends_between_take_and_the_first_byte_is_stale_not_lost),
     ("idle watch", P, "release", unwatched, lambda: test_upstream.test_whatever_comes_on_an_idle_connection_ends_it("bytes")),
     ("same attempt", P, "release", unmarked, test_upstream.test_a_connection_that_carried_this_attempt_is_left_alone),
-    ("forget", P, "forget", lambda p, r: None, test_upstream.test_a_replica_that_left_keeps_no_connection),
+    ("forget", P, "remove_replica", lambda p, r: None, test_upstream.test_a_replica_that_left_keeps_no_connection),
     ("most connections", P, "take", no_cap, test_forwarding.test_nothing_is_sent_beyond_the_most_connections),
 ]
 
--- a/tests/server/test_fault_containment.py
+++ b/tests/server/test_fault_containment.py
@@ -6,7 +6,7 @@
 import anyio
 import pytest
 
-from silverglade.http.listener import ResponseBrokenOffError, with_faults_contained
+from silverglade.http.listener import TruncatedResponseError, with_faults_contained
 from silverglade.runtime import result_codes
 from silverglade.server.fault_containment import FaultLog
 
@@ -101,7 +101,7 @@
     try:
         anyio.run(go)
         return sent, faults, None
-    except ResponseBrokenOffError as error:
+    except TruncatedResponseError as error:
         return sent, faults, error
 
 
--- a/tests/server/test_platform_calls.py
+++ b/tests/server/test_platform_calls.py
@@ -12,7 +12,7 @@
 import anyio
 import pytest
 
-from silverglade.http.dialect import OWN
+from silverglade.http.dialect import DEFAULT_DIALECT
 from silverglade.runtime.settings import checked
 from silverglade.server import platform_calls
 from silverglade.server.daemon import Daemon
@@ -208,7 +208,7 @@
     client_address, endpoint_list_address, api_addresses = "", "", ()
 
     def __init__(self, address):
-        self.dialect, self.address = OWN, address
+        self.dialect, self.address = DEFAULT_DIALECT, address
 
     def platform_request(self, path_kind, token, body):
         return PlatformRequest(self.address, f"/{path_kind}/{token}", (), json.dumps(body).encode())
--- a/tests/server/test_stop_under_load.py
+++ b/tests/server/test_stop_under_load.py
@@ -101,7 +101,7 @@
 
 GUARDS = (
     ("silverglade/routing/graceful_shutdown.py", "if self.answer_at is None or deadline <= self.answer_at:", "if True:"),
-    ("platform/words.py", "TTL = 1\n", "TTL = 2\n"),
+    ("platform/words.py", "TTL_S = 1\n", "TTL_S = 2\n"),
 )
 """Without them a daemon is as it was at the incident: open for 6 s, taking all that comes."""
 
--- a/tests/support/scripted_replicas.py
+++ b/tests/support/scripted_replicas.py
@@ -8,7 +8,7 @@
 import uvicorn
 from uvicorn.server import ServerState
 
-from silverglade.http.dialect import OWN
+from silverglade.http.dialect import DEFAULT_DIALECT
 from silverglade.http.forwarding_protocol import ForwardingProtocol
 from silverglade.runtime.errors import OverloadedError
 from silverglade.runtime.events import event_to_tuple
@@ -16,9 +16,9 @@
 from silverglade.server.request_forwarding import RequestForwarder
 
 SEC = timedelta(seconds=1)
-ID = OWN.attempt.decode()
-SEAL = OWN.seal.decode()
-NOT = OWN.not_run.decode()
+ID = DEFAULT_DIALECT.attempt.decode()
+SEAL = DEFAULT_DIALECT.seal.decode()
+NOT = DEFAULT_DIALECT.not_run.decode()
 
 
 class Quiet:
@@ -112,7 +112,7 @@
         self.logger, self.buffered_body_bytes, self.draining, self.full = Quiet(), 0, False, False
         self.faults = FaultLog(self.logger)
         self.part, self.told, self.news = part, [], asyncio.Event()
-        self.queues, self.forwarder = self, RequestForwarder(daemon=self, dialect=OWN, **kw)
+        self.queues, self.forwarder = self, RequestForwarder(daemon=self, dialect=DEFAULT_DIALECT, **kw)
 
     def admit(self, event):
         if self.full:
--- a/tests/system/test_platform.py
+++ b/tests/system/test_platform.py
@@ -22,7 +22,7 @@
 import words  # noqa: E402
 
 from silverglade.configuration import schema as config  # noqa: E402
-from silverglade.http.dialect import OWN  # noqa: E402
+from silverglade.http.dialect import DEFAULT_DIALECT  # noqa: E402
 from silverglade.runtime.errors import SilvergladeError  # noqa: E402
 
 FILE = """
@@ -388,28 +388,36 @@
 
 def foreign():
     """Names of the platform that are not the product's own too."""
-    heads = {v.decode() for f, v in words.HEADERS._asdict().items() if isinstance(v, bytes) and v != getattr(OWN, f)}
+    heads = {v.decode() for f, v in words.DIALECT._asdict().items() if isinstance(v, bytes) and v != getattr(DEFAULT_DIALECT, f)}
     paths = {
-        words.HEADERS.health,
-        words.HEADERS.report,
-        words.READY,
-        words.RESOLVE,
-        words.REPLACE,
-        words.READ,
-        words.EVACUATION,
-        words.LIST,
+        words.DIALECT.health,
+        words.DIALECT.report,
+        words.READINESS_PATH,
+        words.RESOLUTION_PATH,
+        words.CONFIG_REPLACE_PATH,
+        words.CONFIG_READ_PATH,
+        words.EVACUATION_PATH_PREFIX,
+        words.REPLICAS_PATH,
         *words.CALL_PATHS.values(),
     }
     calls = {theirs for fields in words.CALL_FIELDS.values() for ours, theirs in fields.items() if ours != theirs}
     calls -= {"target"}  # the product's own word too, for what an attempt goes to
-    calls |= {words.HOLDER.lower(), words.FENCE.lower(), *words.DUTIES}
-    tables = (words.ROUTE, words.CALLER, words.SERVICE, words.ENGINE, words.SCALING, words.LIMITS)
+    calls |= {words.HOLDER_HEADER.lower(), words.FENCING_TOKEN_HEADER.lower(), *words.DUTIES}
+    tables = (words.ROUTE_FIELDS, words.CALLER_FIELDS, words.SERVICE_FIELDS, words.ENGINE_FIELDS, words.SCALING_FIELDS, words.LIMIT_FIELDS)
     fields = calls | {theirs for table in tables for theirs, ours in table.items() if theirs != ours}
     return (
         heads
         | paths
         | fields
-        | {words.BASE.decode(), words.SETTINGS_AT.lower(), "next_token", "phase", "bind_addrs", "seed_addrs", "api_keys"}
+        | {
+            words.BASE_VERSION_HEADER.decode(),
+            words.SETTINGS_FILE_VARIABLE.lower(),
+            "next_token",
+            "phase",
+            "bind_addrs",
+            "seed_addrs",
+            "api_keys",
+        }
     )
 
 
--- a/tests/testbed/test_replica_servers.py
+++ b/tests/testbed/test_replica_servers.py
@@ -7,7 +7,7 @@
 import pytest
 
 from silverglade.configuration import schema as config
-from silverglade.http.dialect import OWN
+from silverglade.http.dialect import DEFAULT_DIALECT
 from silverglade.testbed.checkers.forwarding_records import Sent
 from silverglade.testbed.checkers.forwarding_rules import Rules
 from silverglade.testbed.fake_servers.endpoint_list_server import EndpointListServer
@@ -18,7 +18,7 @@
 
 FAST = ReplicaSpec(step=MS, per_slot=0 * MS, stride=4, cache_tokens=100000)
 PLAIN = ReplicaSpec(work=5 * MS, capacity=2, queue=2)
-TOKENS = f"{OWN.tokens.decode()}: 20,40"
+TOKENS = f"{DEFAULT_DIALECT.tokens.decode()}: 20,40"
 
 
 class Judge(ReplicaObserver):
@@ -162,22 +162,22 @@
         async with anyio.create_task_group() as tg:
             s = ReplicaServer(id="i1", service="s", zone="z", spec=FAST._replace(conns=1), warm=False)
             addr = await tg.start(s.serve)
-            status, h, _ = await get(addr, OWN.health)
-            assert status == 200 and h[OWN.replica.decode()] == "i1" and 0 < int(h[OWN.cold_ms.decode()]) <= 3000
+            status, h, _ = await get(addr, DEFAULT_DIALECT.health)
+            assert status == 200 and h[DEFAULT_DIALECT.replica.decode()] == "i1" and 0 < int(h[DEFAULT_DIALECT.cold_ms.decode()]) <= 3000
             n = FieldNames()
-            assert set(json.loads((await get(addr, OWN.report))[2])) == {n.waiting, n.running, n.used, n.memory}
+            assert set(json.loads((await get(addr, DEFAULT_DIALECT.report))[2])) == {n.waiting, n.running, n.used, n.memory}
             ip, port = addr.split(":")
             async with await anyio.connect_tcp(ip, int(port)) as a:
                 await a.send(b"GET ")
                 with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError, OSError)):
-                    await get(addr, OWN.health)
+                    await get(addr, DEFAULT_DIALECT.health)
             s.drain(60 * SEC)
             while len(s.open_streams):
                 await anyio.sleep(0)
-            assert (await get(addr, OWN.health))[0] == 503
+            assert (await get(addr, DEFAULT_DIALECT.health))[0] == 503
             s.crash()
             with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError, OSError)):
-                await get(addr, OWN.health)
+                await get(addr, DEFAULT_DIALECT.health)
             tg.cancel_scope.cancel()
 
     play(go)
