--- a/silverglade/http/app.py
+++ b/silverglade/http/app.py
@@ -80,7 +80,7 @@
 class TenantResponse:
     """The response to one request of a tenant, sent as its results arrive.
 
-    The status of a stream is sent with its first piece. A stream that fails ends with a fault event and without a last chunk.
+    The status of a stream is sent with its first piece. A stream that fails ends with a fault event and an unclean close.
     """
 
     def __init__(self, daemon: Daemon, request_id: str, send: Send) -> None:
--- a/silverglade/http/connection_pool.py
+++ b/silverglade/http/connection_pool.py
@@ -83,8 +83,8 @@
 class ReplicaStream(asyncio.Protocol, httpcore.AsyncNetworkStream):
     """A network stream for httpcore that records whether any byte of the current request was written.
 
-    Writes are buffered until the first read and then sent in one piece. While `discards_writes` is set they are dropped: if a surplus
-    response was read in place of the request's own, reading goes on for its own without the request being sent twice.
+    Writes are buffered until the first read and then sent in one piece. While `discards_writes` is set, writes are dropped: after a
+    surplus response was read in place of the request's own, the next response can be read without sending the request twice.
 
     :ivar has_ended: the replica has closed its side, or the connection is lost.
     :ivar was_written: a byte of the current request was written.
--- a/silverglade/http/handlers.py
+++ b/silverglade/http/handlers.py
@@ -139,7 +139,7 @@
 
 
 def check_access(settings: Mapping[str, Any], method: str, segments: list[str], key: str) -> None:
-    """Check that the caller's key belongs to a role that may make the call; without a key in the settings, a role's calls are open.
+    """Check that the caller's key belongs to a role that may make the call. If such a role has no key in the settings, the call is open.
 
     :raises MissingKeyError: the call has no key.
     :raises WrongRoleError: the key belongs to another role.
--- a/silverglade/http/operator_changes.py
+++ b/silverglade/http/operator_changes.py
@@ -22,7 +22,7 @@
 
 
 def checked_size(change: Change) -> Change:
-    """Return the change unchanged if it fits into a message between daemons.
+    """Return the given change if it fits into a message between daemons.
 
     :raises InvalidCallError: it has values that cannot be encoded.
     :raises ChangeTooLargeError: it is too large.
--- a/tests/http/test_forwarding_breaches.py
+++ b/tests/http/test_forwarding_breaches.py
@@ -49,9 +49,9 @@
     stream.transport.write(b"".join(pieces))
 
 
-def close_cleanly(face):
-    face.transport.write(b"0\r\n\r\n")
-    face.transport.close()
+def close_cleanly(connection):
+    connection.transport.write(b"0\r\n\r\n")
+    connection.transport.close()
 
 
 def put_without_disconnect(a, e, put=client_request.ClientRequest.put):
@@ -96,7 +96,7 @@
     ("length", R, "states_end", lambda s, a, r, h: True, outcome_case(plain_case((1, "lost", "no-length")))),
     ("skipping other responses", attempt_runner, "MAX_RESPONSES_READ", 1, outcome_case(SKIPPED)),
     (
-        "skipping without end",
+        "skipping without limit",
         attempt_runner,
         "MAX_RESPONSES_READ",
         9,
--- a/tests/http/test_forwarding_protocol.py
+++ b/tests/http/test_forwarding_protocol.py
@@ -143,8 +143,8 @@
 
         def feed(ev):
             if ev[0] == "request":
-                (face,) = (request.connection for request in daemons[0].forwarder.requests.values())
-                timers.append((face.head_timer, face.timeout_keep_alive_task))  # while it waits for the response
+                (connection,) = (request.connection for request in daemons[0].forwarder.requests.values())
+                timers.append((connection.head_timer, connection.timeout_keep_alive_task))  # while it waits for the response
             return simple(ev)
 
         return feed
