--- a/silverglade/http/connection_pool.py
+++ b/silverglade/http/connection_pool.py
@@ -68,7 +68,7 @@
 
 
 class StaleConnectionError(RequestNotSentError):
-    """A reused connection turned out to be closed before any byte was written on it."""
+    """A connection turned out to be closed, or to have unread bytes, before any byte of the request was written on it."""
 
 
 class ReplicaActivity:
