--- a/silverglade/http/forwarding_protocol.py
+++ b/silverglade/http/forwarding_protocol.py
@@ -259,7 +259,7 @@
         self._stop_head_timer()
         super().connection_lost(exc)
         if self.request:
-            self.request.put(RequestEnd.CLIENT_GONE)
+            self.request.put(RequestEnd.CLIENT_DISCONNECTED)
 
     def on_response_complete(self) -> None:
         """Go on to the next request; the idle time may have changed with the configuration."""
--- a/silverglade/http/listener.py
+++ b/silverglade/http/listener.py
@@ -108,7 +108,7 @@
         try:
             await inner(scope, receive, noting_send)
         except Exception as error:  # noqa: BLE001  any fault
-            faults.note("call", error)
+            faults.record("call", error)
             if has_begun:
                 raise ResponseBrokenOffError from error
             await send_error(send, result_codes.LINK_LOST, ran="maybe")
--- a/silverglade/server/__init__.py
+++ b/silverglade/server/__init__.py
@@ -1,7 +1,8 @@
-"""Tasks, sockets and files of a daemon (design 1.3).
+"""The I/O layer of a daemon: its tasks, sockets and files (design 1.3).
 
-httpcore loads trio wherever that is installed, only to leave it unused under asyncio: a third of a start's time and
-megabytes in every daemon. It takes a module that is None for one that is not there.
+httpcore imports trio whenever it is installed, although it does not use it under asyncio. The import costs a third of the
+start-up time and several megabytes of memory in every daemon, so it is suppressed: an entry of None in `sys.modules` makes the
+import fail as if trio were not installed.
 """
 
 import sys
--- a/silverglade/server/adapter.py
+++ b/silverglade/server/adapter.py
@@ -1,4 +1,7 @@
-"""What a daemon asks of the platform on which it runs (design 15.8): an adapter translates, and decides nothing."""
+"""Interface between a daemon and the platform on which it runs (design 15.8).
+
+An adapter translates names and formats; it makes no decisions.
+"""
 
 from __future__ import annotations
 
@@ -18,19 +21,19 @@
 """(active requests, queued requests, slots or 0)."""
 
 Get = Callable[[str, str], Awaitable[tuple[int, bytes]]]
-"""Takes an address and a path, returns status and body of a GET; raises nothing."""
+"""Sends a GET to an address and a path and returns the status and the body; raises no exceptions."""
 
 
 class PlatformAdapter(Protocol):
-    """A platform's names and addresses.
+    """Header names, addresses and shutdown times of a platform, and the translation of its API.
 
-    :ivar dialect: names of headers between clients, daemons and replicas.
-    :ivar client_address: where clients' forwarded requests come in, or empty.
+    :ivar dialect: header names used between clients, daemons and replicas.
+    :ivar client_address: address on which clients' requests for forwarding are accepted, or empty.
     :ivar api_addresses: further addresses on which the platform's own API is served.
-    :ivar endpoint_list_address: of the platform's list of replicas, or empty.
-    :ivar grace: how long a daemon may take to stop.
-    :ivar linger: how long clients may hold on to its address meanwhile.
-    :ivar cut_streams_for: streams sent no later than this after the signal may be cut at the end.
+    :ivar endpoint_list_address: address of the platform's list of replicas, or empty.
+    :ivar grace: how long a daemon may take to stop after SIGTERM.
+    :ivar linger: how long after SIGTERM clients may still use the daemon's address.
+    :ivar cut_streams_for: streams requested no later than this after the signal may be broken off at the end of the grace period.
     """
 
     dialect: Dialect
@@ -42,18 +45,18 @@
     cut_streams_for: timedelta
 
     def app(self, daemon: Daemon) -> AsgiApp:
-        """Return the platform's own API, as an ASGI app."""
+        """Return the platform's own API as an ASGI app."""
 
     def parse_report(self, body: bytes) -> ReplicaReport | None:
-        """Return what a replica reports of itself, or None where it cannot be read."""
+        """Parse a replica's load report; return None if it is invalid."""
 
     async def read_endpoint_list(self, get: Get) -> tuple[tuple[Any, ...], ...] | None:
-        """Return the records of the platform's list of replicas, or None where it could not be had complete."""
+        """Return the records of the platform's list of replicas, or None if the complete list could not be read."""
 
     def platform_request(self, path_kind: str, token: int, body: Mapping[str, Any]) -> PlatformRequest:
-        """Return a call to the platform in its own words (design 18.3).
+        """Return a duty holder's call, translated to the platform's API (design 18.3).
 
-        :param path_kind: what is called for, a `Duty`.
+        :param path_kind: the `Duty` that the call belongs to; selects the path.
         :param token: the fencing token.
-        :param body: in the product's names.
+        :param body: the fields under the names that Silverglade uses.
         """
--- a/silverglade/server/attempt.py
+++ b/silverglade/server/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to run a request on one replica (design 15.3): what the router wants, and what became of it."""
+"""An attempt to run a request on one replica (design 15.3): the parameters that the router sets, and the result."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 
 
 class AttemptTarget(NamedTuple):
-    """An attempt as the router wants it; the fields are those of `StartAttempt.target`.
+    """Parameters of an attempt, set by the router; the fields are those of `StartAttempt.target`.
 
     :ivar addr: IP:PORT of the replica.
-    :ivar expect: only this replica may run the request.
-    :ivar last_event: the client's stream goes on behind this event.
-    :ivar connect: how long a connection may take to come up.
-    :ivar cap: the most connections of this daemon to this replica.
-    :ivar stream: events are passed on as they come; else the response is held until it is complete.
-    :ivar resume: goes on with a stream whose head was passed on.
-    :ivar tenant: the caller that the replica is told instead of the key; empty: none; None: the client's headers pass as they came.
-    :ivar patience: silence of the replica, on all its connections, that the router is told of.
-    :ivar pause: the same once events come.
+    :ivar expect: name the replica in a header, so that no other replica at this address runs the request.
+    :ivar last_event: id of the event after which the client's stream resumes.
+    :ivar connect: connect timeout.
+    :ivar cap: maximum number of connections from this daemon to this replica.
+    :ivar stream: forward events as they arrive; otherwise the response is buffered until it is complete.
+    :ivar resume: resume a stream whose response head was already forwarded.
+    :ivar tenant: the caller's name, sent to the replica in place of the key; empty: neither is sent; None: the client's headers are
+        forwarded unchanged.
+    :ivar patience: how long the replica may send nothing, on any of its connections, before the router is notified.
+    :ivar pause: the same limit once the response has started.
     """
 
     replica: str
@@ -43,36 +44,36 @@
 
 
 class Outcome(StrEnum):
-    """What the router is told of an attempt; details in parentheses."""
+    """Progress and results of an attempt as reported to the router; details in parentheses."""
 
     BEGAN = "began"  # a successful response has begun (status)
-    FIRST = "first"  # its first bytes were passed on
-    SILENT = "silent"  # the replica says nothing (id of the last event that was passed on)
-    DONE = "done"  # the response was passed on, complete
-    UNSENT = "unsent"  # not one byte was sent (why)
-    NOT_RUN = "not-run"  # the replica says that it did not run it (status, seconds until it may come again)
+    FIRST = "first"  # its first bytes were forwarded
+    SILENT = "silent"  # the replica has sent nothing for too long (id of the last event forwarded)
+    DONE = "done"  # the complete response was forwarded
+    UNSENT = "unsent"  # no byte of the request was sent (reason)
+    NOT_RUN = "not-run"  # the replica states that it did not run the request (status, seconds from Retry-After or None)
     FAILED = "failed"  # the replica answered with an error (status)
-    LOST = "lost"  # no valid response (why)
-    CUT = "cut"  # a successful response broke off (id of the last event that was passed on)
-    GONE = "gone"  # the request is over without a word of the router
+    LOST = "lost"  # no valid response (reason)
+    CUT = "cut"  # a successful response broke off (id of the last event forwarded)
+    GONE = "gone"  # the request ended without an instruction from the router
 
 
 class LossReason(StrEnum):
-    """Why an attempt has no valid response, besides the names of the client library's errors."""
+    """Why an attempt has no valid response; other reasons are the class names of the HTTP library's errors."""
 
-    NOT_OURS = "not-ours"  # responses to other attempts came
-    STATUS = "status"  # no status of HTTP
-    NO_SEAL = "no-seal"  # a success without the replica's seal
-    NO_LENGTH = "no-length"  # a success that does not say where it ends
-    NO_STREAM = "no-stream"  # a stream should have gone on
+    WRONG_ATTEMPT = "not-ours"  # the responses belong to other attempts
+    INVALID_STATUS = "status"  # not a valid HTTP status code
+    NO_SEAL = "no-seal"  # a success without the seal header, by which a replica confirms that it ran the request
+    NO_LENGTH = "no-length"  # a success without Content-Length or Transfer-Encoding
+    NO_STREAM = "no-stream"  # a stream was to be resumed, and the response is not a stream
     CUT = "cut"  # an error response broke off
 
 
 class AttemptResult(NamedTuple):
-    """What became of an attempt.
+    """Result of an attempt.
 
-    :ivar details: as `Outcome` says.
-    :ivar keep_s: for so many seconds its connection may be used again; None: not at all.
+    :ivar details: as listed at `Outcome`.
+    :ivar keep_s: seconds for which its connection may be reused; None: close it.
     """
 
     outcome: Outcome
@@ -81,7 +82,7 @@
 
 
 class Attempt(Record):
-    """An attempt that runs.
+    """An attempt in progress.
 
     :ivar deadline: in seconds of the monotonic clock.
     """
--- a/silverglade/server/attempt_runner.py
+++ b/silverglade/server/attempt_runner.py
@@ -1,6 +1,7 @@
-"""Running one attempt (design 15.3): a request to one replica, and its response to the client.
+"""Runs attempts (design 15.3): sends a request to one replica and forwards its response to the client.
 
-A response is believed only if it carries the attempt's own id; a success only with the replica's seal and a stated end.
+A response is accepted only if it carries the id of the attempt; a success only if it also carries the replica's seal header and
+its length is delimited by Content-Length or Transfer-Encoding.
 """
 
 from __future__ import annotations
@@ -21,13 +22,13 @@
 from .response_timeouts import ReportSilence, SilenceWatch
 
 MAX_HELD_BYTES = 1024 * 1024
-"""Of a response that is held until it is complete."""
+"""Largest response that is buffered until it is complete."""
 
 UNLIMITED_CONNECTIONS = 1 << 16
-"""A health check takes what connection there is."""
+"""Connection limit for health checks: they are not subject to the limit per replica."""
 
 MAX_RESPONSES_READ = 4
-"""Surplus responses to earlier attempts are read past in the place of ours, which is the last of so many."""
+"""Surplus responses to earlier attempts may precede the response to this attempt; so many responses are read, the last of them included."""
 
 MAX_STATUS = 599
 SWITCHING_PROTOCOLS = 101
@@ -37,41 +38,41 @@
 NETWORK_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException, OSError)
 
 ReportProgress = Callable[..., Awaitable[None]]
-"""Tells the router of (request, number of the attempt, outcome, its details...)."""
+"""Reports (request, attempt number, outcome, details...) to the router."""
 
 
 class BodyStream(Protocol):
-    """The body of a response, as it comes."""
+    """The body of a response, read as it arrives."""
 
     def __aiter__(self) -> AsyncIterator[bytes]:
-        """Iterate over its pieces."""
+        """Iterate over the chunks of the body."""
 
     async def aclose(self) -> None:
-        """Read no further."""
+        """Stop reading."""
 
 
 def body_stream(response: httpcore.Response) -> BodyStream:
-    """Return the body of a response to an asynchronous request."""
+    """Return the body of a response to an asynchronous request, with the type that httpcore does not state."""
     return cast(BodyStream, response.stream)
 
 
 def headers_by_name(headers: Headers) -> HeaderTable:
-    """Return headers by their names in lower case; of several the first counts."""
+    """Return the headers keyed by lower-case name; the first of several with the same name is kept."""
     return {name.lower(): value for name, value in reversed(headers)}
 
 
 def has_body(request: ClientRequest, status: int) -> bool:
-    """Whether a response to this request, with this status, has a body."""
+    """Return whether a response to this request with this status has a body."""
     return request.method != "HEAD" and status not in STATUSES_WITHOUT_BODY
 
 
-def without_length(headers: Headers) -> Headers:
-    """Return the headers of a stream, which may go on at another replica: its length is not known."""
+def without_content_length(headers: Headers) -> Headers:
+    """Return the headers without Content-Length: a stream may be resumed at another replica, so its length is not known."""
     return [header for header in headers if header[0].lower() != b"content-length"]
 
 
 def headers_for_client(request: ClientRequest, response: httpcore.Response, fields: HeaderTable, body: bytes) -> Headers:
-    """Return the headers of a complete response for the client."""
+    """Return the headers to send to the client with a complete response."""
     headers = end_to_end_headers(response.headers, fields)
     if b"content-length" not in fields and has_body(request, response.status):
         headers.append((b"content-length", b"%d" % len(body)))
@@ -79,7 +80,7 @@
 
 
 async def read_held_body(response: httpcore.Response) -> bytes | None:
-    """Read the body of a response that is held; None if it breaks off or is too long."""
+    """Read a whole body into memory; return None if it breaks off or exceeds `MAX_HELD_BYTES`."""
     pieces, size, stream = [], 0, body_stream(response)
     try:
         async for piece in stream:
@@ -95,18 +96,19 @@
 
 
 class EventForwarder:
-    """Passes the events of one stream on to the client.
+    """Forwards the events of one stream to the client.
 
-    Complete events leave as they come, and together what came together; the client's own pace is the replica's.
+    Complete events are forwarded as they arrive; events that were received together are sent together. The replica is read only as
+    fast as the client reads (backpressure).
     """
 
     __slots__ = ("_request", "_report_first", "_splitter", "_skip_until", "_pending", "_is_first")
 
     def __init__(self, request: ClientRequest, *, skip_until: str | None, report_first: Callable[[], Awaitable[None]]) -> None:
-        """Create it.
+        """Create a forwarder for one stream.
 
-        :param skip_until: id of the event up to which the client has the stream.
-        :param report_first: called once the first events were passed on.
+        :param skip_until: id of the last event that the client already has; events up to it are dropped.
+        :param report_first: called once, after the first events were sent to the client.
         """
         self._request = request
         self._report_first = report_first
@@ -116,7 +118,7 @@
         self._is_first = True
 
     def feed(self, data: bytes) -> None:
-        """Take bytes of the replica's stream."""
+        """Add bytes received from the replica; complete events are sent by the next `flush` or `finish`."""
         events = self._splitter.feed(data)
         if not events:
             return
@@ -128,12 +130,12 @@
             self._pending.append(events)
 
     async def flush(self) -> None:
-        """Pass on what has come."""
+        """Send the pending events to the client."""
         if not self._pending:
             return
         request, events = self._request, b"".join(self._pending)
         self._pending.clear()
-        if request.was_started:
+        if request.is_response_started:
             await request.send_data(events)
         else:
             await self._respond(events, more=True)
@@ -143,12 +145,12 @@
             await self._report_first()
 
     async def finish(self) -> bool:
-        """End the client's stream; False if the replica's ended within an event: then nothing is ended."""
+        """End the client's stream; if the replica's stream ended within an event, return False and leave the client's stream open."""
         if self._is_first or self._splitter.rest:
             await self.flush()
         if self._splitter.rest:
             return False
-        if self._request.was_started:
+        if self._request.is_response_started:
             await self._request.finish(b"".join(self._pending))
         else:
             await self._respond(b"", more=False)
@@ -158,15 +160,15 @@
         head = self._request.response_head
         assert head is not None
         status, headers = head
-        await self._request.respond(status, without_length(headers), events, more=more)
+        await self._request.respond(status, without_content_length(headers), events, more=more)
 
 
 class AttemptRunner:
-    """Runs attempts over the pool's connections.
+    """Runs attempts over connections of the pool.
 
-    :param report: tells the router how an attempt goes on.
-    :param report_silence: tells the router of a replica that says nothing.
-    :ivar reuse: whether connections are kept for further requests.
+    :param report: reports the progress of an attempt to the router.
+    :param report_silence: reports to the router that a replica has sent nothing for too long.
+    :ivar reuse: whether connections are kept open for further requests.
     """
 
     def __init__(
@@ -179,7 +181,7 @@
         self._report = report
 
     async def run(self, request: ClientRequest, number: int, target: AttemptTarget) -> AttemptResult:
-        """Run one attempt and return what became of it."""
+        """Run one attempt and return its result; retries on another connection while reused ones turn out to be closed."""
         deadline = time.monotonic() + target.deadline_ms / 1000
         while True:
             try:
@@ -195,15 +197,15 @@
                 result = await self.exchange(Attempt(request, number, target, connection, deadline))
                 keep_s = result.keep_s
                 return result
-            except StaleConnectionError as error:  # ended between `take` and the first byte
-                if not connection.reusable_until:  # a new one: this replica has no place for it
+            except StaleConnectionError as error:  # closed between `take` and the first byte sent
+                if not connection.reusable_until:  # a new connection: the replica does not accept more of them
                     return AttemptResult(Outcome.UNSENT, (error.why,))
             finally:
                 self.silence.end(request)
                 self.pool.release(connection, keep=keep_s, last=request.attempt_id)
 
     def outgoing_request(self, attempt: Attempt) -> httpcore.Request:
-        """Return the request as this attempt sends it."""
+        """Return the request to send to the replica: the client's headers with those of the attempt added or replaced."""
         request, target, dialect = attempt.request, attempt.target, self.dialect
         remaining_ms = max(1, round((attempt.deadline - time.monotonic()) * 1000))
         added = [(dialect.deadline, b"%d" % remaining_ms)]
@@ -215,7 +217,7 @@
             added.append((dialect.last_event, target.last_event.encode(ENCODING, UNDECODABLE)))
         replaced = {name for name, _ in added}
         if target.tenant is not None:
-            replaced |= {dialect.credentials, dialect.tenant}  # no replica is shown a key, nor a tenant that the client named
+            replaced |= {dialect.credentials, dialect.tenant}  # neither the key nor a tenant name set by the client reaches a replica
             if target.tenant:
                 added.append((dialect.tenant, target.tenant.encode()))
         ip, port = attempt.connection.key[0].rsplit(":", 1)
@@ -227,9 +229,9 @@
         )
 
     async def exchange(self, attempt: Attempt) -> AttemptResult:
-        """Send the request and handle the first response that is to it.
+        """Send the request and handle the first response that carries the id of this attempt.
 
-        :raises StaleConnectionError: nothing was sent, since the connection had ended.
+        :raises StaleConnectionError: nothing was sent because the connection was already closed.
         """
         request, connection = attempt.request, attempt.connection
         outgoing = self.outgoing_request(attempt)
@@ -242,26 +244,26 @@
             finally:
                 request.was_sent = request.was_sent or connection.stream.was_written
             fields = headers_by_name(response.headers)
-            if self.is_ours(request, fields) and response.status != SWITCHING_PROTOCOLS:
+            if self.is_for_attempt(request, fields) and response.status != SWITCHING_PROTOCOLS:
                 return await self._handle_response(attempt, response, fields)
             if not fields.get(self.dialect.attempt) or await read_held_body(response) is None or not connection.http.is_idle():
                 break
-            connection.stream.discards_writes = True  # a surplus response; ours comes behind it
-        return AttemptResult(Outcome.LOST, (LossReason.NOT_OURS,))
+            connection.stream.discards_writes = True  # a surplus response: send nothing again, read the next response
+        return AttemptResult(Outcome.LOST, (LossReason.WRONG_ATTEMPT,))
 
     async def _handle_response(self, attempt: Attempt, response: httpcore.Response, fields: HeaderTable) -> AttemptResult:
-        """Handle the response to this attempt."""
+        """Validate the response to this attempt, forward it if it is a success, and return the result."""
         status, connection = response.status, attempt.connection
         if status > MAX_STATUS:
-            return AttemptResult(Outcome.LOST, (LossReason.STATUS,))
+            return AttemptResult(Outcome.LOST, (LossReason.INVALID_STATUS,))
         not_run = self.dialect.not_run in fields or status == MISDIRECTED_REQUEST
-        has_end = self.states_end(attempt.request, response, fields)
+        has_end = self.is_self_delimited(attempt.request, response, fields)
         if 200 <= status < 300:
             if not_run or not fields.get(self.dialect.seal) or attempt.request.method == "CONNECT":
                 return AttemptResult(Outcome.LOST, (LossReason.NO_SEAL,))
             if not has_end:
                 return AttemptResult(Outcome.LOST, (LossReason.NO_LENGTH,))
-            return await self._pass_success(attempt, response, fields)
+            return await self._forward_success(attempt, response, fields)
         body = await read_held_body(response) if has_end else None
         if body is not None:
             headers = headers_for_client(attempt.request, response, fields, body)
@@ -273,8 +275,8 @@
             return AttemptResult(Outcome.LOST, (LossReason.CUT,), keep_s)
         return AttemptResult(Outcome.FAILED, (status,), keep_s)
 
-    async def _pass_success(self, attempt: Attempt, response: httpcore.Response, fields: HeaderTable) -> AttemptResult:
-        """Pass a successful response on."""
+    async def _forward_success(self, attempt: Attempt, response: httpcore.Response, fields: HeaderTable) -> AttemptResult:
+        """Forward a successful response to the client."""
         request, target = attempt.request, attempt.target
         is_stream = target.stream and fields.get(b"content-type", b"").lower().startswith(b"text/event-stream")
         if target.resume and not is_stream:
@@ -284,9 +286,9 @@
             request.response_head = (response.status, end_to_end_headers(response.headers, fields))
         try:
             if is_stream:
-                complete = await self._pass_stream(attempt, response)
+                complete = await self._forward_stream(attempt, response)
             else:
-                await self._pass_body(attempt, response, fields)
+                await self._forward_body(attempt, response, fields)
                 complete = True
         except (*NETWORK_ERRORS, ValueError):
             complete = False
@@ -294,12 +296,12 @@
             return AttemptResult(Outcome.CUT, (request.last_event_id,))
         return AttemptResult(Outcome.DONE, (), self._reuse_time(attempt.connection, fields))
 
-    async def _pass_body(self, attempt: Attempt, response: httpcore.Response, fields: HeaderTable) -> None:
-        """Hold a response until it is complete, or pass it on once it is too long to hold."""
+    async def _forward_body(self, attempt: Attempt, response: httpcore.Response, fields: HeaderTable) -> None:
+        """Buffer a response until it is complete; forward it as it arrives once it exceeds `MAX_HELD_BYTES`."""
         request, stream, size = attempt.request, body_stream(response), 0
         pieces: list[bytes] = []
         async for piece in stream:
-            if request.was_started:
+            if request.is_response_started:
                 await request.send_data(piece)
                 continue
             pieces.append(piece)
@@ -310,14 +312,14 @@
                 await self._report(request, attempt.number, Outcome.FIRST)
                 pieces.clear()
         await stream.aclose()
-        if request.was_started:
+        if request.is_response_started:
             await request.finish()
         else:
             body = b"".join(pieces)
             await request.respond(response.status, headers_for_client(request, response, fields, body), body)
 
-    async def _pass_stream(self, attempt: Attempt, response: httpcore.Response) -> bool:
-        """Pass the events of a stream on; returns whether it ended behind a complete event."""
+    async def _forward_stream(self, attempt: Attempt, response: httpcore.Response) -> bool:
+        """Forward the events of a stream; return whether it ended after a complete event."""
         request, number = attempt.request, attempt.number
 
         async def report_first() -> None:
@@ -336,7 +338,7 @@
         return await events.finish()
 
     async def get(self, *, replica: str, addr: str, path: str, wait: timedelta = SECOND) -> bytes | None:
-        """Send a replica a plain GET on a connection of its pool and return the body of a 200, else None."""
+        """Send a GET to a replica over a pooled connection; return the body of a response with status 200, otherwise None."""
         connection = keep_s = None
         try:
             with anyio.fail_after(wait / SECOND):
@@ -354,16 +356,16 @@
             if connection:
                 self.pool.release(connection, keep=keep_s)
 
-    def is_ours(self, request: ClientRequest, fields: HeaderTable) -> bool:
-        """Whether a response is to this attempt."""
+    def is_for_attempt(self, request: ClientRequest, fields: HeaderTable) -> bool:
+        """Return whether a response carries the id of the request's attempt."""
         return fields.get(self.dialect.attempt, b"") == request.attempt_id
 
-    def states_end(self, request: ClientRequest, response: httpcore.Response, fields: HeaderTable) -> bool:
-        """Whether a response says where it ends."""
+    def is_self_delimited(self, request: ClientRequest, response: httpcore.Response, fields: HeaderTable) -> bool:
+        """Return whether the end of the response is known without the connection being closed."""
         return b"content-length" in fields or b"transfer-encoding" in fields or not has_body(request, response.status)
 
     def _reuse_time(self, connection: PooledConnection, fields: HeaderTable) -> float | None:
-        """Return for how many seconds the connection may be used again; None: not at all. Bytes behind a response end it."""
+        """Return for how many seconds the connection may be reused, or None if not at all, as when bytes follow the response."""
         if not self.reuse or not connection.http.is_idle() or connection.has_surplus() or connection.stream.ended:
             return None
         return self.pool.reuse_time(fields, connection.stream.connect_s)
--- a/silverglade/server/client_request.py
+++ b/silverglade/server/client_request.py
@@ -1,4 +1,4 @@
-"""One forwarded request of a client under way (design 15.3): its instructions, and the way back to the client."""
+"""A client's request that is being forwarded (design 15.3): its queue of instructions, and the response to the client."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 Headers = list[tuple[bytes, bytes]]
 HeaderTable = Mapping[bytes, bytes]
-"""Header's name in lower case -> value."""
+"""Lower-case header name -> value."""
 
 AsgiSend = Callable[[dict[str, Any]], Awaitable[None]]
 
@@ -37,14 +37,14 @@
         b"proxy-authentication-info",
     )
 )
-"""Headers that concern one connection only; they are not forwarded."""
+"""Hop-by-hop headers: they apply to a single connection and are not forwarded."""
 
 MAX_SECONDS = 1e6
-"""A header that names more is not believed."""
+"""A `Retry-After` header with this value or more is ignored."""
 
 
 class ClientLimits(NamedTuple):
-    """What a client may send, and how long it may take or stay idle."""
+    """Limits for clients: size of headers and bodies, time to send the headers, idle time of a connection."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 * 1024 * 1024
@@ -53,7 +53,7 @@
 
     @classmethod
     def from_configuration(cls, table: Mapping[str, int] | None) -> ClientLimits:
-        """Return the limits of a configuration's table, or the defaults where there is none."""
+        """Return the limits from a table of the configuration, or the defaults if there is none."""
         if not table:
             return cls()
         return cls(
@@ -65,20 +65,20 @@
 
 
 class RequestEnd(Enum):
-    """Why a request ends without a word of the router."""
+    """Why a request ends without an instruction from the router."""
 
-    CLIENT_GONE = auto()
-    FORGOTTEN = auto()
-    """The router let its deadline pass."""
+    CLIENT_DISCONNECTED = auto()
+    DEADLINE_EXPIRED = auto()
+    """Its deadline passed without an instruction from the router."""
     SHUTDOWN = auto()
-    """The daemon ends soon (design 15.9)."""
+    """The daemon is about to exit (design 15.9)."""
 
 
 Instruction = StartAttempt | PassResponse | AnswerClient | BreakResponse | RequestEnd
 
 
 class HeldResponse(NamedTuple):
-    """A complete response that the client is handed if the router says so."""
+    """A complete response that is sent to the client only if the router instructs so."""
 
     status: int
     headers: Headers
@@ -86,19 +86,19 @@
 
 
 class ClientConnection(Protocol):
-    """What a request needs of the connection on which it came (http/forwarding_protocol.py)."""
+    """The part of a client's connection that a request uses (implemented in http/forwarding_protocol.py)."""
 
     def cut(self, cycle: Any) -> None:
-        """End the connection so that this cycle's response does not look complete."""
+        """Close the connection in such a way that the response of this cycle is seen to be incomplete."""
 
     def joined_writes(self) -> AbstractContextManager[Any]:
-        """Within this context what is written leaves in one piece."""
+        """Return a context in which all writes are combined into one."""
 
 
 def end_to_end_headers(headers: Iterable[tuple[bytes, bytes]], fields: HeaderTable) -> Headers:
-    """Return the headers without those that concern one connection only.
+    """Return the headers without the hop-by-hop ones.
 
-    :param fields: the same headers by name; `Connection` names further ones to be left out.
+    :param fields: the same headers keyed by name; headers listed in `Connection` are left out too.
     """
     named = fields.get(b"connection")
     dropped = HOP_BY_HOP_HEADERS | {name.strip().lower() for name in named.split(b",")} if named else HOP_BY_HOP_HEADERS
@@ -106,20 +106,21 @@
 
 
 class ClientRequest:
-    """One request of a client, and the way back to it.
-
-    :ivar request_id: unique in this daemon's process.
-    :ivar attempt_id: the client's own id of its attempt, which the replica echoes.
-    :ivar connection: the client's connection; `cycle` is this request's turn on it.
-    :ivar attempt_number: of the attempt that runs, or ran last; 0 before the first.
-    :ivar attempt_scope: cancels the attempt that runs; None while none does.
-    :ivar response_head: status and headers of the first response that was passed on, for a stream that goes on elsewhere.
-    :ivar held_response: a complete response that was not passed on yet.
-    :ivar last_event_id: of the last event that was passed on.
-    :ivar was_started: the client was sent a head.
-    :ivar was_sent: a byte of it was sent to some replica.
-    :ivar forget_timer: ends the request even without the router.
-    :ivar received_at: when it was read, on the monotonic clock.
+    """A request of a client, with the means to send its response.
+
+    :ivar request_id: unique within the daemon's process.
+    :ivar attempt_id: id that the client assigned to its attempt; the replica echoes it in the response.
+    :ivar connection: the client's connection.
+    :ivar cycle: uvicorn's request/response cycle of this request on the connection.
+    :ivar attempt_number: number of the current or the latest attempt; 0 before the first.
+    :ivar attempt_scope: cancel scope of the current attempt, or None.
+    :ivar response_head: status and headers of the first successful response, kept for a stream that resumes at another replica.
+    :ivar held_response: a complete response that has not been sent to the client.
+    :ivar last_event_id: id of the last event sent to the client.
+    :ivar is_response_started: the head of a response was sent to the client.
+    :ivar was_sent: at least one byte of the request was sent to a replica.
+    :ivar deadline_timer: ends the request shortly after its deadline if the router has not ended it.
+    :ivar received_at: when the request was read, on the monotonic clock.
     """
 
     __slots__ = (
@@ -136,9 +137,9 @@
         "response_head",
         "held_response",
         "last_event_id",
-        "was_started",
+        "is_response_started",
         "was_sent",
-        "forget_timer",
+        "deadline_timer",
         "received_at",
         "_send",
         "_is_draining",
@@ -173,9 +174,9 @@
         self.response_head: tuple[int, Headers] | None = None
         self.held_response: HeldResponse | None = None
         self.last_event_id: str | None = None
-        self.was_started = False
+        self.is_response_started = False
         self.was_sent = False
-        self.forget_timer: asyncio.TimerHandle | None = None
+        self.deadline_timer: asyncio.TimerHandle | None = None
         self.received_at = timedelta(seconds=time.monotonic())
         self._send = send
         self._is_draining = is_draining
@@ -185,7 +186,7 @@
     # instructions
 
     def put(self, instruction: Instruction | CancelAttempt) -> None:
-        """Queue an instruction; all but the handing on of a response end the attempt that runs, or waits for its turn."""
+        """Queue an instruction. All but `PassResponse` cancel the current attempt and discard one that is still queued."""
         if isinstance(instruction, CancelAttempt):
             self._cancel_attempt(instruction.attempt)
             return
@@ -198,7 +199,7 @@
             self._waiter.set_result(None)
 
     def _cancel_attempt(self, number: int) -> None:
-        """Give an attempt up, whether it runs or waits for its turn."""
+        """Cancel an attempt, whether it is running or still queued."""
         self._instructions = deque(
             queued for queued in self._instructions if not isinstance(queued, StartAttempt) or queued.attempt != number
         )
@@ -217,48 +218,48 @@
                 self._waiter = None
         return self._instructions.popleft()
 
-    # to the client
+    # responses to the client
 
     def cut(self) -> None:
-        """End the client's connection so that the response does not look complete."""
+        """Close the client's connection in such a way that the response is seen to be incomplete."""
         self.connection.cut(self.cycle)
 
     async def start(self, status: int, headers: Headers) -> None:
         """Send the head of the response."""
-        self.was_started = True
+        self.is_response_started = True
         if self._is_draining():
             headers = [*headers, (b"connection", b"close")]
         await self._send({"type": "http.response.start", "status": status, "headers": headers})
 
     async def send_data(self, data: bytes) -> None:
-        """Send a piece of the body; more follows."""
+        """Send a part of the body; more follows."""
         await self._send({"type": "http.response.body", "body": data, "more_body": True})
 
     async def finish(self, data: bytes = b"") -> None:
-        """Send the last piece of the body."""
+        """Send the last part of the body."""
         with self.connection.joined_writes():
             await self._send({"type": "http.response.body", "body": data})
 
     async def respond(self, status: int, headers: Headers, body: bytes, *, more: bool = False) -> None:
-        """Send a head and the body that comes with it, in one piece."""
+        """Send the head and the body, or its first part, in one write."""
         with self.connection.joined_writes():
             await self.start(status, headers)
             await self._send({"type": "http.response.body", "body": body, "more_body": more})
 
     async def respond_with_code(self, status: int, code: int, *, retry_after: float | None = None, close: bool | None = None) -> None:
-        """Answer with a result code of the daemon's own.
+        """Send a response whose body holds a result code of the daemon.
 
-        :param retry_after: seconds until the client may come back.
-        :param close: end the connection after it; by default if the daemon is draining.
+        :param retry_after: seconds after which the client may retry.
+        :param close: close the connection afterwards; by default if the daemon is draining.
         """
         await send_result_code(self._send, status, code, retry_after=retry_after, close=self._is_draining() if close is None else close)
 
 
 async def send_result_code(send: AsgiSend, status: int, code: int, *, retry_after: float | None = None, close: bool = False) -> None:
-    """Send a response that says no more than a result code.
+    """Send a response whose body holds only a result code.
 
-    :param retry_after: seconds until the client may come back.
-    :param close: end the connection after it.
+    :param retry_after: seconds after which the client may retry.
+    :param close: close the connection afterwards.
     """
     table = {"code": code, "name": RESULT_CODES[code].name} if code in RESULT_CODES else {"code": code}
     body = json.dumps(table).encode()
@@ -272,7 +273,7 @@
 
 
 def parse_seconds(value: bytes) -> float | None:
-    """Return the seconds of a `Retry-After` header, or None where it cannot be read."""
+    """Return the seconds of a `Retry-After` header, or None if its value is not a number of seconds or is out of range."""
     try:
         seconds = float(value)
     except ValueError:
--- a/silverglade/server/daemon.py
+++ b/silverglade/server/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon (design 1.3): tasks around one daemon machine, each owning its socket or its file."""
+"""The daemon (design 1.3): one state machine (`DaemonMachine`) and the tasks that do its I/O, each the owner of its socket or file."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
 from .replica_calls import DispatchOutcome
 from .request_forwarding import RequestForwarder
 from .settings_reload import Settings, SettingsReloader
-from .shutdown import SignalTimes, clock, shut_down
+from .shutdown import SigtermRecorder, clock, shut_down
 from .supervisor import supervise
 from .tenant_requests import TenantRequests
 
@@ -81,19 +81,19 @@
 RANDOM_SEED_BITS = 64
 
 EVENTS_PER_TURN = 64
-"""After so many events other tasks get their turn: sockets and the timer, in a crowd."""
+"""Events processed before the task yields to the event loop, so that sockets and the timer are served under load too."""
 
 MAX_TIMER_WAIT_S = 1.0
 
 HEAD_OPERATION = "head"
-"""The call that checks the head of a tenant's request; it is refused at once when too many wait."""
+"""The call that checks the head of a tenant's request; it is refused immediately when the admission queue is full."""
 
 CallResult = tuple[int, Mapping[str, Any]]
-"""A result code and fields."""
+"""A result code and the fields of the answer."""
 
 
 class PendingCall:
-    """A call of the API whose answer is waited for."""
+    """An API call that waits for its answer."""
 
     __slots__ = ("done", "result")
 
@@ -103,19 +103,19 @@
 
 
 class Daemon:
-    """One daemon.
-
-    :param settings: checked settings (runtime/settings.py).
-    :param read_settings: reads the settings again; None where that never happens.
-    :param adapter: of the platform, or None.
-    :param settings_file: whose change makes the settings be read again, or empty.
-    :ivar draining: it was told to stop.
-    :ivar closing: set when the HTTP server is to close.
-    :ivar stopping: set when the process is to end.
-    :ivar may_exit: the other cores can do without this one.
-    :ivar open_connections: of the HTTP server.
-    :ivar buffered_body_bytes: of clients' bodies that are held.
-    :ivar faults: of the program, which ended one request or call.
+    """A daemon: its state machine, its tasks and its connections.
+
+    :param settings: validated settings (runtime/settings.py).
+    :param read_settings: reads and validates the settings again; None if they are never reloaded.
+    :param adapter: adapter of the platform, or None.
+    :param settings_file: file whose changes cause a reload of the settings, or empty.
+    :ivar draining: shutdown has begun.
+    :ivar closing: set when the HTTP server has to stop accepting connections and close idle ones.
+    :ivar stopping: set when the process has to end.
+    :ivar may_exit: the daemon machine has allowed this core to exit.
+    :ivar open_connections: connections of the HTTP server.
+    :ivar buffered_body_bytes: total size of clients' bodies held in memory.
+    :ivar faults: program errors, each of which ended one request or call.
     """
 
     def __init__(
@@ -167,7 +167,7 @@
         )
         self.settings_reloader = SettingsReloader(
             settings=settings,
-            read_again=read_settings or (lambda: settings),
+            read_settings=read_settings or (lambda: settings),
             settings_file=settings_file,
             report_seeds=self.queues.send,
             logger=logger,
@@ -175,7 +175,7 @@
         self._effect_handlers = self._new_effect_handlers()
 
     def _new_machine(self) -> DaemonMachine:
-        """Return the daemon machine, with what the disk holds."""
+        """Create the daemon machine with the state loaded from the disk."""
         settings, adapter, tolerance = self.settings, self.adapter, self.settings["tolerance"]
         return DaemonMachine(
             me=settings["name"],
@@ -197,7 +197,7 @@
         )
 
     def _new_effect_handlers(self) -> dict[str, Callable[..., object]]:
-        """Return what carries out the effects of the daemon machine: tag -> function of the effect's fields."""
+        """Return the handlers of the daemon machine's effects: tag -> function that takes the effect's fields."""
         return {
             Send.TAG: self.peers.send,
             SetPeerAddress.TAG: self.peers.set_address,
@@ -225,24 +225,24 @@
     # called by the HTTP API
 
     def apps(self) -> dict[str, AsgiApp]:
-        """Return the apps of addresses beside the product's own and the clients' (design 15.7)."""
+        """Return the ASGI apps of the platform's API by address (design 15.7); the daemon's own API is not among them."""
         if self.adapter is None:
             return {}
         return {address: self.adapter.app(self) for address in self.adapter.api_addresses}
 
     def new_change_id(self) -> str:
-        """Return an id for a change whose operator gave none."""
+        """Return an id for a configuration change for which the operator gave none."""
         return secrets.token_hex(8)
 
     def new_request_id(self) -> str:
-        """Return an id that no other request has, of any daemon."""
+        """Return a request id that is unique across all daemons."""
         self._id_count += 1
         return f"{self.settings['name']}~{self.process_id}~{self._id_count}"
 
     async def call(self, operation: str, arguments: tuple[Any, ...]) -> CallResult:
-        """Call an operation of the API and wait for its answer.
+        """Call an operation of the daemon machine and wait for its answer.
 
-        :raises OverloadedError: too many heads of requests wait already.
+        :raises OverloadedError: the operation is `HEAD_OPERATION` and the admission queue is full.
         """
         self._id_count += 1
         call_id, call = f"c{self._id_count}", PendingCall()
@@ -255,15 +255,15 @@
         try:
             await call.done.wait()
         finally:
-            if self.pending_calls.pop(call_id, None):  # nobody waits for its answer any more
+            if self.pending_calls.pop(call_id, None):  # the caller was cancelled before the answer came
                 self.queues.send_or_drop(CallerDisconnected(call_id))
         return call.result
 
     @contextlib.contextmanager
     def reserve_body(self, size: int) -> Iterator[None]:
-        """Reserve room for one client's body.
+        """Reserve memory for the body of one request while the context lasts.
 
-        :raises OverloadedError: too many bodies are held already.
+        :raises OverloadedError: bodies in memory would exceed `MAX_BUFFERED_BODY_BYTES`.
         """
         if self.buffered_body_bytes + size > MAX_BUFFERED_BODY_BYTES:
             raise OverloadedError("bodies")
@@ -276,7 +276,7 @@
     # effects of the daemon machine
 
     def carry_out(self, effect: tuple[Any, ...]) -> None:
-        """Carry out one effect of the daemon machine, in tuple form."""
+        """Carry out one effect of the daemon machine, given as a tuple."""
         tag = effect[0]
         if tag in RequestForwarder.TAGS:
             self.forwarder.carry_out(effect)
@@ -285,14 +285,14 @@
         if handler:
             handler(*effect[1:])
 
-    def _start(self, run: Callable[..., Awaitable[None]], *arguments: Any, failed: Event, queue: Queue = Queue.FIRST) -> None:
-        """Start the task of one effect. A fault in it ends that task alone, and is reported as if what it asked had failed."""
+    def _start(self, run: Callable[..., Awaitable[None]], *arguments: Any, failed: Event, queue: Queue = Queue.CONTROL) -> None:
+        """Start a task for one effect. An exception ends only this task; `failed` is then queued as its result."""
 
         async def contained() -> None:
             try:
                 await run(*arguments)
-            except Exception as error:  # noqa: BLE001  any fault
-                self.faults.note(run.__name__, error)
+            except Exception as error:  # noqa: BLE001  any program error
+                self.faults.record(run.__name__, error)
                 await self.queues.send(failed, queue)
 
         self.task_group.start_soon(contained)
@@ -309,7 +309,7 @@
         self.deliver_result(request_id, kind, details)
 
     def deliver_result(self, request_id: str, kind: str, details: Sequence[Any]) -> None:
-        """Hand a result of a tenant's request to its client."""
+        """Deliver a result of a tenant's request to its client."""
         self.tenant_requests.deliver(self.task_group, request_id, kind, details)
 
     def _reply(self, call_id: str, code: int, fields: Mapping[str, Any]) -> None:
@@ -326,45 +326,45 @@
         self.logger.info(format_line(event, pairs))
 
     async def _get(self, address: str, path: str) -> tuple[int, bytes]:
-        """Send a plain GET to what lists the replicas; (0, b"") without an answer."""
+        """Send a GET to the server of the replica list; return (0, b"") without a response."""
         return await replica_calls.get(pool=self.replica_pool, address=address, path=path)
 
     async def _read_endpoint_list(self) -> None:
-        """Read the list of replicas that somebody else keeps (design 15.4)."""
+        """Read the platform's list of replicas (design 15.4)."""
         assert self.adapter is not None
         await self.queues.send(EndpointListRead(await self.adapter.read_endpoint_list(self._get)))
 
     async def _call_platform(self, call_id: str, duty: str, token: int, path_kind: str, body: Mapping[str, Any]) -> None:
-        """Call the platform as the holder of a duty (design 18.3)."""
+        """Call the platform on behalf of the holder of a duty (design 18.3)."""
         assert self.adapter is not None
         request = self.adapter.platform_request(path_kind, token, body)
         status, answer = await self.platform_caller.call(duty=duty, token=token, request=request)
         await self.queues.send(PlatformCallEnded(call_id, status, answer))
 
     def _read_wall_clock(self) -> None:
-        """Tell the daemon machine the time of day."""
+        """Report the wall-clock time to the daemon machine."""
         self.queues.send_or_drop(WallClockRead(timedelta(seconds=time.time())))
 
     async def _test_reachability(self, replica: str, address: str, timeout: timedelta) -> None:
-        """Does a replica's machine take a connection, or refuse one?"""
+        """Test whether a replica's machine responds to a connection attempt, by accepting or refusing it."""
         reachable = await self.forwarder.pool.reaches(addr=address, timeout=timeout)
         await self.queues.send(ReachabilityTested(replica, reachable), Queue.WORK)
 
     async def _read_replica_report(self, replica: str, address: str) -> None:
-        """Ask a replica of a service how it does."""
+        """Read the load report of a replica of a service."""
         assert self.adapter is not None
         body = await self.forwarder.get(replica=replica, addr=address, path=self.adapter.dialect.report)
         await self.queues.send(ReplicaReportRead(replica, self.adapter.parse_report(body) if body is not None else None))
 
     async def _probe_replica(self, replica: str, incarnation: int, address: str) -> None:
-        """Ask a tenants' replica how it does."""
+        """Run a health check of a replica that serves tenants."""
         report = await replica_calls.check_health(pool=self.replica_pool, address=address)
         await self.queues.send(ReplicaProbed(replica, incarnation, tuple(report) if report else None))
 
     # tasks
 
     async def run_machine(self) -> None:
-        """Feed the daemon machine. A fault in here leaves its state untrusted, so it ends the daemon (design 1.6)."""
+        """Feed events to the daemon machine. An exception leaves its state inconsistent, so it ends the daemon (design 1.6)."""
         event_count = 0
         while True:
             event = await self.queues.take()
@@ -382,8 +382,8 @@
                 await anyio.lowlevel.checkpoint()
 
     async def run_timer(self) -> None:
-        """Fire the timer as often as some component wants it, at most each `pulse` (design 1.5)."""
-        await self.peers.listening.wait()  # what is sent before that would be lost, and is asked again late
+        """Fire the timer when a component requests it, at most once per `pulse` (design 1.5)."""
+        await self.peers.listening.wait()  # messages sent earlier would be lost, and requested again only later
         while True:
             self.queues.fire_timer()
             await anyio.sleep(self.tuning["pulse"] / SECOND)
@@ -393,7 +393,10 @@
                     await self._timer_wanted_earlier.wait()
 
     async def report_region_orders(self) -> None:
-        """Send the platform what its region wants, on the region's first ready daemon in the agreed order (design 9.6)."""
+        """Report the replicas that the region wants to the platform (design 9.6).
+
+        Of the region's ready daemons, only the one that ranks first by rendezvous hashing reports.
+        """
         interval_s = self.tuning["scale_every"] / SECOND
         address, region = self.settings["orders_to"], self.settings["region"]
         while address:
@@ -406,9 +409,9 @@
                     self.logger.warning(format_line("platform-unreachable", [("to", address)]))
 
     async def handle_signals(self) -> None:
-        """SIGTERM: shut down; SIGINT: stop at once; SIGHUP: read the settings again."""
+        """Handle SIGTERM (graceful shutdown), SIGINT (immediate stop) and SIGHUP (reload of the settings)."""
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-            times = SignalTimes()
+            times = SigtermRecorder()
             times.watch()
             async for number in signals:
                 if number == signal.SIGHUP:
@@ -416,10 +419,10 @@
                 elif number == signal.SIGINT:
                     self.stopping.set()
                 else:
-                    self.task_group.start_soon(lambda: shut_down(self, told_at=times.told_at))
+                    self.task_group.start_soon(lambda: shut_down(self, signalled_at=times.signalled_at))
 
     async def run(self) -> None:
-        """Run until the daemon is to end."""
+        """Run all tasks until the daemon has to end, then cancel them and close the data folder."""
         settings = self.settings
         disk = self.data_folder.id if self.data_folder else "none"
         start_pairs = [("daemon", settings["name"]), ("zone", settings["zone"]), ("life", self.process_id), ("disk", disk)]
--- a/silverglade/server/disk.py
+++ b/silverglade/server/disk.py
@@ -1,6 +1,6 @@
-"""The data folder (design 5.1): sqlite with a rollback journal, synced in full, one writer.
+"""The data folder (design 5.1): an SQLite database with a rollback journal, fully synchronous, with one writer.
 
-No shared memory: never WAL; the file is locked whole, so two daemons cannot share a folder.
+WAL mode is not used because it needs shared memory. The whole file is locked exclusively, so two daemons cannot use one folder.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 from ..runtime.errors import DamagedDataError
 from ..transport.framing import lists_to_tuples
 
-FILE = "state.db"
-"""The one file in the folder, besides its journal."""
+DATABASE_FILE = "state.db"
+"""The only file in the folder, besides its journal."""
 
 APPLICATION_ID = 0x51_76_6C_67
-LAYOUT = 2
-"""Sqlite's user_version."""
+SCHEMA_VERSION = 2
+"""Stored as SQLite's user_version."""
 
-OLDER_LAYOUTS = (1,)
-"""Layouts that are read and taken over: 1, before views had several backups."""
+OLDER_SCHEMA_VERSIONS = (1,)
+"""Versions that are read and upgraded: 1, from before views could have several backups."""
 
 IDENTITY_TABLE = "ident"
 TABLES = ("meta", "book", "shown", "shard", "claim")
@@ -35,7 +35,7 @@
 
 
 def sync_folder(folder: str) -> None:
-    """Sync a folder, so that files made or removed in it last."""
+    """Sync a folder, so that files created or removed in it survive a power failure."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -44,7 +44,7 @@
 
 
 def make_folder(folder: str) -> None:
-    """Make a folder and those above it, and sync the folder that holds each new one."""
+    """Create a folder and its missing parents; sync the parent of each folder created."""
     if os.path.isdir(folder):
         return
     parent = os.path.dirname(os.path.abspath(folder))
@@ -56,74 +56,74 @@
 class DataFolder:
     """The data folder of one daemon, open and locked.
 
-    :ivar id: a random id of this disk, made with the folder.
-    :ivar database: the open file.
-    :raises DamagedDataError: it is damaged, of an unknown layout, in use, or not this daemon's.
+    :ivar id: random id of this disk, generated when the database is created.
+    :ivar database: the open database.
+    :raises DamagedDataError: the folder is damaged, has an unknown schema version, is in use, or belongs to another daemon or program.
     """
 
     def __init__(self, *, folder: str, name: str) -> None:
         self.folder = folder
         self.name = name
         self.id = ""
-        path = os.path.join(folder, FILE)
+        path = os.path.join(folder, DATABASE_FILE)
         try:
             make_folder(folder)
             is_new = not os.path.exists(path)
-            if is_new and any(entry for entry in os.listdir(folder) if not entry.startswith(FILE)):
+            if is_new and any(entry for entry in os.listdir(folder) if not entry.startswith(DATABASE_FILE)):
                 raise DamagedDataError(f"{folder} holds files that are not silverglade's")
             self.database = sqlite3.connect(path, isolation_level=None, check_same_thread=False, timeout=LOCK_TIMEOUT_S)
             try:
                 self._open(is_new)
             except BaseException:
-                self.database.close()  # a file that is refused is not kept locked
+                self.database.close()  # release the lock on a file that is refused
                 raise
         except (sqlite3.Error, OSError) as error:
             raise DamagedDataError(f"{path}: {error}") from error
 
     def _open(self, is_new: bool) -> None:
-        """Check the file, lock it, and lay it out if it is new."""
-        older_layout = False
+        """Validate and lock the file; create the schema if the file is new."""
+        has_older_schema = False
         if not is_new:
             is_new = self._is_empty()
-            older_layout = not is_new and self._check_layout() in OLDER_LAYOUTS
+            has_older_schema = not is_new and self._check_schema_version() in OLDER_SCHEMA_VERSIONS
         self._lock()
         if is_new:
-            self._lay_out()
+            self._create_schema()
         self._check_integrity()
         self._check_identity()
-        if older_layout:  # a program that reads only that one refuses the file from here on
-            self.database.execute(f"PRAGMA user_version={LAYOUT}")
+        if has_older_schema:  # from now on, a program that reads only the older version refuses the file
+            self.database.execute(f"PRAGMA user_version={SCHEMA_VERSION}")
 
     def _pragma(self, name: str) -> Any:
         return self.database.execute(f"PRAGMA {name}").fetchone()[0]
 
     def _is_empty(self) -> bool:
-        """Whether an existing file holds nothing, as after a crash before it was laid out.
+        """Return whether an existing file is empty, as after a crash before the schema was created.
 
-        :raises DamagedDataError: it is another program's.
+        :raises DamagedDataError: the file belongs to another program.
         """
         if self._pragma("application_id") == APPLICATION_ID:
             return False
         entries = self.database.execute("SELECT count(*) FROM sqlite_master").fetchone()[0]
-        if entries or os.path.getsize(os.path.join(self.folder, FILE)):
+        if entries or os.path.getsize(os.path.join(self.folder, DATABASE_FILE)):
             raise DamagedDataError("the file is not silverglade's")
         return True
 
-    def _check_layout(self) -> int:
-        """Return the file's layout.
+    def _check_schema_version(self) -> int:
+        """Return the file's schema version.
 
-        :raises DamagedDataError: it is unknown.
+        :raises DamagedDataError: the version is unknown.
         """
-        layout: int = self._pragma("user_version")
-        if layout not in (LAYOUT, *OLDER_LAYOUTS):
+        schema_version: int = self._pragma("user_version")
+        if schema_version not in (SCHEMA_VERSION, *OLDER_SCHEMA_VERSIONS):
             raise DamagedDataError(
-                f"the file has layout {layout}, this program reads {LAYOUT}: start the program that wrote"
-                " it; or move the folder away, start empty, and let this core rejoin by a copy",
+                f"the file has schema version {schema_version}, this program reads {SCHEMA_VERSION}: start the program version that wrote"
+                " it; or move the folder away, start with an empty one, and let this core rejoin by a copy from another core",
             )
-        return layout
+        return schema_version
 
     def _lock(self) -> None:
-        """Lock the file, before the first write too: a second daemon would keep both from writing."""
+        """Lock the file exclusively before the first write too: two daemons that had only read would block each other's writes."""
         for statement in (
             "PRAGMA locking_mode=EXCLUSIVE",
             "PRAGMA journal_mode=DELETE",
@@ -133,12 +133,12 @@
         ):
             self.database.execute(statement)
 
-    def _lay_out(self) -> None:
-        """Make the table, and the daemon's and the disk's names."""
+    def _create_schema(self) -> None:
+        """Create the table and store the daemon's name and a new disk id."""
         execute = self.database.execute
         execute("BEGIN EXCLUSIVE")
         execute(f"PRAGMA application_id={APPLICATION_ID}")
-        execute(f"PRAGMA user_version={LAYOUT}")
+        execute(f"PRAGMA user_version={SCHEMA_VERSION}")
         execute("CREATE TABLE kv (tab TEXT NOT NULL, key TEXT NOT NULL, val BLOB NOT NULL, PRIMARY KEY (tab, key)) WITHOUT ROWID")
         execute(
             f"INSERT INTO kv VALUES ('{IDENTITY_TABLE}', 'name', ?), ('{IDENTITY_TABLE}', 'disk', ?)",
@@ -153,16 +153,16 @@
             raise DamagedDataError(f"damaged: {result}")
 
     def _check_identity(self) -> None:
-        """Check that the folder is this daemon's, and note the disk's id."""
+        """Check that the folder belongs to this daemon, and set the disk id."""
         identity = self.table(IDENTITY_TABLE)
         if identity.get("name") != self.name or not identity.get("disk"):
             raise DamagedDataError(f"the folder belongs to {identity.get('name')}, not to {self.name}")
         self.id = identity["disk"]
 
     def table(self, name: str) -> dict[str, Any]:
-        """Return a whole table.
+        """Return all entries of a table.
 
-        :raises DamagedDataError: a value in it cannot be read.
+        :raises DamagedDataError: a value in the table cannot be decoded.
         """
         rows = self.database.execute("SELECT key, val FROM kv WHERE tab = ?", (name,))
         try:
@@ -171,11 +171,11 @@
             raise DamagedDataError(f"damaged: table {name}") from error
 
     def load(self) -> Mapping[str, dict[str, Any]]:
-        """Return all tables of the components."""
+        """Return the tables of all components by name."""
         return {name: self.table(name) for name in TABLES}
 
     def write(self, operations: Iterable[DiskOperation]) -> None:
-        """Carry out all operations in one transaction, which is synced when this returns; none of them if one fails."""
+        """Carry out all operations in one transaction, which is synced on return; if one fails, none takes effect."""
         execute = self.database.execute
         execute("BEGIN IMMEDIATE")
         try:
--- a/silverglade/server/disk_writer.py
+++ b/silverglade/server/disk_writer.py
@@ -1,4 +1,4 @@
-"""The task that writes to the data folder (design 5.1): a stalled disk holds up this task alone."""
+"""The task that writes to the data folder (design 5.1), so that a stalled disk blocks no other task."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class DiskWriter:
-    """Writes what components want written, in order; what waits is synced together.
+    """Writes the components' data in the order submitted; queued writes share one transaction and one sync (group commit).
 
-    :param data_folder: where to; None for a daemon without a disk.
-    :param delay_s: returns for how long each write is held up, to rehearse a slow disk.
+    :param data_folder: folder to write to; None for a daemon without a disk.
+    :param delay_s: returns the delay added before each transaction, to rehearse a slow disk.
     :param report: queues `DiskWriteCompleted` for the daemon machine.
     """
 
@@ -43,7 +43,7 @@
         self._sender, self._receiver = anyio.create_memory_object_stream[Write](QUEUE_LENGTH)
 
     def submit(self, token: WriteToken, operations: Sequence[DiskOperation]) -> bool:
-        """Queue a write; False if there is no room, and it will never be written."""
+        """Queue a write; return False if the queue is full, in which case it is discarded."""
         try:
             self._sender.send_nowait((token, operations))
         except anyio.WouldBlock:
@@ -61,7 +61,7 @@
                 await self._report(DiskWriteCompleted(token, succeeded))
 
     async def _next_writes(self) -> list[Write]:
-        """Wait for a write, and return it with those that wait behind it."""
+        """Wait for a write, and return it together with those queued after it, up to `MAX_WRITES_PER_SYNC`."""
         writes = [await self._receiver.receive()]
         while len(writes) < MAX_WRITES_PER_SYNC:
             try:
@@ -71,12 +71,12 @@
         return writes
 
     async def _write(self, data_folder: DataFolder, writes: list[Write]) -> bool:
-        """Write and sync; returns whether all of it is on disk."""
+        """Write and sync; return whether all writes are on disk."""
         await anyio.sleep(self._delay_s())
-        operations = [operation for _, of_one in writes for operation in of_one]
+        operations = [operation for _, operations_of_write in writes for operation in operations_of_write]
         try:
             await anyio.to_thread.run_sync(data_folder.write, operations, abandon_on_cancel=True)
-        except Exception as error:  # noqa: BLE001  full, failing, gone
+        except Exception as error:  # noqa: BLE001  the disk may be full, faulty or removed
             self._logger.error(format_line("disk-write-failed", [("why", error), ("writes", len(writes))]))
             return False
         return True
--- a/silverglade/server/fault_containment.py
+++ b/silverglade/server/fault_containment.py
@@ -1,6 +1,6 @@
-"""Faults of the program in the task of one request or call end that task alone (design 1.6).
+"""Containment of program errors: an exception in the task of one request or call ends only that task (design 1.6).
 
-What holds shared state stops the daemon instead: see `Daemon.run_machine`.
+An exception in code that holds shared state stops the daemon instead: see `Daemon.run_machine`.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from ..runtime.structured_logging import format_line
 
 FRAMES_LOGGED = 4
-"""Of a fault's stack, the innermost ones."""
+"""Innermost stack frames of an error that are logged."""
 
 
 def where_raised(error: BaseException) -> str:
-    """Return where an error was raised, as FILE:LINE of the innermost frames, the innermost first."""
+    """Return the FILE:LINE of the innermost stack frames of an error, innermost first; of a group, of its first error."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     frames = traceback.extract_tb(error.__traceback__)[-FRAMES_LOGGED:]
@@ -24,9 +24,9 @@
 
 
 class FaultLog:
-    """Counts faults that were contained and logs them, each kind with its place once.
+    """Counts contained errors and logs each combination of task kind and location once.
 
-    :ivar counts: what failed -> how often.
+    :ivar counts: kind of task that failed -> number of failures.
     """
 
     def __init__(self, logger: logging.Logger) -> None:
@@ -34,8 +34,8 @@
         self._logger = logger
         self._places_logged: set[tuple[str, str]] = set()
 
-    def note(self, what: str, error: BaseException) -> None:
-        """Count a fault, and log it with its place unless that is known already.
+    def record(self, what: str, error: BaseException) -> None:
+        """Count an error, and log it unless one of the same kind of task at the same location was logged before.
 
         :param what: the kind of task that failed.
         """
--- a/silverglade/server/limits.py
+++ b/silverglade/server/limits.py
@@ -1,6 +1,6 @@
-"""Limits of one daemon that several modules share."""
+"""Limits of a daemon that several modules use."""
 
 from __future__ import annotations
 
 MAX_BUFFERED_BODY_BYTES = 64 * 1024 * 1024
-"""Bodies of clients' requests that a daemon holds at once (design 2.1)."""
+"""Total size of clients' request bodies that a daemon holds in memory (design 2.1)."""
--- a/silverglade/server/platform_calls.py
+++ b/silverglade/server/platform_calls.py
@@ -1,8 +1,8 @@
-"""Calls to the platform that one daemon at a time makes (design 18.3): written only while the duty's lease may be used.
+"""Calls to the platform made by the current holder of a duty (design 18.3); data is sent only while the duty's lease is usable.
 
-A call has a connection of its own. The lease is looked at between the opening of the connection and the first byte, without a
-pause between the look and the write, and again before each further piece. Without a whole answer the connection is reset, so that
-what a cut holds up never arrives.
+Each call opens its own connection. The lease is checked once the connection is open, directly before the first byte is sent, with no
+suspension point between check and write, and again before every further write. If no complete response head arrives, the connection
+is reset, so that data delayed by a network partition is never delivered.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 from ..transport.connections import split_address
 
 MAX_HEAD_BYTES = 16 * 1024
-"""Of an answer; a longer head is no answer."""
+"""Largest accepted head of a response; a longer one is treated as no response."""
 
 MAX_BODY_BYTES = 1024
-"""Of an answer's body that is handed on."""
+"""Bytes of a response body that are returned; the rest is ignored."""
 
 READ_BYTES = 4096
 STATUS_LINE = re.compile(rb"HTTP/1\.[01] ([2-5]\d\d)(?: [^\r\n]*)?\r\n")
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""SO_LINGER: what was not sent is dropped, and the peer sees a reset."""
+"""Value of SO_LINGER with which closing the socket drops unsent data and sends a reset to the peer."""
 
 
 class PlatformRequest(NamedTuple):
-    """A call in the platform's own words.
+    """A call in the format of the platform's API.
 
     :ivar address: IP:PORT.
     """
@@ -44,41 +44,41 @@
     body: bytes
 
     def encode(self) -> bytes:
-        """Return the bytes of the request."""
+        """Return the request in HTTP/1.1 wire format."""
         fields = (("Host", self.address), *self.headers, ("Content-Length", str(len(self.body))), ("Connection", "close"))
         head = "".join([f"POST {self.path} HTTP/1.1\r\n", *(f"{name}: {value}\r\n" for name, value in fields), "\r\n"])
         return head.encode("latin-1") + self.body
 
 
-class PlatformAnswer(NamedTuple):
-    """What a call brought; status None: no whole head of an answer."""
+class PlatformResponse(NamedTuple):
+    """Result of a call; `status` is None if no complete, valid response head was received."""
 
     status: int | None
     body: bytes = b""
 
 
-NO_ANSWER = PlatformAnswer(None)
+NO_RESPONSE = PlatformResponse(None)
 
 
 class Lease(NamedTuple):
-    """What `SetLease` said last of a duty."""
+    """State of a duty's lease as set by the latest `SetLease`."""
 
     token: int | None
     usable_until: timedelta | None
 
 
 class PlatformCaller:
-    """Writes calls while their leases allow it.
+    """Makes calls to the platform while the leases of their duties allow it.
 
-    :ivar leases: duty to its lease.
+    :ivar leases: duty -> its lease.
     """
 
     def __init__(self, *, clock: Callable[[], timedelta], local: str | None, timeout: timedelta) -> None:
-        """Start without a lease.
+        """Create a caller that holds no leases.
 
-        :param clock: the steady clock that leases are told in.
-        :param local: the IP number from which to connect, or None.
-        :param timeout: of a whole call.
+        :param clock: the monotonic clock in which the ends of leases are given.
+        :param local: local IP address to connect from, or None.
+        :param timeout: timeout of a call, from connecting to the response.
         """
         self.leases: dict[str, Lease] = {}
         self._clock = clock
@@ -86,18 +86,18 @@
         self._timeout = timeout
 
     def set_lease(self, duty: str, token: int | None, usable_until: timedelta | None) -> None:
-        """Take what the daemon machine says of a lease."""
+        """Record the state of a lease as given by the daemon machine."""
         self.leases[duty] = Lease(token, usable_until)
 
     def may_write(self, duty: str, token: int) -> bool:
-        """Tell whether a byte of a call with this fencing token may be written now."""
+        """Return whether data of a call with this fencing token may be sent now."""
         lease = self.leases.get(duty)
         return lease is not None and lease.token == token and lease.usable_until is not None and self._clock() < lease.usable_until
 
-    async def call(self, *, duty: str, token: int, request: PlatformRequest) -> PlatformAnswer:
-        """Make one call; without a whole answer in time, or without the lease, the status is None."""
+    async def call(self, *, duty: str, token: int, request: PlatformRequest) -> PlatformResponse:
+        """Make one call; the status is None if no response arrives in time or the lease is not usable."""
         if not self.may_write(duty, token):
-            return NO_ANSWER
+            return NO_RESPONSE
         ip, port = split_address(request.address)
         family = socket.AF_INET6 if ":" in ip else socket.AF_INET
         connection = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
@@ -105,22 +105,22 @@
             connection.setblocking(False)
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            # the kernel gives up too: a process that is stopped can't reset what a cut holds up
+            # the kernel has to give up too: a stopped process cannot reset a connection whose data a partition holds back
             connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, to_milliseconds(self._timeout))
             if self._local:
                 connection.bind((self._local, 0))
             with anyio.move_on_after(self._timeout.total_seconds()):
                 await asyncio.get_running_loop().sock_connect(connection, (ip.strip("[]"), int(port)))
                 if await self._write(connection, duty, token, request.encode()):
-                    return await read_answer(connection)
+                    return await read_response(connection)
         except OSError:
             pass
         finally:
             connection.close()
-        return NO_ANSWER
+        return NO_RESPONSE
 
     async def _write(self, connection: socket.socket, duty: str, token: int, data: bytes) -> bool:
-        """Write a request, each piece only while the lease may be used; returns whether all was written."""
+        """Send a request, checking the lease before each write; return whether all of it was sent."""
         while data:
             if not self.may_write(duty, token):
                 return False
@@ -133,16 +133,16 @@
         return True
 
 
-async def read_answer(connection: socket.socket) -> PlatformAnswer:
-    """Read the head of an answer, and what came with it of its body."""
+async def read_response(connection: socket.socket) -> PlatformResponse:
+    """Read the head of a response and the part of its body received with it."""
     received = b""
     while b"\r\n\r\n" not in received and len(received) <= MAX_HEAD_BYTES:
         piece = await asyncio.get_running_loop().sock_recv(connection, READ_BYTES)
         if not piece:
-            return NO_ANSWER
+            return NO_RESPONSE
         received += piece
     head, end, body = received.partition(b"\r\n\r\n")
     status = STATUS_LINE.match(head + b"\r\n")
     if not end or status is None:
-        return NO_ANSWER
-    return PlatformAnswer(int(status[1]), body[:MAX_BODY_BYTES])
+        return NO_RESPONSE
+    return PlatformResponse(int(status[1]), body[:MAX_BODY_BYTES])
--- a/silverglade/server/priority_queues.py
+++ b/silverglade/server/priority_queues.py
@@ -1,7 +1,7 @@
-"""The events that wait for the daemon machine, in bounded queues by priority (design 1.3).
+"""Bounded priority queues of the events for the daemon machine (design 1.3).
 
-Control traffic never waits behind requests. At most one `TimerFired` waits, and goes before all else. A sender waits for room in its
-own queue only.
+Control traffic never waits behind requests. At most one `TimerFired` is pending, and it precedes all other events. A sender waits
+only while the queue that it sends to is full.
 """
 
 from __future__ import annotations
@@ -24,20 +24,20 @@
 
 
 class Queue(StrEnum):
-    """The queues, in the order of their priority."""
+    """The queues, in order of priority."""
 
-    FIRST = "first"
-    """What keeps the fleet together: heartbeats, views, updates, claims, leases, the disk, operators."""
+    CONTROL = "first"
+    """Control traffic: heartbeats, views, updates, claims, leases, disk results, operators' calls."""
     WORK = "work"
-    """What daemons and replicas say of requests."""
+    """Messages and results of daemons and replicas about requests in progress."""
     ADMISSION = "door"
-    """Requests that clients bring; once it is full, further ones are refused at once."""
+    """New requests from clients; refused immediately while the queue is full."""
 
 
-QUEUE_LENGTHS = {Queue.FIRST: 4096, Queue.WORK: 4096, Queue.ADMISSION: 256}
+QUEUE_LENGTHS = {Queue.CONTROL: 4096, Queue.WORK: 4096, Queue.ADMISSION: 256}
 
 WORK_PER_ADMISSION = 4
-"""So many events of `WORK` go for one of `ADMISSION`, where both wait."""
+"""Events taken from `WORK` for each one from `ADMISSION` while both queues hold events."""
 
 WORK_MESSAGES = frozenset(
     kind for component in (Component.TENANT_INGRESS, Component.SHARD_OWNER, Component.ROUTER) for kind in MESSAGE_RECEIVERS[component]
@@ -47,12 +47,12 @@
 
 
 def queue_for(kind: str) -> Queue:
-    """Return the queue of a message between daemons; each has a connection of its own as well (design 3.1)."""
-    return Queue.WORK if kind in WORK_MESSAGES else Queue.FIRST
+    """Return the queue for a kind of message between daemons; each queue also has its own connection (design 3.1)."""
+    return Queue.WORK if kind in WORK_MESSAGES else Queue.CONTROL
 
 
 class PriorityQueues:
-    """What waits for the daemon machine. Events are kept in their tuple form."""
+    """The pending events of the daemon machine, stored as tuples."""
 
     def __init__(self) -> None:
         self._senders: dict[Queue, MemoryObjectSendStream[RawEvent]] = {}
@@ -64,12 +64,12 @@
         self._turn = 0
 
     def fire_timer(self) -> None:
-        """Let `TimerFired` be the next event."""
+        """Make `TimerFired` the next event."""
         self._timer_fired = True
         self._arrived.set()
 
-    async def send(self, event: Event | RawEvent, queue: Queue = Queue.FIRST) -> None:
-        """Queue an event, waiting for room in its queue."""
+    async def send(self, event: Event | RawEvent, queue: Queue = Queue.CONTROL) -> None:
+        """Queue an event; waits while its queue is full."""
         raw_event = event_to_tuple(event) if isinstance(event, Event) else event
         try:
             self._senders[queue].send_nowait(raw_event)
@@ -79,13 +79,13 @@
         self._arrived.set()
 
     async def on_message(self, sender: str, body: RawEvent) -> None:
-        """Queue a message of another daemon."""
+        """Queue a message received from another daemon."""
         await self.send((MessageReceived.TAG, sender, body), queue_for(body[0]))
 
     def admit(self, event: Event | RawEvent) -> None:
-        """Queue a client's request, or the head of one.
+        """Queue a client's request, or the head of one, without waiting.
 
-        :raises OverloadedError: too many wait already.
+        :raises OverloadedError: the admission queue is full.
         """
         raw_event = event_to_tuple(event) if isinstance(event, Event) else event
         try:
@@ -95,19 +95,19 @@
         self._arrived.set()
 
     def send_or_drop(self, event: Event) -> None:
-        """Queue an event that may be lost; never waits."""
+        """Queue an event without waiting; drop it if the queue is full."""
         with contextlib.suppress(anyio.WouldBlock):
-            self._senders[Queue.FIRST].send_nowait(event_to_tuple(event))
+            self._senders[Queue.CONTROL].send_nowait(event_to_tuple(event))
             self._arrived.set()
 
     def next_event(self) -> RawEvent | None:
-        """Return the event that comes next, or None."""
+        """Remove and return the next event, or return None if there is none."""
         if self._timer_fired:
             self._timer_fired = False
             return TIMER_FIRED
         self._turn = (self._turn + 1) % (WORK_PER_ADMISSION + 1)
         last = (Queue.WORK, Queue.ADMISSION) if self._turn else (Queue.ADMISSION, Queue.WORK)
-        for queue in (Queue.FIRST, *last):
+        for queue in (Queue.CONTROL, *last):
             try:
                 return self._receivers[queue].receive_nowait()
             except anyio.WouldBlock:
@@ -115,7 +115,7 @@
         return None
 
     async def take(self) -> RawEvent:
-        """Wait for the next event."""
+        """Wait for the next event, then remove and return it."""
         while (event := self.next_event()) is None:
             self._arrived = anyio.Event()
             await self._arrived.wait()
--- a/silverglade/server/replica_calls.py
+++ b/silverglade/server/replica_calls.py
@@ -1,4 +1,4 @@
-"""Calls of tenants' replicas and of the platform (design 7.6, 9.6): dispatches, health checks, reports; HTTP/1.1 by library."""
+"""HTTP/1.1 calls to replicas that serve tenants and to the platform (design 7.6, 9.6): dispatches, health checks, region orders."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from ..runtime.outside_input import MAX_LENGTH_DIGITS, is_whole_number, parse_json
 
 TIMEOUTS = {"connect": 1.0, "read": None, "write": 10.0, "pool": None}
-"""In seconds. How long a response may take is bounded over the whole call."""
+"""In seconds. Reading has no timeout of its own: the duration of the whole call is limited instead."""
 
 MAX_RESPONSE_BYTES = 16 * 1024 * 1024
-"""Of a response that is held until it is complete, and of one event."""
+"""Largest response that is buffered until it is complete, and largest event of a stream."""
 
 MAX_EVENT_ID_DIGITS = 11
 DISPATCH_MARGIN_S = 1.0
-"""So long after its due a dispatch ends here, whatever the replica does."""
+"""Time after its deadline at which a dispatch is ended, whatever the replica does."""
 
 HEALTH_CHECK_TIMEOUT_S = 1.0
 PLATFORM_TIMEOUT_S = 2.0
@@ -31,26 +31,26 @@
 
 
 class DispatchOutcome(StrEnum):
-    """What the tenants' ingress is told of a dispatch; details in parentheses."""
+    """Progress and results of a dispatch as reported to the daemon machine; details in parentheses."""
 
     COMPLETE = "whole"  # (body)
     PIECE = "piece"  # (number, data)
-    DONE = "done"  # the stream's mark of success (number of the last piece)
-    REFUSED = "refused"  # the replica surely did not run it
+    DONE = "done"  # the final event that marks the stream as successful (number of the last piece)
+    REFUSED = "refused"  # the replica certainly did not run it
     FAILED = "fault"  # (whether it ran: "maybe" or "yes")
 
 
-Report = Callable[..., Awaitable[None]]
-"""Takes an outcome and its details."""
+ReportOutcome = Callable[..., Awaitable[None]]
+"""Reports a `DispatchOutcome` and its details."""
 
 WaitForClient = Callable[[], Awaitable[None]]
-"""Waits until the client has taken enough of what was passed on."""
+"""Waits until the client has consumed enough of the results delivered to it (backpressure)."""
 
 
 class ServerSentEvent(NamedTuple):
-    """One event of a stream.
+    """An event of a stream.
 
-    :ivar number: its id, or -1 where it is no number.
+    :ivar number: the event id, or -1 if it is not a number.
     """
 
     name: str
@@ -59,9 +59,9 @@
 
 
 class DispatchRequest(NamedTuple):
-    """A tenant's request on its way to a replica.
+    """A tenant's request as it is sent to a replica.
 
-    :ivar due_ms: how long the client will wait from here on.
+    :ivar due_ms: milliseconds from now for which the client will wait.
     """
 
     dispatch_id: str
@@ -75,7 +75,7 @@
 
     @classmethod
     def from_facts(cls, dispatch_id: str, address: str, facts: Mapping[str, Any], body: bytes) -> DispatchRequest:
-        """Return the request of a `Dispatch` effect."""
+        """Create the request from the fields of a `Dispatch` effect."""
         return cls(
             dispatch_id=dispatch_id,
             address=address,
@@ -88,7 +88,7 @@
         )
 
     def headers(self) -> list[tuple[str, str]]:
-        """Return the headers with which it is sent."""
+        """Return the HTTP headers of the request."""
         headers = [
             ("Host", self.address),
             ("Content-Type", "application/json"),
@@ -104,7 +104,7 @@
 
 
 class HealthReport(NamedTuple):
-    """What a tenants' replica says of itself; a component reads it as a tuple."""
+    """State that a replica reports about itself; passed on to the daemon machine as a plain tuple."""
 
     incarnation: int
     state: str
@@ -115,26 +115,26 @@
 
 
 def new_pool(*, local: str | None = None) -> httpcore.AsyncConnectionPool:
-    """Return a pool that keeps no connection: a dispatch that cannot connect was surely not received."""
+    """Return a pool that reuses no connections, so that a dispatch that cannot connect was certainly not received."""
     return httpcore.AsyncConnectionPool(max_connections=None, max_keepalive_connections=0, local_address=local)
 
 
-def header(response: httpcore.Response, name: bytes) -> str:
-    """Return a header of a response, or empty."""
+def header_value(response: httpcore.Response, name: bytes) -> str:
+    """Return the value of a header given in lower case, or an empty string."""
     return next((value.decode("latin-1") for key, value in response.headers if key.lower() == name), "")
 
 
 class EventParser:
-    """Takes bytes of a stream and returns its complete events."""
+    """Incremental parser of server-sent events."""
 
     def __init__(self, *, max_bytes: int = MAX_RESPONSE_BYTES) -> None:
         self._buffer = b""
         self._max_bytes = max_bytes
 
     def feed(self, data: bytes) -> tuple[ServerSentEvent, ...]:
-        """Take further bytes and return the events that are complete with them.
+        """Add bytes of the stream and return the events that they complete.
 
-        :raises ValueError: an event is too long.
+        :raises ValueError: an incomplete event exceeds the size limit.
         """
         self._buffer = (self._buffer + data).replace(b"\r\n", b"\n")
         events = []
@@ -142,7 +142,7 @@
             text, self._buffer = self._buffer.split(b"\n\n", 1)
             events.append(_parse_event(text))
         if len(self._buffer) > self._max_bytes:
-            raise ValueError("an event is too long")
+            raise ValueError(f"event exceeds {self._max_bytes} bytes")
         return tuple(events)
 
 
@@ -161,8 +161,10 @@
     return ServerSentEvent(name, number, b"\n".join(data))
 
 
-async def dispatch(*, pool: httpcore.AsyncConnectionPool, request: DispatchRequest, report: Report, wait_for_client: WaitForClient) -> None:
-    """Run one dispatch, reporting how it goes on."""
+async def dispatch(
+    *, pool: httpcore.AsyncConnectionPool, request: DispatchRequest, report: ReportOutcome, wait_for_client: WaitForClient
+) -> None:
+    """Run one dispatch and report its progress and its outcome."""
     try:
         with anyio.fail_after(request.due_ms / 1000 + DISPATCH_MARGIN_S):
             async with pool.stream(
@@ -179,20 +181,22 @@
         await report(DispatchOutcome.FAILED, "maybe")
 
 
-async def _handle_response(request: DispatchRequest, response: httpcore.Response, report: Report, wait_for_client: WaitForClient) -> None:
-    if response.status == 503 and header(response, b"silverglade-ran") == "no":
+async def _handle_response(
+    request: DispatchRequest, response: httpcore.Response, report: ReportOutcome, wait_for_client: WaitForClient
+) -> None:
+    if response.status == 503 and header_value(response, b"silverglade-ran") == "no":
         await report(DispatchOutcome.REFUSED)
-    elif response.status != 200 or header(response, b"silverglade-dispatch") != request.dispatch_id:
+    elif response.status != 200 or header_value(response, b"silverglade-dispatch") != request.dispatch_id:
         await report(DispatchOutcome.FAILED, "maybe")
     elif request.is_stream:
-        await _pass_stream(response, report, wait_for_client)
+        await _forward_stream(response, report, wait_for_client)
     else:
-        await _pass_complete(response, report)
+        await _forward_complete(response, report)
 
 
-async def _pass_complete(response: httpcore.Response, report: Report) -> None:
-    """Read a plain response; it is a success only with the length that it states."""
-    stated_length, pieces, size = header(response, b"content-length"), [], 0
+async def _forward_complete(response: httpcore.Response, report: ReportOutcome) -> None:
+    """Read a response that is not a stream; it is a success only if its size equals the stated Content-Length."""
+    stated_length, pieces, size = header_value(response, b"content-length"), [], 0
     async for piece in response.aiter_stream():
         size += len(piece)
         if size > MAX_RESPONSE_BYTES:
@@ -205,8 +209,8 @@
         await report(DispatchOutcome.FAILED, "yes")
 
 
-async def _pass_stream(response: httpcore.Response, report: Report, wait_for_client: WaitForClient) -> None:
-    """Pass a stream's pieces on; it is a success only with its mark."""
+async def _forward_stream(response: httpcore.Response, report: ReportOutcome, wait_for_client: WaitForClient) -> None:
+    """Report the pieces of a stream as they arrive; it is a success only if it ends with a `done` event."""
     parser = EventParser()
     async for data in response.aiter_stream():
         for event in parser.feed(data):
@@ -222,7 +226,7 @@
 
 
 async def put_region_orders(*, pool: httpcore.AsyncConnectionPool, address: str, orders: object) -> bool:
-    """Send a region's wanted replicas to the platform; returns whether it took them (design 9.6)."""
+    """Report the replicas that a region wants to the platform; return whether it accepted them (design 9.6)."""
     body = json.dumps(orders).encode()
     headers = [("Host", address), ("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
     try:
@@ -234,7 +238,7 @@
 
 
 async def get(*, pool: httpcore.AsyncConnectionPool, address: str, path: str, timeout_s: float = 1.0) -> tuple[int, bytes]:
-    """Return status and body; (0, b"") where no complete response came in time."""
+    """Send a GET and return status and body, or (0, b"") if no complete response arrives in time."""
     try:
         with anyio.fail_after(timeout_s):
             response = await pool.request("GET", f"http://{address}{path}", headers=[("Host", address)], extensions={"timeout": TIMEOUTS})
@@ -244,7 +248,7 @@
 
 
 async def check_health(*, pool: httpcore.AsyncConnectionPool, address: str) -> HealthReport | None:
-    """Ask a tenants' replica how it does; None without a valid answer."""
+    """Run a health check of a replica; return None without a valid response."""
     status, body = await get(pool=pool, address=address, path="/v1/state", timeout_s=HEALTH_CHECK_TIMEOUT_S)
     try:
         table = parse_json(body)
--- a/silverglade/server/request_forwarding.py
+++ b/silverglade/server/request_forwarding.py
@@ -1,7 +1,7 @@
-"""The I/O of forwarded requests (design 15.3): the router decides, this delivers.
+"""The I/O of forwarded requests (design 15.3): the router makes the decisions, this module carries them out.
 
-The task of a request takes the router's instructions from its queue (client_request.py) and runs one attempt at a time
-(attempt_runner.py). A new attempt, or an end, that comes meanwhile ends the one that runs.
+Each request has a task that takes the router's instructions from the request's queue (client_request.py) and runs one attempt at a
+time (attempt_runner.py). An instruction to start another attempt or to end the request cancels the current attempt.
 """
 
 from __future__ import annotations
@@ -35,27 +35,27 @@
 from .fault_containment import FaultLog
 from .priority_queues import Queue
 
-FORGET_MARGIN = timedelta(seconds=0.2)
-"""So long after its deadline a request ends that the router forgot."""
+DEADLINE_MARGIN = timedelta(seconds=0.2)
+"""Time after its deadline at which a request is ended if the router has not ended it."""
 
-MAX_TIME_WITHOUT_DEADLINE = timedelta(seconds=60)
-"""Until the router has named a deadline."""
+DEFAULT_DEADLINE = timedelta(seconds=60)
+"""Time limit of a request without a deadline of its own, until the router sets one."""
 
 RETRY_WHEN_BUSY_S = 1.0
 
 
 class EventQueues(Protocol):
-    """What the forwarder needs of the queues of the daemon machine (priority_queues.py)."""
+    """The part of the daemon machine's event queues that the forwarder uses (priority_queues.py)."""
 
     async def send(self, event: Event, queue: Queue, /) -> None:
-        """Queue an event, waiting for room."""
+        """Queue an event; waits while the queue is full."""
 
     def admit(self, event: Event, /) -> None:
-        """Queue a client's request, or raise `OverloadedError`."""
+        """Queue a client's request, or raise `OverloadedError` if the queue is full."""
 
 
 class ForwardingDaemon(Protocol):
-    """What the forwarder needs of its daemon."""
+    """The part of the daemon that the forwarder uses."""
 
     faults: FaultLog
     draining: bool
@@ -67,23 +67,23 @@
 
 
 class RequestForwarder:
-    """All forwarded requests of a daemon.
+    """Runs the forwarded requests of a daemon.
 
-    :param local: the IP number from which to connect to replicas, or None.
+    :param local: local IP address from which to connect to replicas, or None.
     :param reuse: whether connections to replicas are kept for further requests (docs/measures.md).
-    :ivar limits: what clients may send.
-    :ivar requests: those under way, by their ids.
+    :ivar limits: limits for clients.
+    :ivar requests: requests in progress, by id.
     """
 
     REQUEST_EFFECTS: ClassVar[Mapping[str, Callable[..., Any]]] = {
         effect.TAG: effect for effect in (StartAttempt, PassResponse, CancelAttempt, AnswerClient, BreakResponse)
     }
-    """Effects that concern one request, by their tags; the request's id is their first field."""
+    """Tag -> class of the effects that apply to a single request; their first field is its id."""
 
     TAGS: ClassVar[frozenset[str]] = frozenset(
         (*REQUEST_EFFECTS, *[effect.TAG for effect in (ForgetReplica, RenewConnections, SetClientLimits)])
     )
-    """Tags of all effects that are carried out here."""
+    """Tags of all effects that the forwarder carries out."""
 
     def __init__(
         self,
@@ -103,7 +103,7 @@
         self._request_count = 0
 
     def carry_out(self, effect: tuple[Any, ...]) -> None:
-        """Carry out an effect of the router, in tuple form; one for a request that is gone changes nothing."""
+        """Carry out an effect of the router, given as a tuple; effects for requests that have ended are ignored."""
         tag, subject, *_ = effect
         request_effect = self.REQUEST_EFFECTS.get(tag)
         if request_effect:
@@ -118,75 +118,75 @@
             self.limits = ClientLimits.from_configuration(subject)
 
     def is_draining(self) -> bool:
-        """Whether the daemon is told to stop."""
+        """Return whether the daemon is shutting down."""
         return self.daemon.draining
 
     def new_request_id(self) -> str:
-        """Return an id that no other request of this daemon's process has."""
+        """Return a request id that is unique within the daemon's process."""
         self._request_count += 1
         return f"r{self._request_count}"
 
     async def report(self, request: ClientRequest, attempt: int, outcome: str, *details: Any) -> None:
-        """Tell the router how an attempt goes on."""
+        """Report the progress or the result of an attempt to the router."""
         await self.daemon.queues.send(AttemptProgressed(request.request_id, attempt, outcome, details), Queue.WORK)
 
     async def _report_silence(self, request: ClientRequest, attempt: int) -> None:
         await self.report(request, attempt, Outcome.SILENT, request.last_event_id)
 
     def answer_before_shutdown(self) -> None:
-        """Answer each request that has given its client nothing yet: the daemon ends soon (design 15.9)."""
+        """Answer each request for which no response has been started, as the daemon is about to exit (design 15.9)."""
         for request in list(self.requests.values()):
-            if not request.was_started:
+            if not request.is_response_started:
                 request.put(RequestEnd.SHUTDOWN)
 
     async def run(self, request: ClientRequest, facts: Mapping[str, Any]) -> None:
-        """Run one request from its arrival to its end.
+        """Run one request from arrival to end.
 
-        :param facts: what the router is told of it (http/forwarding_protocol.py).
+        :param facts: properties of the request that are given to the router (http/forwarding_protocol.py).
         """
         self.requests[request.request_id] = request
         deadline_ms = facts["deadline_ms"]
-        self.set_forget_timer(request, MAX_TIME_WITHOUT_DEADLINE if deadline_ms is None else timedelta(milliseconds=deadline_ms))
-        router_knows_end = False
+        self.set_deadline_timer(request, DEFAULT_DEADLINE if deadline_ms is None else timedelta(milliseconds=deadline_ms))
+        router_informed = False
         try:
             try:
                 self.daemon.queues.admit(ForwardingRequested(request.request_id, facts))
             except SilvergladeError as error:
-                router_knows_end = True
+                router_informed = True
                 await request.respond_with_code(503, error.code, retry_after=RETRY_WHEN_BUSY_S)
                 return
-            router_knows_end = await self._follow_instructions(request)
-        except Exception as error:  # noqa: BLE001  a fault in here ends this request alone
-            self.daemon.faults.note("forwarded-request", error)
+            router_informed = await self._follow_instructions(request)
+        except Exception as error:  # noqa: BLE001  a program error ends only this request
+            self.daemon.faults.record("forwarded-request", error)
             request.cut()
         finally:
-            if request.forget_timer:
-                request.forget_timer.cancel()
+            if request.deadline_timer:
+                request.deadline_timer.cancel()
             del self.requests[request.request_id]
-            if not router_knows_end:
+            if not router_informed:
                 with anyio.CancelScope(shield=True):
                     await self.report(request, request.attempt_number, Outcome.GONE)
 
-    def set_forget_timer(self, request: ClientRequest, remaining: timedelta) -> None:
-        """End a request a little after its deadline even if the router does not know it any more; the deadline named last counts."""
-        if request.forget_timer:
-            request.forget_timer.cancel()
+    def set_deadline_timer(self, request: ClientRequest, remaining: timedelta) -> None:
+        """End a request `DEADLINE_MARGIN` after its deadline even if the router no longer has it; replaces an earlier timer."""
+        if request.deadline_timer:
+            request.deadline_timer.cancel()
         loop = asyncio.get_running_loop()
-        request.forget_timer = loop.call_later((remaining + FORGET_MARGIN) / SECOND, request.put, RequestEnd.FORGOTTEN)
+        request.deadline_timer = loop.call_later((remaining + DEADLINE_MARGIN) / SECOND, request.put, RequestEnd.DEADLINE_EXPIRED)
 
     async def _follow_instructions(self, request: ClientRequest) -> bool:
-        """Follow the router's instructions until the request is over; returns whether the router knows that it is."""
+        """Follow the router's instructions until the request has ended; return whether the router knows that it has."""
         while True:
             match await request.next_instruction():
                 case StartAttempt(attempt=number, target=target):
-                    router_knows_end = await self._run_attempt(request, number, AttemptTarget(**target))
-                    if router_knows_end is not None:
-                        return router_knows_end
+                    router_informed = await self._run_attempt(request, number, AttemptTarget(**target))
+                    if router_informed is not None:
+                        return router_informed
                 case PassResponse(attempt=number):
                     await self._pass_held_response(request, number)
                     return True
                 case AnswerClient(status=status, retry_after=retry_after, code=code):
-                    if request.was_started:
+                    if request.is_response_started:
                         request.cut()
                     else:
                         await request.respond_with_code(status, code, retry_after=retry_after)
@@ -194,19 +194,19 @@
                 case BreakResponse():
                     request.cut()
                     return True
-                case RequestEnd.CLIENT_GONE:
+                case RequestEnd.CLIENT_DISCONNECTED:
                     return False
                 case RequestEnd() as why:
                     await self._end(request, why)
                     return False
 
     async def _run_attempt(self, request: ClientRequest, number: int, target: AttemptTarget) -> bool | None:
-        """Run an attempt; returns whether the router knows that the request is over, or None if it is not over."""
+        """Run an attempt; return whether the router knows that the request has ended, or None if it has not ended."""
         request.attempt_number, request.held_response = number, None
         if not self.may_attempt(request, target):
             request.cut()
             return False
-        self.set_forget_timer(request, timedelta(milliseconds=target.deadline_ms))
+        self.set_deadline_timer(request, timedelta(milliseconds=target.deadline_ms))
         with anyio.CancelScope() as scope:
             request.attempt_scope = scope
             result = await self.attempts.run(request, number, target)
@@ -217,12 +217,12 @@
         return True if result.outcome is Outcome.DONE else None
 
     def may_attempt(self, request: ClientRequest, target: AttemptTarget) -> bool:
-        """Whether an attempt may run: nothing can go on behind a part of a response but the rest of a stream."""
-        return target.resume or not request.was_started
+        """Return whether an attempt may run: once a part of a response was sent, only a stream can be resumed."""
+        return target.resume or not request.is_response_started
 
     async def _pass_held_response(self, request: ClientRequest, number: int) -> None:
-        """Hand the client the response of the last attempt, if this is the one."""
-        if request.was_started:
+        """Send the client the held response of the latest attempt; 502 if there is none or the attempt is another one."""
+        if request.is_response_started:
             request.cut()
         elif request.held_response and number == request.attempt_number:
             await request.respond(*request.held_response)
@@ -230,8 +230,8 @@
             await request.respond_with_code(502, result_codes.LOST_ANSWER)
 
     async def _end(self, request: ClientRequest, why: RequestEnd) -> None:
-        """End a request without the router: by what its client may rely on."""
-        if request.was_started:
+        """End a request without the router; it is answered as not run only if no byte of it was sent to a replica."""
+        if request.is_response_started:
             request.cut()
         elif request.was_sent:
             await request.respond_with_code(502, result_codes.REPLICA_SILENT)
@@ -241,5 +241,5 @@
             await request.respond_with_code(503, result_codes.BUSY, retry_after=RETRY_WHEN_BUSY_S)
 
     async def get(self, *, replica: str, addr: str, path: str) -> bytes | None:
-        """Send a replica a plain GET and return the body of a 200, else None."""
+        """Send a GET to a replica and return the body of a response with status 200, otherwise None."""
         return await self.attempts.get(replica=replica, addr=addr, path=path)
--- a/silverglade/server/response_timeouts.py
+++ b/silverglade/server/response_timeouts.py
@@ -1,4 +1,7 @@
-"""Replicas that say nothing (design 15.3): one timer tells the router of all attempts whose replica is silent for too long."""
+"""Detection of silent replicas (design 15.3).
+
+A single timer checks all attempts and reports to the router those whose replica has sent nothing for too long.
+"""
 
 from __future__ import annotations
 
@@ -14,13 +17,13 @@
 CHECK_INTERVAL_S = 0.1
 
 ReportSilence = Callable[[ClientRequest, int], Coroutine[Any, Any, None]]
-"""Tells the router that the replica of a request's attempt, given by its number, is silent."""
+"""Reports to the router that the replica of an attempt, given by request and attempt number, is silent."""
 
 
 class _WatchedAttempt:
-    """One attempt whose replica is watched.
+    """An attempt whose replica is monitored.
 
-    :ivar silent_since: when it was sent, or last reported as silent; in seconds of the monotonic clock.
+    :ivar silent_since: when the attempt began or was last reported as silent, in seconds of the monotonic clock.
     """
 
     __slots__ = ("number", "target", "connection", "silent_since")
@@ -33,42 +36,43 @@
 
 
 class SilenceWatch:
-    """Watches the replicas of attempts under way.
+    """Monitors the replicas of the attempts in progress.
 
-    :param report: called once for each spell of silence.
-    :ivar reports: reports on their way to the router.
+    :param report: called each time that the limit passes without data from the replica.
+    :ivar watched_attempts: the monitored attempts by request.
+    :ivar reports: tasks of reports that have not reached the router yet.
     """
 
     def __init__(self, *, report: ReportSilence) -> None:
-        self.under_way: dict[ClientRequest, _WatchedAttempt] = {}
+        self.watched_attempts: dict[ClientRequest, _WatchedAttempt] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.reports: set[asyncio.Future[None]] = set()
         self._report = report
 
     def begin(self, request: ClientRequest, number: int, target: AttemptTarget, connection: PooledConnection) -> None:
-        """Watch the replica of an attempt, if the router wants it."""
+        """Start to monitor the replica of an attempt, if the attempt has a limit (`patience`)."""
         if target.patience:
-            self.under_way[request] = _WatchedAttempt(number, target, connection)
+            self.watched_attempts[request] = _WatchedAttempt(number, target, connection)
             if self.timer is None:
                 self._set_timer()
 
     def end(self, request: ClientRequest) -> None:
-        """Stop watching: the attempt of this request is over."""
-        self.under_way.pop(request, None)
+        """Stop monitoring the attempt of this request."""
+        self.watched_attempts.pop(request, None)
 
     def check(self) -> None:
-        """Report each attempt whose replica has said nothing for too long, on any of its connections."""
+        """Report each attempt whose replica has sent nothing, on any of its connections, for longer than the limit."""
         self.timer, now = None, time.monotonic()
-        for request, watched in self.under_way.items():
+        for request, watched in self.watched_attempts.items():
             target, stream = watched.target, watched.connection.stream
-            limit = target.pause if request.was_started and target.pause else target.patience
+            limit = target.pause if request.is_response_started and target.pause else target.patience
             assert limit is not None
             if now - max(watched.silent_since, stream.received_at, stream.replica_activity.received_at) > limit / SECOND:
                 watched.silent_since = now
                 report = asyncio.ensure_future(self._report(request, watched.number))
                 self.reports.add(report)
                 report.add_done_callback(self.reports.discard)
-        if self.under_way:
+        if self.watched_attempts:
             self._set_timer()
 
     def _set_timer(self) -> None:
--- a/silverglade/server/settings_reload.py
+++ b/silverglade/server/settings_reload.py
@@ -1,4 +1,4 @@
-"""Settings of a running daemon read again (design 8.1): when their file changes, and on SIGHUP."""
+"""Reload of a running daemon's settings (design 8.1): when their file changes, and on SIGHUP."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from ..runtime.structured_logging import format_line
 
 RELOADABLE_SETTINGS = frozenset(("tuning", "log_level", "seeds", "cores", "first"))
-"""What may change while a daemon runs; `cores` and `first` matter only where no view was ever formed (design 5.5)."""
+"""Settings that may change while a daemon runs; `cores` and `first` only matter before the first view is formed (design 5.5)."""
 
 CHECK_INTERVAL_S = 2.0
-"""Between looks at the settings file: it may change without a signal."""
+"""Interval between checks of the settings file, which may change without a signal."""
 
 Settings = MutableMapping[str, Any]
 FileStamp = tuple[int, int, int]
 
 
 class SettingsReloader:
-    """Takes over what changed in a daemon's settings.
+    """Reloads a daemon's settings.
 
-    :param settings: the daemon's; they are changed in place, as is their "tuning".
-    :param read_again: reads and checks the settings anew; raises `SilvergladeError` if they have faults.
-    :param settings_file: whose change is watched for, or empty.
+    :param settings: the daemon's settings; they are changed in place, as is their "tuning".
+    :param read_settings: reads and validates the settings; raises `SilvergladeError` if they are invalid.
+    :param settings_file: file to watch for changes, or empty.
     :param report_seeds: queues `SeedsChanged` for the daemon machine.
     """
 
@@ -36,20 +36,20 @@
         self,
         *,
         settings: Settings,
-        read_again: Callable[[], Settings],
+        read_settings: Callable[[], Settings],
         settings_file: str,
         report_seeds: Callable[[SeedsChanged], Awaitable[None]],
         logger: logging.Logger,
     ) -> None:
         self._settings = settings
-        self._read_again = read_again
+        self._read_again = read_settings
         self._settings_file = settings_file
         self._report_seeds = report_seeds
         self._logger = logger
         self._stamp = self._file_stamp()
 
     def _file_stamp(self) -> FileStamp | None:
-        """Return what changes whenever the file is written; None where there is none, or it cannot be seen now."""
+        """Return modification time, size and inode, which change when the file is written; None if the file cannot be accessed."""
         try:
             status = os.stat(self._settings_file)
         except OSError:
@@ -57,20 +57,20 @@
         return status.st_mtime_ns, status.st_size, status.st_ino
 
     async def watch(self) -> None:
-        """Look at the file now and then, until cancelled."""
+        """Check the file every `CHECK_INTERVAL_S` until cancelled; return at once if there is no file."""
         while self._settings_file:
             await anyio.sleep(CHECK_INTERVAL_S)
             await self.reload_if_changed()
 
     async def reload_if_changed(self) -> None:
-        """Read the settings again if their file has changed since they were read."""
+        """Reload the settings if their file has changed since it was last checked."""
         stamp = self._file_stamp()
         if stamp not in (None, self._stamp):
             self._stamp = stamp
             await self.reload()
 
     async def reload(self) -> None:
-        """Read the settings again: reloadable ones change in place; a fault, or another change, changes nothing."""
+        """Read the settings and apply the reloadable ones; if they are invalid or another one differs, log it and apply nothing."""
         try:
             new = self._read_again()
         except SilvergladeError as error:
--- a/silverglade/server/shutdown.py
+++ b/silverglade/server/shutdown.py
@@ -1,4 +1,4 @@
-"""SIGTERM (design 1.4, 15.9): a daemon shuts down by its timetable; what it has read ends complete or is answered."""
+"""Graceful shutdown on SIGTERM (design 1.4, 15.9) by a timetable: requests already read are completed or answered."""
 
 from __future__ import annotations
 
@@ -19,97 +19,104 @@
     from .daemon import Daemon
 
 DEFAULT_GRACE = timedelta(seconds=31)
-"""Of a daemon of which nothing else says how long it may take."""
+"""Grace period of a daemon without a platform adapter."""
 
 CHECK_INTERVAL_S, LAST_CHECK_INTERVAL_S = 0.1, 0.05
-"""Between looks at what is under way."""
+"""Intervals between checks of the work in progress."""
 
-ANNOUNCEMENT_S = 0.3
-"""For the others to hear that it has left."""
+LEAVE_PROPAGATION_S = 0.3
+"""Time for the message that this daemon has left to reach the other daemons."""
 
 RETRY_TENANT_REQUEST_MS = 1000
 
 
 def clock() -> timedelta:
-    """Return the time of the monotonic clock."""
+    """Return the time on the monotonic clock."""
     return timedelta(seconds=time.monotonic())
 
 
-class SignalTimes:
-    """Notes when SIGTERM came: Python's own handler runs between two steps of the program, the event loop's may run much later.
+class SigtermRecorder:
+    """Records when SIGTERM arrived. Python's own signal handler runs between two bytecodes, the event loop's may run much later.
 
-    :ivar told_at: when the first came, or None.
+    :ivar signalled_at: when the first SIGTERM arrived, or None.
     """
 
     def __init__(self) -> None:
-        self.told_at: timedelta | None = None
+        self.signalled_at: timedelta | None = None
 
     def watch(self) -> None:
-        """Begin; to be called once the event loop has its own handler, which goes on being woken."""
+        """Install the handler. Call this after the event loop has installed its own, which is still woken up by the signal."""
         signal.signal(signal.SIGTERM, self._note)
 
     def _note(self, *_: Any) -> None:
-        self.told_at = self.told_at or clock()
+        self.signalled_at = self.signalled_at or clock()
 
 
-def timetable_of(daemon: Daemon, told_at: timedelta) -> Timetable:
-    """Return the timetable of a daemon that was told at that time to stop."""
+def timetable_of(daemon: Daemon, signalled_at: timedelta) -> Timetable:
+    """Return the shutdown timetable of a daemon that received SIGTERM at that time."""
     adapter = daemon.adapter
     if adapter is None:
-        return timetable(told_at=told_at, grace=DEFAULT_GRACE)
+        return timetable(told_at=signalled_at, grace=DEFAULT_GRACE)
     linger = adapter.linger if adapter.client_address else timedelta(0)
-    return timetable(told_at=told_at, grace=adapter.grace, linger=linger, cut_streams_for=adapter.cut_streams_for)
+    return timetable(told_at=signalled_at, grace=adapter.grace, linger=linger, cut_streams_for=adapter.cut_streams_for)
 
 
-def must_listen(daemon: Daemon, times: Timetable) -> bool:
-    """Whether there is a reason to keep listening: clients that know no better, tenants' requests, for a while forwarded ones."""
+def should_keep_listening(daemon: Daemon, times: Timetable) -> bool:
+    """Return whether to keep accepting connections.
+
+    The reasons are clients that may still use the address (until `quiet_at`), tenants' requests and dispatches in progress, and, until
+    `half_at`, forwarded requests in progress.
+    """
     now = clock()
     if now < times.quiet_at or daemon.tenant_requests.result_streams or daemon.tenant_requests.dispatches:
         return True
     return bool(daemon.forwarder.requests) and now < times.half_at
 
 
-async def shut_down(daemon: Daemon, *, told_at: timedelta | None = None) -> None:
-    """Stop taking work, tell the others, end what is under way, answer the rest; then the daemon ends. A second call does nothing."""
+async def shut_down(daemon: Daemon, *, signalled_at: timedelta | None = None) -> None:
+    """Stop taking work, notify the other daemons, let requests in progress finish, answer the rest, then end the daemon.
+
+    A second call does nothing.
+    """
     if daemon.draining:
         return
     daemon.draining = True
     began_at = clock()
-    told_at = told_at or began_at
+    signalled_at = signalled_at or began_at
     daemon.logger.info(
-        format_line("drain", [("noticed_ms", to_milliseconds(began_at - told_at)), ("requests", len(daemon.forwarder.requests))])
+        format_line("drain", [("noticed_ms", to_milliseconds(began_at - signalled_at)), ("requests", len(daemon.forwarder.requests))])
     )
-    times = timetable_of(daemon, told_at)
+    times = timetable_of(daemon, signalled_at)
     await daemon.queues.send(ShutdownStarted(times.streams_until, times.answer_at, times.end_at))
     await daemon.queues.send(DrainStarted())
     await daemon.queues.send(DaemonStateChanged("leaving"))
-    while clock() < times.close_by and must_listen(daemon, times):
+    while clock() < times.close_by and should_keep_listening(daemon, times):
         await anyio.sleep(CHECK_INTERVAL_S)
     while clock() < times.close_by and daemon.data_folder and not daemon.may_exit:
         await anyio.sleep(CHECK_INTERVAL_S)
     await daemon.queues.send(DaemonStateChanged("left"))
-    await anyio.sleep(ANNOUNCEMENT_S)
-    daemon.closing.set()  # no new connections; idle ones end, the others with their responses
+    await anyio.sleep(LEAVE_PROPAGATION_S)
+    daemon.closing.set()  # accepts no new connections; closes idle ones now, others after their responses
     while clock() < times.answer_at and (daemon.tenant_requests.result_streams or daemon.forwarder.requests or daemon.open_connections):
         await anyio.sleep(LAST_CHECK_INTERVAL_S)
-    answer_what_waits(daemon)
+    answer_pending_requests(daemon)
     while clock() < times.end_at and (daemon.forwarder.requests or daemon.open_connections):
         await anyio.sleep(LAST_CHECK_INTERVAL_S)
-    log_what_is_cut(daemon, told_at)
+    log_interrupted_requests(daemon, signalled_at)
     daemon.stopping.set()
 
 
-def log_what_is_cut(daemon: Daemon, told_at: timedelta) -> None:
-    """Log how many requests end with the process, and how long after the signal the last of them was read."""
+def log_interrupted_requests(daemon: Daemon, signalled_at: timedelta) -> None:
+    """Log how many requests are broken off by the end of the process, and how long after the signal the last of them was read."""
     requests = daemon.forwarder.requests.values()
     if requests:
-        last_ms = max(to_milliseconds(request.received_at - told_at) for request in requests)
-        begun = sum(request.was_started for request in requests)
+        last_ms = max(to_milliseconds(request.received_at - signalled_at) for request in requests)
+        begun = sum(request.is_response_started for request in requests)
         daemon.logger.warning(format_line("cut-at-shutdown", [("requests", len(requests)), ("begun", begun), ("last_after_ms", last_ms)]))
 
 
-def answer_what_waits(daemon: Daemon) -> None:
-    """Answer, at the last moment, forwarded requests, tenants' requests and operators' calls."""
+def answer_pending_requests(daemon: Daemon) -> None:
+    """Answer the forwarded requests, tenants' requests and operators' calls that are still pending just before the end."""
     forwarded, tenants, calls = daemon.forwarder.requests, daemon.tenant_requests.result_streams, daemon.pending_calls
     if forwarded or tenants or calls:
         counts = [("forwarded", len(forwarded)), ("tenant_requests", len(tenants)), ("calls", len(calls))]
--- a/silverglade/server/supervisor.py
+++ b/silverglade/server/supervisor.py
@@ -1,4 +1,4 @@
-"""The supervisor (design 1.3): a task that fails is restarted, a few times."""
+"""The supervisor (design 1.3): restarts a task that fails, up to a limit within a time window."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from ..runtime.structured_logging import format_line
 
 MAX_FAILURES, FAILURE_WINDOW = 5, timedelta(seconds=30)
-"""So many failures within this time are too many."""
+"""The task is given up at this number of failures within this time window."""
 
 BACKOFF_S = 0.2
-"""Before a restart, for each failure within the window."""
+"""Delay before a restart, multiplied by the number of failures within the window."""
 
 
 async def supervise(*, name: str, run: Callable[[], Awaitable[object]], logger: logging.Logger) -> None:
     """Run a task until it returns, restarting it when it fails.
 
-    :raises Exception: what the task raised, once it has failed too often.
+    :raises Exception: the latest error of the task, once it has failed `MAX_FAILURES` times within `FAILURE_WINDOW`.
     """
     failures: list[timedelta] = []
     while True:
         try:
             await run()
             return
-        except Exception as error:  # noqa: BLE001  a task's any fault
+        except Exception as error:  # noqa: BLE001  any error of the task
             now = timedelta(seconds=time.monotonic())
             failures = [failed_at for failed_at in failures if now - failed_at < FAILURE_WINDOW] + [now]
             logger.error(format_line("task-failed", [("task", name), ("why", repr(error)), ("failures", len(failures))]))
--- a/silverglade/server/tenant_requests.py
+++ b/silverglade/server/tenant_requests.py
@@ -1,4 +1,4 @@
-"""The I/O of tenants' requests (design 6, 7.6): results on their way to clients, dispatches on their way to replicas."""
+"""The I/O of tenants' requests (design 6, 7.6): delivers results to clients and dispatches requests to replicas."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
     from anyio.streams.memory import MemoryObjectReceiveStream, MemoryObjectSendStream
 
 RESULT_QUEUE_LENGTH = 256
-"""Results that wait for one client. While it is half full the replica is not read on."""
+"""Results buffered for one client. While more than half of them are in use, no more is read from the replica."""
 
 CLIENT_CHECK_INTERVAL_S = 0.01
-"""Between two looks at whether a client has caught up."""
+"""Interval between checks whether a client has caught up."""
 
 FINAL_RESULTS = ("whole", "done", "fault")
-"""Kinds of results after which no other follows."""
+"""Kinds of results that end a request."""
 
 Result = tuple[Any, ...]
-"""("key", key, is new), ("whole", body), ("piece", number, data), ("done", number) or ("fault", code, ran, ms to wait or None, detail)."""
+"""("key", key, is new), ("whole", body), ("piece", number, data), ("done", number) or ("fault", code, ran, retry in ms or None, detail)."""
 
 
 class TenantRequests:
-    """Tenants' requests that came in at this daemon, and dispatches that it runs.
+    """The tenants' requests received by this daemon, and the dispatches that it runs.
 
-    :param event_counts: counts of log events; the final results are counted there too, as "code-N".
-    :ivar result_streams: request's id -> what its client is to get.
-    :ivar dispatches: dispatch's id -> what cancels it.
-    :ivar paused: requests whose client has to catch up before the replica is read on.
+    :param event_counts: counts of log events; final results are counted there too, as "code-N".
+    :ivar result_streams: request id -> stream of the results for its client.
+    :ivar dispatches: dispatch id -> its cancel scope.
+    :ivar paused: ids of requests for which reading from the replica is paused until the client has caught up.
     """
 
     def __init__(self, *, queues: PriorityQueues, pool: httpcore.AsyncConnectionPool, event_counts: Counter[str]) -> None:
@@ -52,9 +52,9 @@
     # called by the HTTP API
 
     def submit(self, request_id: str, facts: Any) -> MemoryObjectReceiveStream[Result]:
-        """Queue a request and return its results, as they will come.
+        """Queue a request and return the stream of its results.
 
-        :raises OverloadedError: too many wait already.
+        :raises OverloadedError: the admission queue is full.
         """
         sender, receiver = anyio.create_memory_object_stream[Result](RESULT_QUEUE_LENGTH)
         self._queues.admit(TenantRequestArrived(request_id, facts))
@@ -62,18 +62,18 @@
         return receiver
 
     async def abandon(self, request_id: str) -> None:
-        """Note that a request's client has left."""
+        """Report that the client of a request has disconnected, unless the request has ended."""
         if self.result_streams.pop(request_id, None):
             await self._queues.send(ClientDisconnected(request_id), Queue.ADMISSION)
 
     async def acknowledge(self, request_id: str, position: int) -> None:
-        """Note that a client has taken its results up to this one: whoever sends them on may go on (design 6.6)."""
+        """Report that a client has consumed its results up to this position, so that the sender may continue (design 6.6)."""
         await self._queues.send(ClientCaughtUp(request_id, position), Queue.WORK)
 
     # effects of the daemon machine
 
     def deliver(self, task_group: TaskGroup, request_id: str, kind: str, details: Sequence[Any]) -> None:
-        """Hand a result to the client; one that is too slow, or gone, is given up."""
+        """Pass a result to the client's stream. If the stream is full or closed, the request is treated as abandoned by its client."""
         stream = self.result_streams.get(request_id)
         if stream is None:
             return
@@ -91,27 +91,27 @@
             self._event_counts[f"code-{code}"] += 1
 
     def set_backpressure(self, request_id: str, read_on: bool) -> None:
-        """Read the replica's response on, or no further."""
+        """Continue or pause reading the replica's response."""
         if read_on:
             self.paused.discard(request_id)
         else:
             self.paused.add(request_id)
 
     def abort(self, dispatch_id: str) -> None:
-        """Break a dispatch off."""
+        """Cancel a dispatch."""
         scope = self.dispatches.pop(dispatch_id, None)
         if scope:
             scope.cancel()
 
     async def dispatch(self, dispatch_id: str, address: str, facts: Mapping[str, Any], body: bytes) -> None:
-        """Send a request to a replica, and tell the daemon machine how it goes on."""
+        """Send a request to a replica and report its progress to the daemon machine."""
         request_id = dispatch_id.rsplit(".", 1)[0]
 
         async def report(*outcome: Any) -> None:
             await self._queues.send(DispatchProgressed(dispatch_id, outcome), Queue.WORK)
 
         async def wait_for_client() -> None:
-            while self._must_wait(request_id):
+            while self._is_client_behind(request_id):
                 await anyio.sleep(CLIENT_CHECK_INTERVAL_S)
 
         with anyio.CancelScope() as scope:
@@ -127,8 +127,8 @@
                 self.dispatches.pop(dispatch_id, None)
                 self.paused.discard(request_id)
 
-    def _must_wait(self, request_id: str) -> bool:
-        """Whether the client has to catch up first."""
+    def _is_client_behind(self, request_id: str) -> bool:
+        """Return whether the client has to catch up before more is read from the replica."""
         if request_id in self.paused:
             return True
         stream = self.result_streams.get(request_id)
--- a/tests/control/test_control_growth.py
+++ b/tests/control/test_control_growth.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from silverglade.server.disk import FILE, DataFolder
+from silverglade.server.disk import DATABASE_FILE, DataFolder
 
 from . import test_control_safety as safety
 
@@ -62,6 +62,6 @@
         s.write([("wipe", "book"), *(("put", "book", f"k{i}", some()) for i in range(60))])  # a copy
         s.write([("put", "book", f"change/{n}", (n, "digest")), ("del", "book", f"change/{n - 20}"), ("put", "meta", "reg", some())])
         if n in (99, 399):
-            sized.append(os.path.getsize(tmp_path / FILE))
+            sized.append(os.path.getsize(tmp_path / DATABASE_FILE))
     assert sized[1] <= sized[0] * 1.15
     s.close()
--- a/tests/golden/core_store.py
+++ b/tests/golden/core_store.py
@@ -11,7 +11,7 @@
 from silverglade.control.core import control_component
 from silverglade.runtime.settings import tuning
 from silverglade.runtime.state_machine import MachineComponent
-from silverglade.server.disk import FILE, DataFolder
+from silverglade.server.disk import DATABASE_FILE, DataFolder
 from silverglade.tenant_shards.follower import ClaimFollower
 
 DATA = pathlib.Path(__file__).parent / "data"
@@ -27,7 +27,7 @@
 def write_file(folder):
     """The file as the recorded program left it, without a line of the program's own code."""
     data = recorded()
-    db = sqlite3.connect(pathlib.Path(folder) / FILE)
+    db = sqlite3.connect(pathlib.Path(folder) / DATABASE_FILE)
     db.execute(f"PRAGMA application_id={data['layout']['application_id']}")
     db.execute(f"PRAGMA user_version={data['layout']['user_version']}")
     db.execute(data["layout"]["schema"])
--- a/tests/golden/make_core_store.py
+++ b/tests/golden/make_core_store.py
@@ -13,7 +13,7 @@
 from datetime import timedelta
 
 from silverglade.runtime.settings import tuning
-from silverglade.server.disk import FILE, DataFolder
+from silverglade.server.disk import DATABASE_FILE, DataFolder
 from silverglade.testbed.simulator.scenario import Scene
 
 from .core_store import EXPECTED, NAME, RECORDED, state_reached
@@ -61,7 +61,7 @@
 
 def raw_rows(folder):
     """The file's rows as their bytes, and its layout."""
-    db = sqlite3.connect(pathlib.Path(folder) / FILE)
+    db = sqlite3.connect(pathlib.Path(folder) / DATABASE_FILE)
     rows = [[table, key, value.hex()] for table, key, value in db.execute("SELECT tab, key, val FROM kv ORDER BY tab, key")]
     (schema,) = db.execute("SELECT sql FROM sqlite_master WHERE type = 'table'").fetchone()
     layout = {
--- a/tests/http/test_every_byte_breaches.py
+++ b/tests/http/test_every_byte_breaches.py
@@ -34,7 +34,7 @@
 
 
 CASES = [
-    ("anybody's answer", R, "is_ours", lambda s, a, h: True, bytes_.test_a_surplus_answer_placed_anywhere_is_nobodys_answer),
+    ("anybody's answer", R, "is_for_attempt", lambda s, a, h: True, bytes_.test_a_surplus_answer_placed_anywhere_is_nobodys_answer),
     ("said again", T, "write", unmuted, bytes_.test_a_surplus_answer_placed_anywhere_is_nobodys_answer),
     ("the address alone", P, "take", one_pool, bytes_.test_an_address_used_again_by_another_replica_gets_a_connection_of_its_own),
     ("old connections", P, "renew", lambda p, r: None, bytes_.test_a_machine_that_went_dark_and_came_back_is_asked_on_a_new_connection),
--- a/tests/http/test_forwarding_breaches.py
+++ b/tests/http/test_forwarding_breaches.py
@@ -60,7 +60,7 @@
 
 
 def deaf(a, e, put=ask.ClientRequest.put):
-    return None if e is ask.RequestEnd.CLIENT_GONE else put(a, e)
+    return None if e is ask.RequestEnd.CLIENT_DISCONNECTED else put(a, e)
 
 
 def no_drop(a, e, put=ask.ClientRequest.put):
@@ -82,11 +82,11 @@
 
 SKIPPED = [i for i, (_, _, want) in enumerate(PLAIN) if want == (200, b"ok")][1]  # the first of them has a 1xx
 CASES = [
-    ("id", R, "is_ours", lambda s, a, h: True, looked(SKIPPED)),
-    ("id missing", R, "is_ours", lambda s, a, h: True, looked(plain((1, "lost", "not-ours")))),
+    ("id", R, "is_for_attempt", lambda s, a, h: True, looked(SKIPPED)),
+    ("id missing", R, "is_for_attempt", lambda s, a, h: True, looked(plain((1, "lost", "not-ours")))),
     ("seal", scripted, "OWN", OWN._replace(seal=OWN.attempt), looked(plain((1, "lost", "no-seal")))),
     ("word of not having run", scripted, "OWN", OWN._replace(not_run=b"x"), looked(plain((1, "not-run", 503, 0.75)))),
-    ("length", R, "states_end", lambda s, a, r, h: True, looked(plain((1, "lost", "no-length")))),
+    ("length", R, "is_self_delimited", lambda s, a, r, h: True, looked(plain((1, "lost", "no-length")))),
     ("skipping", attempt_runner, "MAX_RESPONSES_READ", 1, looked(SKIPPED)),
     (
         "skipping without end",
@@ -106,7 +106,7 @@
     (
         "length of a stream",
         attempt_runner,
-        "without_length",
+        "without_content_length",
         lambda h: h,
         test_forwarding.test_a_stream_with_a_length_is_passed_on_in_chunks,
     ),
@@ -127,8 +127,8 @@
     (
         "guard",
         S,
-        "set_forget_timer",
-        lambda s, a, left: setattr(a, "forget_timer", a.forget_timer or type("No", (), {"cancel": lambda s: None})()),
+        "set_deadline_timer",
+        lambda s, a, left: setattr(a, "deadline_timer", a.deadline_timer or type("No", (), {"cancel": lambda s: None})()),
         lambda: test_forwarding_ends.test_a_full_door_refuses_and_a_part_that_forgets_ends_in_a_refusal(pytest.MonkeyPatch()),
     ),
     ("gone", A, "put", deaf, test_forwarding_ends.test_a_client_that_goes_ends_its_try_and_one_that_waits_for_none),
--- a/tests/http/test_forwarding_ends.py
+++ b/tests/http/test_forwarding_ends.py
@@ -128,7 +128,7 @@
 
     got, d, _ = scene(says(), full)
     assert got[0] == 503 and "retry-after" in got[1] and d.told == []
-    monkeypatch.setattr(forwarding, "FORGET_MARGIN", upstream.SECOND / 100)
+    monkeypatch.setattr(forwarding, "DEADLINE_MARGIN", upstream.SECOND / 100)
 
     async def forgot(c, d, rep, client):
         await c.ask(more=("Silverglade-Due: 10",))
@@ -258,7 +258,7 @@
         monkeypatch.setattr(silence.time, "monotonic", lambda: now[0])
 
         def row(patience, *, pause=None, started=False):
-            request = Stands(request_id="r1", was_started=started, last_event_id=None)
+            request = Stands(request_id="r1", is_response_started=started, last_event_id=None)
             stream = SimpleNamespace(received_at=0.0, replica_activity=activity)
             d.forwarder.attempts.silence.begin(request, 1, SimpleNamespace(patience=patience, pause=pause), SimpleNamespace(stream=stream))
             return request
@@ -266,7 +266,7 @@
         activity = upstream.ReplicaActivity()
         quiet, other = row(SHORT), row(None)
         stream = row(SHORT * 100, pause=SHORT, started=True)
-        assert quiet in d.forwarder.attempts.silence.under_way and other not in d.forwarder.attempts.silence.under_way
+        assert quiet in d.forwarder.attempts.silence.watched_attempts and other not in d.forwarder.attempts.silence.watched_attempts
         now[0] += 0.02
         d.forwarder.attempts.silence.check()
         assert not d.forwarder.attempts.silence.reports  # not long enough
@@ -279,7 +279,7 @@
         d.forwarder.attempts.silence.check()
         assert len(d.forwarder.attempts.silence.reports) == 2  # told once, until as long has gone by again
         await asyncio.gather(*d.forwarder.attempts.silence.reports)
-        del d.forwarder.attempts.silence.under_way[quiet], d.forwarder.attempts.silence.under_way[stream]
+        del d.forwarder.attempts.silence.watched_attempts[quiet], d.forwarder.attempts.silence.watched_attempts[stream]
         d.forwarder.attempts.silence.timer.cancel()
         assert [e[3] for e in d.told] == ["silent", "silent"]
 
--- a/tests/server/test_disk.py
+++ b/tests/server/test_disk.py
@@ -7,7 +7,7 @@
 import pytest
 
 from silverglade.runtime.errors import SilvergladeError
-from silverglade.server.disk import FILE, DataFolder
+from silverglade.server.disk import DATABASE_FILE, DataFolder
 
 
 def refused(**kw):
@@ -41,24 +41,24 @@
     (a / "notes.txt").write_text("mine")
     assert refused(folder=str(a), name="c1") == 702
     assert os.listdir(a) == ["notes.txt"]
-    db = sqlite3.connect(b / FILE)
+    db = sqlite3.connect(b / DATABASE_FILE)
     db.execute("CREATE TABLE t (x)")
     db.commit()
     db.close()
-    was = (b / FILE).read_bytes()
+    was = (b / DATABASE_FILE).read_bytes()
     assert refused(folder=str(b), name="c1") == 702
-    assert (b / FILE).read_bytes() == was
-    (c / FILE).write_bytes(b"not a database at all" * 100)
+    assert (b / DATABASE_FILE).read_bytes() == was
+    (c / DATABASE_FILE).write_bytes(b"not a database at all" * 100)
     assert refused(folder=str(c), name="c1") == 702
     s = DataFolder(folder=str(d), name="c1")
     assert refused(folder=str(d), name="c1") == 702  # in use
     s.close()
     assert refused(folder=str(d), name="c2") == 702  # another daemon's
-    raw = bytearray((d / FILE).read_bytes())
+    raw = bytearray((d / DATABASE_FILE).read_bytes())
     raw[4096 + 8 : 4096 + 600] = b"\xff" * 592  # a page of it lost
-    (d / FILE).write_bytes(raw)
+    (d / DATABASE_FILE).write_bytes(raw)
     assert refused(folder=str(d), name="c1") == 702
-    assert (d / FILE).read_bytes() == bytes(raw)
+    assert (d / DATABASE_FILE).read_bytes() == bytes(raw)
 
 
 def test_no_shared_memory_file_is_ever_made(tmp_path):
@@ -92,9 +92,9 @@
     s = DataFolder(folder=str(tmp_path), name="b")
     s.database.execute("PRAGMA user_version=1")
     s.close()
-    was = (tmp_path / FILE).read_bytes()
+    was = (tmp_path / DATABASE_FILE).read_bytes()
     assert refused(folder=str(tmp_path), name="a") == 702
-    assert (tmp_path / FILE).read_bytes() == was
+    assert (tmp_path / DATABASE_FILE).read_bytes() == was
     DataFolder(folder=str(tmp_path), name="b").close()
 
 
@@ -162,7 +162,7 @@
     copies, was, now = states_within_a_write(tmp_path)
     half = 0
     for folder in copies:
-        half += (folder / FILE).read_bytes() != (copies[0] / FILE).read_bytes()
+        half += (folder / DATABASE_FILE).read_bytes() != (copies[0] / DATABASE_FILE).read_bytes()
         s = DataFolder(folder=str(folder), name="a")
         assert s.load() in (was, now)
         s.write([("put", "meta", "n", 3)])
@@ -174,7 +174,7 @@
     copies, was, now = states_within_a_write(tmp_path)
     told = []
     for folder in copies:
-        (folder / f"{FILE}-journal").unlink(missing_ok=True)
+        (folder / f"{DATABASE_FILE}-journal").unlink(missing_ok=True)
         try:
             s = DataFolder(folder=str(folder), name="a")
             assert s.load() == was
--- a/tests/server/test_fault_containment.py
+++ b/tests/server/test_fault_containment.py
@@ -128,5 +128,5 @@
         try:
             raise KeyError("x")
         except KeyError as error:
-            faults.note("call", error)
+            faults.record("call", error)
     assert faults.counts["call"] == 3 and len(lines) == 1 and "test_fault_containment.py:" in lines[0]
--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -20,15 +20,15 @@
     """A client's request under way, as the forwarder holds it."""
 
     def __init__(self, *, started=True):
-        self.request_id, self.was_started, self.told, self.received_at = "r1", started, [], 0 * SEC
+        self.request_id, self.is_response_started, self.told, self.received_at = "r1", started, [], 0 * SEC
 
     def put(self, effect):
         self.told.append(effect)
 
 
-def leave(monkeypatch, step, *, grace=8 * SEC, linger=0 * SEC, most=400, core=False, told_at=None, before=lambda d: None):
+def leave(monkeypatch, step, *, grace=8 * SEC, linger=0 * SEC, most=400, core=False, signalled_at=None, before=lambda d: None):
     """Leaves on a clock that goes on with each wait; `step(daemon, seconds)` -> when it shut its door, and ended."""
-    now = [0.0 if told_at is None else 20.0]
+    now = [0.0 if signalled_at is None else 20.0]
     begun = now[0]
 
     async def wait(t):
@@ -42,7 +42,7 @@
             self.at = now[0] - begun
 
     async def go():
-        await departure.shut_down(d, told_at=told_at)
+        await departure.shut_down(d, signalled_at=signalled_at)
 
     d = daemon()
     d.closing, d.data_folder = Door(), core
@@ -140,7 +140,7 @@
     def step(d, t):
         d.forwarder.requests, d.open_connections = {"r1": Request()}, {1}
 
-    assert leave(monkeypatch, step, told_at=timedelta(seconds=18.5))[1] == pytest.approx(5.5, abs=0.2)
+    assert leave(monkeypatch, step, signalled_at=timedelta(seconds=18.5))[1] == pytest.approx(5.5, abs=0.2)
 
 
 def test_a_stop_logs_how_late_its_signal_was_noticed_and_what_was_cut(monkeypatch):
@@ -155,7 +155,7 @@
         begun.received_at, late.received_at = 18 * SEC, 22.5 * SEC
         d.forwarder.requests, d.open_connections = {"r1": begun, "r2": late}, {1}
 
-    leave(monkeypatch, step, told_at=timedelta(seconds=18.5), before=before)
+    leave(monkeypatch, step, signalled_at=timedelta(seconds=18.5), before=before)
     assert lines[0].endswith(" event=drain noticed_ms=1500 requests=2")
     assert lines[-1].endswith(" event=cut-at-shutdown requests=2 begun=1 last_after_ms=4000")
 
@@ -176,7 +176,7 @@
     import time
 
     async def go():
-        times = departure.SignalTimes()
+        times = departure.SigtermRecorder()
         with anyio.open_signal_receiver(signal.SIGTERM) as signals:
             times.watch()
             at = time.monotonic()
@@ -184,7 +184,7 @@
             while time.monotonic() - at < 0.3:  # a turn of the loop that takes long
                 pass
             async for _ in signals:
-                return times.told_at.total_seconds() - at
+                return times.signalled_at.total_seconds() - at
 
     assert 0 <= anyio.run(go) < 0.1
 
--- a/tests/server/test_platform_calls.py
+++ b/tests/server/test_platform_calls.py
@@ -16,7 +16,7 @@
 from silverglade.runtime.settings import checked
 from silverglade.server import platform_calls
 from silverglade.server.daemon import Daemon
-from silverglade.server.platform_calls import PlatformAnswer, PlatformCaller, PlatformRequest
+from silverglade.server.platform_calls import PlatformCaller, PlatformRequest, PlatformResponse
 from silverglade.server.shutdown import clock
 from tests.support.source_mutation import without
 
@@ -88,7 +88,7 @@
 
 def test_a_call_arrives_whole_and_its_status_is_told():
     answer, platform = play([b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"], body=b"x" * 100_000)
-    assert answer == PlatformAnswer(200, b"ok")
+    assert answer == PlatformResponse(200, b"ok")
     ((head, body),) = platform.requests
     assert head.startswith(b"POST /x HTTP/1.1\r\nHost: 127.0.0.1:") and b"\r\nA: b\r\n" in head and body == b"x" * 100_000
 
@@ -113,7 +113,7 @@
     ],
 )
 def test_what_is_no_answer_ends_in_time_as_none(pieces):
-    assert play(pieces)[0] == PlatformAnswer(None)
+    assert play(pieces)[0] == PlatformResponse(None)
 
 
 def test_an_endless_body_is_not_read():
@@ -125,7 +125,7 @@
     caller = PlatformCaller(clock=Clock(), local="127.0.0.1", timeout=TIMEOUT)
     caller.set_lease("usage", 7, 5 * SECOND)
     request = PlatformRequest("127.0.0.1:9", "/x", (), b"")
-    assert asyncio.run(caller.call(duty="usage", token=7, request=request)) == PlatformAnswer(None)
+    assert asyncio.run(caller.call(duty="usage", token=7, request=request)) == PlatformResponse(None)
 
 
 # Guards against: bytes of a call that was given up arrive later, when another daemon holds the duty.
@@ -137,7 +137,7 @@
 @pytest.mark.parametrize("lease, token", [((7, SECOND), 7), ((7, None), 7), ((None, None), 7), ((8, 5 * SECOND), 7)])
 def test_without_the_lease_nothing_is_sent(lease, token):
     answer, platform = play([b"HTTP/1.1 200 OK\r\n\r\n"], lease=lease, token=token)
-    assert answer == PlatformAnswer(None) and platform.requests == [] and platform.ends == []
+    assert answer == PlatformResponse(None) and platform.requests == [] and platform.ends == []
 
 
 class LateClock(Clock):
@@ -151,7 +151,7 @@
 # Guards against: a daemon that was stopped between its decision and the write acts when it goes on, after its successor.
 def test_a_lease_that_ended_while_the_connection_came_up_sends_nothing():
     answer, platform = play([b"HTTP/1.1 200 OK\r\n\r\n"], clock=LateClock())
-    assert answer == PlatformAnswer(None) and platform.requests == [] and "closed" not in platform.ends
+    assert answer == PlatformResponse(None) and platform.requests == [] and "closed" not in platform.ends
 
 
 def test_without_the_second_look_it_is_sent(monkeypatch):
--- a/tests/server/test_priority_queues.py
+++ b/tests/server/test_priority_queues.py
@@ -256,7 +256,7 @@
         q = lanes.PriorityQueues()
         for i in range(200):
             q.admit(("request", i, {}))
-        for i in range(lanes.QUEUE_LENGTHS[lanes.Queue.FIRST]):
+        for i in range(lanes.QUEUE_LENGTHS[lanes.Queue.CONTROL]):
             await q.send(("msg", "x", ("hb", i)))
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(q.send, ShutdownStarted(1 * SEC, 2 * SEC, 3 * SEC))  # waits for room
--- a/tests/server/test_shutdown_answers.py
+++ b/tests/server/test_shutdown_answers.py
@@ -108,7 +108,7 @@
             await d.news.wait()
         [request] = d.forwarder.requests.values()
         request.put(StartAttempt(request.request_id, 1, one(rep.addr)))
-        request.put(RequestEnd.CLIENT_GONE)
+        request.put(RequestEnd.CLIENT_DISCONNECTED)
         await d.heard("gone")
 
     _, d, rep = scene(script, talk, part=lambda addr: lambda event: ())
--- a/tests/system/test_versions.py
+++ b/tests/system/test_versions.py
@@ -5,7 +5,7 @@
 import pytest
 
 from silverglade.runtime.errors import SilvergladeError
-from silverglade.server.disk import FILE, DataFolder
+from silverglade.server.disk import DATABASE_FILE, DataFolder
 from silverglade.testbed.simulator.scenario import Scene
 from silverglade.transport import message_schemas as messages
 
@@ -65,12 +65,12 @@
 
 def test_a_store_of_another_layout_is_refused_with_what_to_do_and_left_untouched(tmp_path):
     DataFolder(folder=str(tmp_path), name="a").close()
-    db = sqlite3.connect(tmp_path / FILE)
+    db = sqlite3.connect(tmp_path / DATABASE_FILE)
     db.execute("PRAGMA user_version=9")
     db.commit()
     db.close()
-    before = (tmp_path / FILE).read_bytes()
+    before = (tmp_path / DATABASE_FILE).read_bytes()
     with pytest.raises(SilvergladeError) as e:
         DataFolder(folder=str(tmp_path), name="a")
     assert e.value.code == 702 and "layout 9" in e.value.detail and "rejoin" in e.value.detail
-    assert (tmp_path / FILE).read_bytes() == before
+    assert (tmp_path / DATABASE_FILE).read_bytes() == before
