--- a/tests/server/test_fault_containment.py
+++ b/tests/server/test_fault_containment.py
@@ -1,4 +1,4 @@
-"""A fault of the program in the task of one request or call ends that alone (design 1.6); each test fails without its containment."""
+"""A program error in the task of one request or call ends only that task (design 1.6); each test fails without the containment."""
 
 import json
 import logging
@@ -16,7 +16,7 @@
 
 
 class Lines(logging.Handler):
-    """Keeps what is logged."""
+    """Collects log lines."""
 
     def __init__(self):
         super().__init__()
@@ -45,8 +45,8 @@
 ]
 
 
-@pytest.mark.parametrize("task, effect, told", EFFECTS, ids=[task for task, *_ in EFFECTS])
-def test_a_fault_in_the_task_of_an_effect_counts_as_its_failure(monkeypatch, task, effect, told):
+@pytest.mark.parametrize("task, effect, result", EFFECTS, ids=[task for task, *_ in EFFECTS])
+def test_an_error_in_the_task_of_an_effect_is_reported_as_its_failure(monkeypatch, task, effect, result):
     async def go():
         d = daemon()
         monkeypatch.setattr(d, task, failing)
@@ -57,10 +57,10 @@
         assert d.faults.counts == {"failing": 2}
         return d.queues.next_event()
 
-    assert anyio.run(go) == told
+    assert anyio.run(go) == result
 
 
-def test_a_fault_in_a_dispatch_tells_the_owner_that_it_may_have_run(monkeypatch):
+def test_an_error_in_a_dispatch_is_reported_as_maybe_run(monkeypatch):
     monkeypatch.setattr("silverglade.server.replica_calls.dispatch", failing)
 
     async def go():
@@ -73,7 +73,7 @@
     assert anyio.run(go) == ("ran", "o.1", "fault", "maybe")
 
 
-def test_a_fault_in_a_state_machine_ends_the_daemon_and_says_at_which_event(monkeypatch, log):
+def test_an_error_in_the_state_machine_ends_the_daemon_and_logs_the_event(monkeypatch, log):
     logger, lines = log
 
     async def go():
@@ -89,7 +89,7 @@
 
 
 def respond(inner):
-    """-> what an app with contained faults sent."""
+    """Run an app with contained errors; return (messages sent, fault log, error raised)."""
     sent, faults = [], FaultLog(logging.getLogger("none"))
 
     async def send(message):
@@ -105,14 +105,14 @@
         return sent, faults, error
 
 
-def test_a_fault_in_a_call_is_answered_with_a_code_that_promises_nothing():
+def test_an_error_in_a_call_is_answered_with_a_code_that_leaves_open_whether_it_ran():
     sent, faults, error = respond(failing)
     answer = json.loads(sent[1]["body"])
     assert (sent[0]["status"], answer["code"], answer["ran"], error) == (502, result_codes.LINK_LOST, "maybe", None)
     assert faults.counts == {"call": 1}
 
 
-def test_a_response_that_has_begun_breaks_off():
+def test_an_error_breaks_off_a_response_that_has_started():
     async def inner(scope, receive, send):
         await send({"type": "http.response.start", "status": 200, "headers": []})
         raise ZeroDivisionError
@@ -121,7 +121,7 @@
     assert [message["type"] for message in sent] == ["http.response.start"] and error is not None and faults.counts == {"call": 1}
 
 
-def test_each_place_of_a_fault_is_logged_once(log):
+def test_each_error_location_is_logged_once(log):
     logger, lines = log
     faults = FaultLog(logger)
     for _ in range(3):
--- a/tests/server/test_platform_calls.py
+++ b/tests/server/test_platform_calls.py
@@ -1,4 +1,4 @@
-"""Calls of a duty's holder against a stand-in platform over real sockets (design 18.3)."""
+"""Calls of a duty holder to a fake platform over real sockets (design 18.3)."""
 
 import asyncio
 import json
@@ -29,7 +29,7 @@
 
 
 class Clock:
-    """A steady clock that a test sets."""
+    """A monotonic clock that the test sets."""
 
     def __init__(self):
         self.now = SECOND
@@ -39,9 +39,10 @@
 
 
 class Platform:
-    """Takes one request after the other and answers each with the same bytes.
+    """A fake platform that answers every request with the same bytes.
 
-    :ivar pieces: written with a short pause between them; None: it never answers.
+    :ivar pieces: parts of the response, written with a short pause between them; None: it never answers.
+    :ivar ends: how each connection ended: "closed", "reset", or "nothing" or "part" of a request received.
     """
 
     def __init__(self, pieces):
@@ -67,8 +68,8 @@
             writer.close()
 
 
-def play(pieces, *, lease=(7, 5 * SECOND), token=7, clock=None, body=b"{}", before=None):
-    """One call at a platform; returns its answer and the platform."""
+def call_platform(pieces, *, lease=(7, 5 * SECOND), token=7, clock=None, body=b"{}", before=None):
+    """Make one call to a fake platform; return the response and the platform."""
     platform = Platform(pieces)
     caller = PlatformCaller(clock=clock or Clock(), local="127.0.0.1", timeout=TIMEOUT)
 
@@ -86,16 +87,16 @@
     return asyncio.run(run()), platform
 
 
-def test_a_call_arrives_whole_and_its_status_is_told():
-    answer, platform = play([b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"], body=b"x" * 100_000)
+def test_a_call_is_delivered_completely_and_its_status_returned():
+    answer, platform = call_platform([b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"], body=b"x" * 100_000)
     assert answer == PlatformResponse(200, b"ok")
     ((head, body),) = platform.requests
     assert head.startswith(b"POST /x HTTP/1.1\r\nHost: 127.0.0.1:") and b"\r\nA: b\r\n" in head and body == b"x" * 100_000
 
 
 @pytest.mark.parametrize("status", [302, 400, 409, 429, 500, 503])
-def test_other_statuses_are_told(status):
-    assert play([f"HTTP/1.1 {status} Why\r\n\r\n".encode()])[0].status == status
+def test_other_statuses_are_returned(status):
+    assert call_platform([f"HTTP/1.1 {status} Why\r\n\r\n".encode()])[0].status == status
 
 
 @pytest.mark.parametrize(
@@ -112,49 +113,49 @@
         [b"HTTP/1.1 200 OK\r\nX: "] + [b"y" * 1000] * 40,
     ],
 )
-def test_what_is_no_answer_ends_in_time_as_none(pieces):
-    assert play(pieces)[0] == PlatformResponse(None)
+def test_an_invalid_or_incomplete_response_gives_no_status(pieces):
+    assert call_platform(pieces)[0] == PlatformResponse(None)
 
 
 def test_an_endless_body_is_not_read():
-    answer, _ = play([b"HTTP/1.1 200 OK\r\n\r\n", *[b"z" * 10_000] * 50])
+    answer, _ = call_platform([b"HTTP/1.1 200 OK\r\n\r\n", *[b"z" * 10_000] * 50])
     assert answer.status == 200 and len(answer.body) <= 1024
 
 
-def test_nobody_listens():
+def test_a_refused_connection_gives_no_status():
     caller = PlatformCaller(clock=Clock(), local="127.0.0.1", timeout=TIMEOUT)
     caller.set_lease("usage", 7, 5 * SECOND)
     request = PlatformRequest("127.0.0.1:9", "/x", (), b"")
     assert asyncio.run(caller.call(duty="usage", token=7, request=request)) == PlatformResponse(None)
 
 
-# Guards against: bytes of a call that was given up arrive later, when another daemon holds the duty.
-def test_a_call_that_is_given_up_is_reset():
-    _, platform = play(None)
+# Guards against data of an abandoned call that arrives later, while another daemon holds the duty.
+def test_the_connection_of_an_abandoned_call_is_reset():
+    _, platform = call_platform(None)
     assert platform.ends == ["reset"]
 
 
 @pytest.mark.parametrize("lease, token", [((7, SECOND), 7), ((7, None), 7), ((None, None), 7), ((8, 5 * SECOND), 7)])
-def test_without_the_lease_nothing_is_sent(lease, token):
-    answer, platform = play([b"HTTP/1.1 200 OK\r\n\r\n"], lease=lease, token=token)
+def test_nothing_is_sent_without_a_usable_lease(lease, token):
+    answer, platform = call_platform([b"HTTP/1.1 200 OK\r\n\r\n"], lease=lease, token=token)
     assert answer == PlatformResponse(None) and platform.requests == [] and platform.ends == []
 
 
 class LateClock(Clock):
-    """A clock that has moved on by the second look at it: the process stood still while the connection came up."""
+    """A clock that jumps ahead after its first reading, as if the process had been paused while the connection was opened."""
 
     def __call__(self):
         seen, self.now = self.now, 6 * SECOND
         return seen
 
 
-# Guards against: a daemon that was stopped between its decision and the write acts when it goes on, after its successor.
-def test_a_lease_that_ended_while_the_connection_came_up_sends_nothing():
-    answer, platform = play([b"HTTP/1.1 200 OK\r\n\r\n"], clock=LateClock())
+# Guards against a daemon that is paused between the decision and the write, and sends the call on resuming, after its successor.
+def test_nothing_is_sent_if_the_lease_ends_while_the_connection_is_opened():
+    answer, platform = call_platform([b"HTTP/1.1 200 OK\r\n\r\n"], clock=LateClock())
     assert answer == PlatformResponse(None) and platform.requests == [] and "closed" not in platform.ends
 
 
-def test_without_the_second_look_it_is_sent(monkeypatch):
+def test_without_the_second_lease_check_the_call_is_sent(monkeypatch):
     without(
         monkeypatch,
         "silverglade.server.platform_calls",
@@ -165,11 +166,11 @@
     import silverglade.server.platform_calls as module
 
     monkeypatch.setattr(sys.modules[__name__], "PlatformCaller", module.PlatformCaller)
-    _, platform = play([b"HTTP/1.1 200 OK\r\n\r\n"], clock=LateClock())
+    _, platform = call_platform([b"HTTP/1.1 200 OK\r\n\r\n"], clock=LateClock())
     assert len(platform.requests) == 1
 
 
-def test_the_platforms_words():
+def test_calls_are_translated_to_the_platforms_format():
     request = duty_calls.platform_request(
         address="1.2.3.4:5", holder="core-1", path_kind="usage", token=12, body={"window": 353445120, "counts": {"a": 4, "b": 2}}
     )
@@ -184,8 +185,9 @@
     assert request.path == "/desired-scale" and json.loads(request.body) == {"target": "s", "zone": "z", "desired": 6}
 
 
-# A holder was stopped while its link was cut: the kernel sent its bytes once the link was back, after those of its successor.
-def test_the_kernel_too_gives_up_a_call_that_is_not_acknowledged_in_time(monkeypatch):
+# Guards against a late write: a holder was stopped during a partition, and after the partition the kernel sent its data, behind that of
+# its successor.
+def test_the_kernel_abandons_a_call_that_is_not_acknowledged_in_time(monkeypatch):
     timeouts = []
 
     class Watched(socket.socket):
@@ -198,12 +200,12 @@
             return Watched if name == "socket" else getattr(socket, name)
 
     monkeypatch.setattr(platform_calls, "socket", Sockets())
-    answer, _ = play([b"HTTP/1.1 200 OK\r\n\r\n"])
+    answer, _ = call_platform([b"HTTP/1.1 200 OK\r\n\r\n"])
     assert answer.status == 200 and timeouts == [TIMEOUT / timedelta(milliseconds=1)]
 
 
 class Adapter:
-    """What a daemon asks of a platform, as far as calls go."""
+    """A platform adapter that supports only duty calls."""
 
     client_address, endpoint_list_address, api_addresses = "", "", ()
 
@@ -214,7 +216,7 @@
         return PlatformRequest(self.address, f"/{path_kind}/{token}", (), json.dumps(body).encode())
 
 
-def test_a_daemon_carries_out_leases_calls_and_the_time_of_day():
+def test_a_daemon_carries_out_leases_platform_calls_and_wall_clock_reads():
     platform = Platform([b"HTTP/1.1 200 OK\r\n\r\n"])
 
     async def run():
--- a/tests/server/test_priority_queues.py
+++ b/tests/server/test_priority_queues.py
@@ -1,4 +1,4 @@
-"""Pressure on one daemon (design 1.3): lanes, bodies, the disk; its own tasks, no socket, no clock."""
+"""Overload of a daemon (design 1.3): queues, request bodies, disk writes, supervision, backpressure; without sockets or real time."""
 
 import anyio
 import anyio.lowlevel
@@ -9,8 +9,7 @@
 from silverglade.runtime.errors import SilvergladeError
 from silverglade.runtime.events import ShutdownStarted
 from silverglade.runtime.settings import checked
-from silverglade.server import priority_queues as lanes
-from silverglade.server import supervisor as tree
+from silverglade.server import priority_queues, supervisor
 from silverglade.server.daemon import EVENTS_PER_TURN, Daemon
 from silverglade.server.disk_writer import QUEUE_LENGTH as DISK_QUEUE_LENGTH
 from silverglade.server.limits import MAX_BUFFERED_BODY_BYTES
@@ -45,52 +44,52 @@
     )
 
 
-def test_a_crowd_at_the_door_holds_up_no_pulse_and_no_heartbeat():
+def test_a_full_admission_queue_delays_neither_timer_nor_heartbeats():
     async def go():
-        q, refused = lanes.PriorityQueues(), 0
+        queues, refused = priority_queues.PriorityQueues(), 0
         for i in range(1000):
             try:
-                q.admit(("order", i, ()))
+                queues.admit(("order", i, ()))
             except SilvergladeError as e:
                 refused += e.code == 310
         for i in range(500):
-            await q.on_message("x", ("ask", i))
-        await q.on_message("x", ("hb", 1))
-        q.fire_timer()
-        q.fire_timer()
-        got = [await q.take() for _ in range(60)]
-        assert refused == 1000 - lanes.QUEUE_LENGTHS[lanes.Queue.ADMISSION]
+            await queues.on_message("x", ("ask", i))
+        await queues.on_message("x", ("hb", 1))
+        queues.fire_timer()
+        queues.fire_timer()
+        got = [await queues.take() for _ in range(60)]
+        assert refused == 1000 - priority_queues.QUEUE_LENGTHS[priority_queues.Queue.ADMISSION]
         assert got[:2] == [("pulse",), ("msg", "x", ("hb", 1))]
         kinds = [e[0] for e in got[2:]]
-        assert 8 <= kinds.count("order") <= 15 and kinds.count("pulse") == 0  # each has its share
+        assert 8 <= kinds.count("order") <= 15 and kinds.count("pulse") == 0  # both queues are served
         return [e[1] for e in got if e[0] == "order"] == list(range(kinds.count("order")))
 
     assert anyio.run(go)
 
 
-def test_a_full_lane_holds_up_its_own_senders_alone():
+def test_a_full_queue_blocks_only_its_own_senders():
     async def go():
-        q, done = lanes.PriorityQueues(), []
+        queues, done = priority_queues.PriorityQueues(), []
 
         async def fill():
-            for i in range(lanes.QUEUE_LENGTHS[lanes.Queue.WORK] + 1):
-                await q.on_message("x", ("res", i))
+            for i in range(priority_queues.QUEUE_LENGTHS[priority_queues.Queue.WORK] + 1):
+                await queues.on_message("x", ("res", i))
             done.append("work")
 
         async with anyio.create_task_group() as tg:
             tg.start_soon(fill)
             await anyio.wait_all_tasks_blocked()
             assert done == []
-            await q.on_message("x", ("ping", 1))  # does not wait
-            assert await q.take() == ("msg", "x", ("ping", 1))
-            await q.take()
+            await queues.on_message("x", ("ping", 1))  # does not wait
+            assert await queues.take() == ("msg", "x", ("ping", 1))
+            await queues.take()
             await anyio.wait_all_tasks_blocked()
             assert done == ["work"]
 
     anyio.run(go)
 
 
-def test_a_write_for_which_the_queue_has_no_room_is_told_as_failed():
+def test_a_disk_write_that_does_not_fit_the_queue_is_reported_as_failed():
     async def go():
         d = daemon()
         async with anyio.create_task_group() as d.task_group:
@@ -102,7 +101,7 @@
     assert anyio.run(go) == ("disk", ("claim_follower", DISK_QUEUE_LENGTH), False, None)
 
 
-def test_bodies_are_held_up_to_a_bound_and_refused_beyond_it():
+def test_bodies_are_buffered_up_to_a_limit_and_refused_beyond_it():
     async def go():
         d = daemon()
         with d.reserve_body(MAX_BUFFERED_BODY_BYTES - 10), pytest.raises(SilvergladeError) as e:
@@ -115,8 +114,8 @@
     assert anyio.run(go) == 11
 
 
-class Door:
-    """A daemon whose door refuses a head."""
+class RefusingDaemon:
+    """A daemon that refuses the head of a request."""
 
     def __init__(self, *answer):
         self.settings, self.answer, self.read = {"operator_key": "", "name": "d"}, answer, 0
@@ -126,23 +125,23 @@
 
 
 def test_an_unknown_key_is_refused_before_its_body_is_read():
-    d = Door(202, {"ran": "no"})
+    d = RefusingDaemon(202, {"ran": "no"})
     got = http(d, "POST", "/v1/orders/chat", b"x" * 10, more=[{"type": "http.disconnect"}])
-    assert got[0] == 401  # a body that was read would have ended in 205
+    assert got[0] == 401  # if the body had been read, its disconnect would have led to result code 205
 
 
-def test_a_body_half_sent_is_given_up_in_bounded_time(monkeypatch):
+def test_reading_an_incomplete_body_times_out(monkeypatch):
     monkeypatch.setattr(asgi, "BODY_TIMEOUT_S", 0)
     with pytest.raises(SilvergladeError) as e:
         anyio.run(asgi.read_body, anyio.sleep_forever, {})
     assert e.value.code == 311
 
 
-def slow_disk():
+def completed_with_slow_disk():
     s = Scene(town="hamlet")
     s.settle()
-    fol = s.w.nodes["edge-north-0"].store["duty/shard/pair"][1][2]
-    s.w.nodes[fol].disk.slow = 0.3 * SEC
+    follower = s.w.nodes["edge-north-0"].store["duty/shard/pair"][1][2]
+    s.w.nodes[follower].disk.slow = 0.3 * SEC
     for i in range(24):
         s.w.after(i * SEC / 24, lambda: s.order(tenant="pair", cls="chat", retry=False, at="edge-middle-0"))
     s.w.run(6)
@@ -150,16 +149,19 @@
     return s.told().get("ok", 0)
 
 
-def test_what_waits_for_a_slow_disk_is_synced_together(monkeypatch):
-    assert slow_disk() >= 20
+def test_writes_that_wait_for_a_slow_disk_share_a_sync(monkeypatch):
+    assert completed_with_slow_disk() >= 20
     turn = world.World.turn
     monkeypatch.setattr(world.World, "turn", lambda w, d, n: turn(w, d, 1))
-    assert slow_disk() <= 10  # one sync for each write
+    assert completed_with_slow_disk() <= 10  # one sync for each write
 
 
-def large(own_way, monkeypatch):
-    """A large configuration, which travels compressed, over links of 8 kB a second, with and without a connection for what is bulky."""
-    if not own_way:
+def run_with_large_configuration(has_bulk_connection, monkeypatch):
+    """Distribute a large (compressed) configuration over links of 8 kB/s, with or without a separate connection for bulk data.
+
+    Return the number of failure and pause events, and the result code of the latest acknowledged change.
+    """
+    if not has_bulk_connection:
         monkeypatch.setattr(world, "queue_for", lambda kind: "bulk")
     s = Scene(town="hamlet")
     s.settle()
@@ -169,9 +171,9 @@
     return sum(s.o.events[k] - n.get(k, 0) for k in ("daemon-dead", "seek", "process-paused")), s.o.acked[-1][2]
 
 
-def test_a_large_configuration_holds_up_no_heartbeat(monkeypatch):
-    assert large(True, monkeypatch) == (0, 100)
-    assert large(False, monkeypatch)[0] > 0
+def test_a_large_configuration_delays_no_heartbeats(monkeypatch):
+    assert run_with_large_configuration(True, monkeypatch) == (0, 100)
+    assert run_with_large_configuration(False, monkeypatch)[0] > 0
 
 
 def test_a_log_that_cannot_be_written_does_not_end_the_daemon():
@@ -183,51 +185,51 @@
 
     h = log.LossyStream(Full())
     h.write("x")
-    lg = log.setup(stream=Full())
+    logger = log.setup(stream=Full())
     for _ in range(3):
-        lg.info("event=x")
+        logger.info("event=x")
     assert h.lost == 1
 
 
-def test_a_fallen_child_is_started_again_and_one_that_keeps_falling_goes_up(monkeypatch):
+def test_a_failed_task_is_restarted_and_raises_after_too_many_failures(monkeypatch):
     async def at_once(t):
         await anyio.lowlevel.checkpoint()
 
-    monkeypatch.setattr(tree.anyio, "sleep", at_once)
+    monkeypatch.setattr(supervisor.anyio, "sleep", at_once)
     runs = []
 
-    async def child(falls):
+    async def child(failures):
         runs.append(1)
-        if len(runs) <= falls:
-            raise OSError("fell")
+        if len(runs) <= failures:
+            raise OSError("failed")
 
-    anyio.run(lambda: tree.supervise(name="x", run=lambda: child(3), logger=Quiet()))
+    anyio.run(lambda: supervisor.supervise(name="x", run=lambda: child(3), logger=Quiet()))
     assert len(runs) == 4
     runs.clear()
     with pytest.raises(OSError):
-        anyio.run(lambda: tree.supervise(name="x", run=lambda: child(99), logger=Quiet()))
-    assert len(runs) == tree.MAX_FAILURES
+        anyio.run(lambda: supervisor.supervise(name="x", run=lambda: child(99), logger=Quiet()))
+    assert len(runs) == supervisor.MAX_FAILURES
 
 
-def test_a_slow_visitor_of_a_handed_on_stream_holds_up_its_replica():
+def test_a_slow_client_of_a_relayed_stream_pauses_reading_from_the_replica():
     s = Scene(town="hamlet")
     s.settle()
     for r in s.w.replicas.values():
         r.pieces, r.step = 400, 4
-    eased, was = [], s.w.effect
-    s.w.effect = lambda n, e: eased.append((n.zone, *e)) if e[0] == "ease" else was(n, e)
-    oid = s.order(tenant="pair", cls="lookup", at="edge-north-0", retry=False, old=0)
+    backpressure, apply_effect = [], s.w.effect
+    s.w.effect = lambda n, e: backpressure.append((n.zone, *e)) if e[0] == "ease" else apply_effect(n, e)
+    request_id = s.order(tenant="pair", cls="lookup", at="edge-north-0", retry=False, old=0)
     s.w.run(1)
-    assert [e[1:] for e in eased] == [("ease", oid, False)] and eased[0][0] in ("middle", "south")
-    s.w.nodes["edge-north-0"].feed(("drained", oid, 64))
+    assert [e[1:] for e in backpressure] == [("ease", request_id, False)] and backpressure[0][0] in ("middle", "south")
+    s.w.nodes["edge-north-0"].feed(("drained", request_id, 64))
     s.w.run(0.1)
-    assert len(eased) == 1  # still too much is on its way
-    s.w.nodes["edge-north-0"].feed(("drained", oid, 230))
+    assert len(backpressure) == 1  # still too many unread results
+    s.w.nodes["edge-north-0"].feed(("drained", request_id, 230))
     s.w.run(0.1)
-    assert [e[1:] for e in eased[1:]] == [("ease", oid, True)]
+    assert [e[1:] for e in backpressure[1:]] == [("ease", request_id, True)]
 
 
-def test_a_dispatch_whose_visitor_is_slow_reads_no_further(monkeypatch):
+def test_a_dispatch_with_a_slow_client_stops_reading(monkeypatch):
     async def go():
         d, read = daemon(), []
 
@@ -250,20 +252,20 @@
 
 
 def test_the_word_of_a_stop_overtakes_requests_that_came_before_it_and_is_not_lost_in_a_crowd():
-    """Guards against a router that takes requests because the word that the daemon stops waits behind them, or for room."""
+    """Guards against a router that accepts requests because the shutdown event waits behind them or for room in its queue."""
 
     async def go():
-        q = lanes.PriorityQueues()
+        queues = priority_queues.PriorityQueues()
         for i in range(200):
-            q.admit(("request", i, {}))
-        for i in range(lanes.QUEUE_LENGTHS[lanes.Queue.CONTROL]):
-            await q.send(("msg", "x", ("hb", i)))
+            queues.admit(("request", i, {}))
+        for i in range(priority_queues.QUEUE_LENGTHS[priority_queues.Queue.CONTROL]):
+            await queues.send(("msg", "x", ("hb", i)))
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(q.send, ShutdownStarted(1 * SEC, 2 * SEC, 3 * SEC))  # waits for room
+            tasks.start_soon(queues.send, ShutdownStarted(1 * SEC, 2 * SEC, 3 * SEC))  # waits for room in the queue
             await anyio.lowlevel.checkpoint()
             got = []
             while not got or got[-1] != ShutdownStarted.TAG:
-                got.append((await q.take())[0])
+                got.append((await queues.take())[0])
                 if len(got) % EVENTS_PER_TURN == 0:  # as run_machine does
                     await anyio.lowlevel.checkpoint()
         assert "request" not in got
--- a/tests/server/test_replica_calls.py
+++ b/tests/server/test_replica_calls.py
@@ -1,19 +1,19 @@
-"""Answers of replicas (design 7.6): late, short, another's, an error; each an honest `ran`."""
+"""Responses of replicas to dispatches (design 7.6): short, broken off, of another dispatch, errors; each reported with the right `ran`."""
 
 import anyio
 import httpcore
 import pytest
 
-from silverglade.server import replica_calls as callout
+from silverglade.server import replica_calls
 
 META = dict(tenant="t", cls="c", prefix="", due=1000, kind="model")
 
 
 def request(*, stream):
-    return callout.DispatchRequest.from_facts("o.1", "1.2.3.4:5", dict(META, stream=stream), b"{}")
+    return replica_calls.DispatchRequest.from_facts("o.1", "1.2.3.4:5", dict(META, stream=stream), b"{}")
 
 
-class Rsp:
+class Response:
     def __init__(self, status, headers, chunks, end=None):
         self.status, self.chunks, self.end = status, chunks, end
         self.headers = [(k.encode(), v.encode()) for k, v in headers.items()]
@@ -26,26 +26,26 @@
 
 
 class Pool:
-    def __init__(self, rsp):
-        self.rsp, self.sent = rsp, None
+    def __init__(self, response):
+        self.response, self.sent = response, None
 
     def stream(self, verb, url, headers, content, extensions):
         self.sent = (verb, url, dict(headers), content)
         pool = self
 
-        class Cm:
+        class ResponseContext:
             async def __aenter__(self):
-                if isinstance(pool.rsp, Exception):
-                    raise pool.rsp
-                return pool.rsp
+                if isinstance(pool.response, Exception):
+                    raise pool.response
+                return pool.response
 
             async def __aexit__(self, *e):
                 return False
 
-        return Cm()
+        return ResponseContext()
 
 
-def run(rsp, stream=False):
+def run(response, stream=False):
     said = []
 
     async def report(*what):
@@ -54,8 +54,8 @@
     async def wait_for_client():
         pass
 
-    pool = Pool(rsp)
-    anyio.run(lambda: callout.dispatch(pool=pool, request=request(stream=stream), report=report, wait_for_client=wait_for_client))
+    pool = Pool(response)
+    anyio.run(lambda: replica_calls.dispatch(pool=pool, request=request(stream=stream), report=report, wait_for_client=wait_for_client))
     return said
 
 
@@ -63,41 +63,41 @@
 
 
 @pytest.mark.parametrize(
-    "rsp,said",
+    "response,said",
     [
-        (Rsp(200, OK, [b"ab", b"cd"]), [("whole", b"abcd")]),
-        (Rsp(200, OK, [b"ab"]), [("fault", "yes")]),  # short
-        (Rsp(200, {**OK, "Silverglade-Dispatch": "o.2"}, [b"abcd"]), [("fault", "maybe")]),  # another's
-        (Rsp(200, {"Silverglade-Dispatch": "o.1"}, [b"abcd"]), [("fault", "yes")]),  # no length
-        (Rsp(500, OK, [b"abcd"]), [("fault", "maybe")]),
-        (Rsp(503, OK, []), [("fault", "maybe")]),  # no word of not having run
-        (Rsp(503, {"Silverglade-Ran": "no"}, []), [("refused",)]),
-        (Rsp(200, OK, [b"ab"], httpcore.ReadError()), [("fault", "maybe")]),
+        (Response(200, OK, [b"ab", b"cd"]), [("whole", b"abcd")]),
+        (Response(200, OK, [b"ab"]), [("fault", "yes")]),  # short
+        (Response(200, {**OK, "Silverglade-Dispatch": "o.2"}, [b"abcd"]), [("fault", "maybe")]),  # of another dispatch
+        (Response(200, {"Silverglade-Dispatch": "o.1"}, [b"abcd"]), [("fault", "yes")]),  # no length
+        (Response(500, OK, [b"abcd"]), [("fault", "maybe")]),
+        (Response(503, OK, []), [("fault", "maybe")]),  # no header that it did not run
+        (Response(503, {"Silverglade-Ran": "no"}, []), [("refused",)]),
+        (Response(200, OK, [b"ab"], httpcore.ReadError()), [("fault", "maybe")]),
         (httpcore.ConnectError(), [("refused",)]),
         (httpcore.ConnectTimeout(), [("refused",)]),
         (httpcore.WriteError(), [("fault", "maybe")]),
         (httpcore.RemoteProtocolError(), [("fault", "maybe")]),
     ],
 )
-def test_a_plain_answer_is_a_success_only_when_whole_and_its_own(rsp, said):
-    assert run(rsp) == said
+def test_a_response_is_a_success_only_if_complete_and_of_this_dispatch(response, said):
+    assert run(response) == said
 
 
-def test_a_stream_without_its_mark_of_success_is_a_fault():
+def test_a_stream_without_a_done_event_is_a_fault():
     two = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
-    assert run(Rsp(200, OK, [two, b"event: done\nid: 2\n\n"]), True) == [("piece", 1, b"a"), ("piece", 2, b"b"), ("done", 2)]
-    assert run(Rsp(200, OK, [two]), True)[-1] == ("fault", "yes")
-    assert run(Rsp(200, OK, [two, b"event: fault\n\n"]), True)[-1] == ("fault", "yes")
-    assert run(Rsp(200, OK, [two], httpcore.ReadError()), True)[-1] == ("fault", "maybe")
+    assert run(Response(200, OK, [two, b"event: done\nid: 2\n\n"]), True) == [("piece", 1, b"a"), ("piece", 2, b"b"), ("done", 2)]
+    assert run(Response(200, OK, [two]), True)[-1] == ("fault", "yes")
+    assert run(Response(200, OK, [two, b"event: fault\n\n"]), True)[-1] == ("fault", "yes")
+    assert run(Response(200, OK, [two], httpcore.ReadError()), True)[-1] == ("fault", "maybe")
 
 
-def test_the_dispatch_carries_its_id_tenant_and_due():
-    p = Pool(Rsp(503, {"Silverglade-Ran": "no"}, []))
+def test_a_dispatch_carries_its_id_and_deadline():
+    p = Pool(Response(503, {"Silverglade-Ran": "no"}, []))
 
     async def nothing(*a):
         pass
 
-    anyio.run(lambda: callout.dispatch(pool=p, request=request(stream=False), report=nothing, wait_for_client=nothing))
+    anyio.run(lambda: replica_calls.dispatch(pool=p, request=request(stream=False), report=nothing, wait_for_client=nothing))
     verb, url, head, body = p.sent
     assert (verb, url, body) == ("POST", "http://1.2.3.4:5/v1/run", b"{}")
     assert head["Silverglade-Dispatch"] == "o.1" and head["Silverglade-Due"] == "1000"
--- a/tests/server/test_shutdown_answers.py
+++ b/tests/server/test_shutdown_answers.py
@@ -1,4 +1,4 @@
-"""The last moment of a daemon that leaves (design 15.9), over real sockets: an answer, not a cut, for what has begun nothing."""
+"""End of a shutdown (design 15.9), over real sockets: requests whose response has not started are answered rather than broken off."""
 
 import asyncio
 
@@ -11,8 +11,11 @@
 from ..support.scripted_replicas import answer, event, one, scene, stream
 
 
-async def conclude_after(c, d, word):
-    """Ask, wait until the part was told `word` (None: not at all), conclude, and read what comes."""
+async def answer_before_shutdown_after(c, d, word):
+    """Send a request, wait for the outcome `word` unless it is None, and call `answer_before_shutdown`.
+
+    Return the response and whether the connection was closed.
+    """
     d.draining = True
     await c.ask()
     while not d.forwarder.requests:
@@ -23,9 +26,9 @@
     return await c.answer(), await c.closed()
 
 
-def test_a_request_that_no_replica_has_is_told_to_go_elsewhere():
+def test_a_request_not_yet_sent_to_a_replica_may_be_retried_elsewhere():
     async def talk(c, d, rep, client):
-        return await conclude_after(c, d, None)
+        return await answer_before_shutdown_after(c, d, None)
 
     (got, closed), d, rep = scene(says(answer("a1")), talk, part=lambda addr: lambda ev: ())
     status, headers, body, whole = got
@@ -33,7 +36,7 @@
     assert float(headers["retry-after"]) > 0 and b"811" in body and rep.conns == []
 
 
-def test_a_request_that_a_replica_has_is_answered_without_a_promise():
+def test_a_request_sent_to_a_replica_is_answered_as_possibly_run():
     async def script(c):
         await c.request()
         c.replica.at_work.set()
@@ -51,7 +54,7 @@
     assert (got[0], got[3], closed, got[1]["connection"]) == (502, True, True, "close") and d.words() == [(1, "gone")]
 
 
-def test_a_stream_that_has_begun_is_not_touched():
+def test_a_started_stream_is_not_interrupted():
     async def script(c):
         await c.request()
         await c.say(stream("a1", event(1), last=False))
@@ -72,7 +75,7 @@
 
 @pytest.mark.parametrize("end, status", [(RequestEnd.SHUTDOWN, 503), (AnswerClient("r1", 503, 0.1, 811), 503)])
 def test_an_attempt_that_has_not_begun_does_not_run_once_its_request_is_over(end, status):
-    """Guards against a request that runs although it was given up in the turn of the loop in which it was sent on."""
+    """Guards against a request that runs although it was ended in the same iteration of the event loop in which its attempt was queued."""
 
     async def script(c):
         await c.request()
@@ -96,7 +99,7 @@
 
 
 def test_an_attempt_does_not_begin_for_a_client_that_left_in_the_same_turn_of_the_loop():
-    """Guards against a request that reaches a replica after its client has gone (GONE), and runs there to its end."""
+    """Guards against a request that reaches a replica after its client has disconnected (GONE), and runs there to its end."""
 
     async def script(c):
         await c.request()
--- a/tests/server/test_stop_under_load.py
+++ b/tests/server/test_stop_under_load.py
@@ -1,4 +1,4 @@
-"""Real daemons stopped under load (design 15.9): incident stream-cut-at-the-end-of-grace."""
+"""Real daemons stopped under load (design 15.9); guards against the incident stream-cut-at-the-end-of-grace."""
 
 import asyncio
 import shutil
@@ -14,7 +14,7 @@
 
 
 class Load:
-    """Clients of one daemon that stay with it, whatever they are told, until its process is gone; they come back to the next one."""
+    """Clients that keep using one daemon, whatever it answers, until its process has exited, and then use its successor."""
 
     def __init__(self, deployment, ip, tasks):
         self.deployment, self.ip, self.tasks, self.lives = deployment, ip, tasks, []
@@ -41,7 +41,7 @@
 
 
 async def stop_once(load, stops, ready_after):
-    """SIGTERM, bursts until the process is gone; notes how long the daemon still called itself ready."""
+    """Send SIGTERM, then bursts of requests until the process has exited; record for how long the daemon still reported itself ready."""
     deployment = load.deployment
     life = deployment.stop(load.ip)
     stops[life.number] = life.told_at
@@ -55,13 +55,17 @@
             await asyncio.sleep(0.05)
 
     load.tasks.start_soon(watch)
-    took_s = await deployment.end(life)  # on a busy machine an interpreter may be at its own end longer than its grace; its work has ended
+    # on a busy machine the exit of the interpreter may exceed the grace period; the log then has to show that the work had ended
+    took_s = await deployment.end(life)
     stopped = sum(told in stops for told in load.lives)
-    assert took_s < GRACE_S or deployment.log(load.ip).count("event=stop") == stopped, f"{load.ip} was killed at its work"
+    assert took_s < GRACE_S or deployment.log(load.ip).count("event=stop") == stopped, f"{load.ip} was killed before its work ended"
 
 
 async def rolled(folder, *, net, seed, edges, slow=(), stops_each=2, hangups=True, program=TOP):
-    """Daemons stopped 0.25 s after each other and started again, some told to read their settings meanwhile -> what was seen."""
+    """Stop and restart daemons, one 0.25 s after the other, with SIGHUP before each stop if `hangups`.
+
+    Return the deployment, the time of each stop, and for how long each stopped daemon still reported itself ready.
+    """
     deployment, stops, ready_after = Deployment(folder, net=net, edges=edges, seed=seed, program=program), {}, {}
     rng = deployment.rng
 
@@ -86,12 +90,12 @@
         async with anyio.create_task_group() as rolls:
             for i, load in enumerate(loads):
                 rolls.start_soon(roll, load, 4 + 0.25 * i)
-        tasks.cancel_scope.cancel()  # what goes on at a process that goes on is none of this
+        tasks.cancel_scope.cancel()  # what continues at a running process is not part of the test
     return deployment, stops, ready_after
 
 
-def test_no_stream_is_taken_late_and_cut_by_real_daemons_stopped_in_a_row(tmp_path):
-    """Guards against a stream that is passed on seconds after SIGTERM and cut at the end of the grace (LOST)."""
+def test_no_late_stream_is_accepted_and_broken_off_during_a_rolling_restart(tmp_path):
+    """Guards against a stream that is accepted seconds after SIGTERM and broken off at the end of the grace period (LOST)."""
     deployment, stops, ready_after = asyncio.run(rolled(tmp_path, net=81, seed=1, edges=2, slow=(1,)))
     late = [seen for seen in deployment.tries.values() if seen.life in stops and seen.sent_at > stops[seen.life]]
     assert len(stops) == 4 and len(late) > 100 and any(seen.status == 503 for seen in late)
@@ -103,7 +107,7 @@
     ("silverglade/routing/graceful_shutdown.py", "if self.answer_at is None or deadline <= self.answer_at:", "if True:"),
     ("platform/words.py", "TTL = 1\n", "TTL = 2\n"),
 )
-"""Without them a daemon is as it was at the incident: open for 6 s, taking all that comes."""
+"""Without them a daemon behaves as in the incident: it keeps listening for 6 s and accepts every request."""
 
 
 @pytest.fixture
@@ -119,7 +123,7 @@
 
 
 def test_without_the_guards_the_same_load_shows_the_incident(tmp_path, program_without_guards):
-    """Guards against a check that could not fail: the daemon as it was then loses streams in this very play."""
+    """Guards against a check that cannot fail: without the guards, the daemon loses streams in this scenario."""
     deployment, stops, _ = asyncio.run(
         rolled(tmp_path, net=82, seed=1, edges=1, stops_each=1, hangups=False, program=program_without_guards)
     )
@@ -135,20 +139,20 @@
 @pytest.mark.parametrize(
     "rules, one",
     [
-        (["LOST"], seen(105.6, 107.02, busy=[(105.6, None)])),  # the users' first record
-        (["LOST"], seen(104.0, 107.02, busy=[(104.0, None)])),  # and their second one
-        ([], seen(102.9, 107.02, busy=[(102.9, None)])),  # at work in the last sixth, sent in time
-        (["LOST"], seen(102.9, 106.5, busy=[(102.9, None)])),  # cut before the last sixth
-        (["LOST"], seen(99.0, 107.0, status=0, busy=[(99.1, 103.0)])),  # its replica had ended long before
-        ([], seen(92.1, 107.1, busy=[(92.2, None)])),  # its time was over
-        ([], seen(103.0, 107.1, busy=[(103.0, None)], path="/short/9")),  # its route's time was over
-        ([], seen(106.0, 106.1, status=0)),  # it crossed the close
-        (["LOST"], seen(106.0, 106.3, status=0)),  # it was read
+        (["LOST"], seen(105.6, 107.02, busy=[(105.6, None)])),  # the first case recorded by the users
+        (["LOST"], seen(104.0, 107.02, busy=[(104.0, None)])),  # the second one
+        ([], seen(102.9, 107.02, busy=[(102.9, None)])),  # sent in time, still running in the last sixth of the grace period
+        (["LOST"], seen(102.9, 106.5, busy=[(102.9, None)])),  # broken off before the last sixth
+        (["LOST"], seen(99.0, 107.0, status=0, busy=[(99.1, 103.0)])),  # its replica had finished long before
+        ([], seen(92.1, 107.1, busy=[(92.2, None)])),  # the client's deadline had passed
+        ([], seen(103.0, 107.1, busy=[(103.0, None)], path="/short/9")),  # the deadline of its route had passed
+        ([], seen(106.0, 106.1, status=0)),  # it arrived while the connection was being closed
+        (["LOST"], seen(106.0, 106.3, status=0)),  # it was read by the daemon
         (["REFUSED"], seen(101.0, 101.2, status=503, whole=True, busy=[(101.1, None)])),
         (["NO-CLOSE"], seen(101.0, 101.2, status=503, whole=True, connection="")),
         ([], seen(101.0, 101.2, status=503, whole=True)),
     ],
 )
-def test_the_oracle_knows_the_rule_and_its_excuses(rules, one):
-    """Guards against an oracle that excuses what the users do not, or blames what they excuse."""
+def test_the_oracle_applies_the_rules_and_their_exceptions(rules, one):
+    """Guards against an oracle that excuses a loss which users do not accept, or reports one which they accept."""
     assert list(broken_rules(one, 100.0)) == rules
