--- a/silverglade/server/attempt_runner.py
+++ b/silverglade/server/attempt_runner.py
@@ -28,7 +28,7 @@
 """Connection limit for health checks: they are not subject to the limit per replica."""
 
 MAX_RESPONSES_READ = 4
-"""Surplus responses to earlier attempts may precede the response to this attempt; so many responses are read, the last of them included."""
+"""Most responses that an attempt reads: surplus responses to earlier attempts may precede its own."""
 
 MAX_STATUS = 599
 SWITCHING_PROTOCOLS = 101
@@ -52,7 +52,7 @@
 
 
 def body_stream(response: httpcore.Response) -> BodyStream:
-    """Return the body of a response to an asynchronous request, with the type that httpcore does not state."""
+    """Return the body of a response to an asynchronous request; httpcore's type also allows the synchronous kind."""
     return cast(BodyStream, response.stream)
 
 
--- a/silverglade/server/disk.py
+++ b/silverglade/server/disk.py
@@ -21,10 +21,10 @@
 """The only file in the folder, besides its journal."""
 
 APPLICATION_ID = 0x51_76_6C_67
-SCHEMA_VERSION = 2
-"""Stored as SQLite's user_version."""
+LAYOUT_VERSION = 2
+"""Version of the file's layout (its schema and encoding), stored as SQLite's user_version."""
 
-OLDER_SCHEMA_VERSIONS = (1,)
+OLDER_LAYOUT_VERSIONS = (1,)
 """Versions that are read and upgraded: 1, from before views could have several backups."""
 
 IDENTITY_TABLE = "ident"
@@ -58,7 +58,7 @@
 
     :ivar id: random id of this disk, generated when the database is created.
     :ivar database: the open database.
-    :raises DamagedDataError: the folder is damaged, has an unknown schema version, is in use, or belongs to another daemon or program.
+    :raises DamagedDataError: the folder is damaged, has an unknown layout, is in use, or belongs to another daemon or program.
     """
 
     def __init__(self, *, folder: str, name: str) -> None:
@@ -81,24 +81,24 @@
             raise DamagedDataError(f"{path}: {error}") from error
 
     def _open(self, is_new: bool) -> None:
-        """Validate and lock the file; create the schema if the file is new."""
-        has_older_schema = False
+        """Validate and lock the file; create the table if the file is new."""
+        has_older_layout = False
         if not is_new:
             is_new = self._is_empty()
-            has_older_schema = not is_new and self._check_schema_version() in OLDER_SCHEMA_VERSIONS
+            has_older_layout = not is_new and self._check_layout_version() in OLDER_LAYOUT_VERSIONS
         self._lock()
         if is_new:
-            self._create_schema()
+            self._create_table()
         self._check_integrity()
         self._check_identity()
-        if has_older_schema:  # from now on, a program that reads only the older version refuses the file
-            self.database.execute(f"PRAGMA user_version={SCHEMA_VERSION}")
+        if has_older_layout:  # from now on, a program that reads only the older version refuses the file
+            self.database.execute(f"PRAGMA user_version={LAYOUT_VERSION}")
 
     def _pragma(self, name: str) -> Any:
         return self.database.execute(f"PRAGMA {name}").fetchone()[0]
 
     def _is_empty(self) -> bool:
-        """Return whether an existing file is empty, as after a crash before the schema was created.
+        """Return whether an existing file is empty, as after a crash before the table was created.
 
         :raises DamagedDataError: the file belongs to another program.
         """
@@ -109,18 +109,18 @@
             raise DamagedDataError("the file is not silverglade's")
         return True
 
-    def _check_schema_version(self) -> int:
-        """Return the file's schema version.
+    def _check_layout_version(self) -> int:
+        """Return the version of the file's layout.
 
         :raises DamagedDataError: the version is unknown.
         """
-        schema_version: int = self._pragma("user_version")
-        if schema_version not in (SCHEMA_VERSION, *OLDER_SCHEMA_VERSIONS):
+        layout_version: int = self._pragma("user_version")
+        if layout_version not in (LAYOUT_VERSION, *OLDER_LAYOUT_VERSIONS):
             raise DamagedDataError(
-                f"the file has schema version {schema_version}, this program reads {SCHEMA_VERSION}: start the program version that wrote"
-                " it; or move the folder away, start with an empty one, and let this core rejoin by a copy from another core",
+                f"the file has layout {layout_version}, this program reads {LAYOUT_VERSION}: start the program that wrote"
+                " it; or move the folder away, start empty, and let this core rejoin by a copy",
             )
-        return schema_version
+        return layout_version
 
     def _lock(self) -> None:
         """Lock the file exclusively before the first write too: two daemons that had only read would block each other's writes."""
@@ -133,12 +133,12 @@
         ):
             self.database.execute(statement)
 
-    def _create_schema(self) -> None:
+    def _create_table(self) -> None:
         """Create the table and store the daemon's name and a new disk id."""
         execute = self.database.execute
         execute("BEGIN EXCLUSIVE")
         execute(f"PRAGMA application_id={APPLICATION_ID}")
-        execute(f"PRAGMA user_version={SCHEMA_VERSION}")
+        execute(f"PRAGMA user_version={LAYOUT_VERSION}")
         execute("CREATE TABLE kv (tab TEXT NOT NULL, key TEXT NOT NULL, val BLOB NOT NULL, PRIMARY KEY (tab, key)) WITHOUT ROWID")
         execute(
             f"INSERT INTO kv VALUES ('{IDENTITY_TABLE}', 'name', ?), ('{IDENTITY_TABLE}', 'disk', ?)",
--- a/silverglade/server/response_timeouts.py
+++ b/silverglade/server/response_timeouts.py
@@ -38,7 +38,7 @@
 class SilenceWatch:
     """Monitors the replicas of the attempts in progress.
 
-    :param report: called each time that the limit passes without data from the replica.
+    :param report: called whenever a replica has been silent for the limit, and again after each further such period.
     :ivar watched_attempts: the monitored attempts by request.
     :ivar reports: tasks of reports that have not reached the router yet.
     """
--- a/silverglade/server/shutdown.py
+++ b/silverglade/server/shutdown.py
@@ -46,9 +46,9 @@
 
     def watch(self) -> None:
         """Install the handler. Call this after the event loop has installed its own, which is still woken up by the signal."""
-        signal.signal(signal.SIGTERM, self._note)
+        signal.signal(signal.SIGTERM, self._record)
 
-    def _note(self, *_: Any) -> None:
+    def _record(self, *_: Any) -> None:
         self.signalled_at = self.signalled_at or clock()
 
 
--- a/tests/server/test_disk.py
+++ b/tests/server/test_disk.py
@@ -68,7 +68,7 @@
     assert not [f for f in os.listdir(tmp_path) if f.endswith(("-shm", "-wal"))]
 
 
-def test_an_older_schema_version_is_upgraded(tmp_path):
+def test_an_older_layout_is_upgraded(tmp_path):
     store = DataFolder(folder=str(tmp_path), name="a")
     store.write([("put", "meta", "sealed", 3)])
     store.database.execute("PRAGMA user_version=1")
@@ -88,7 +88,7 @@
     store.close()
 
 
-def test_a_folder_of_another_core_keeps_its_schema_version_and_is_unlocked(tmp_path):
+def test_a_folder_of_another_core_keeps_its_layout_and_is_unlocked(tmp_path):
     store = DataFolder(folder=str(tmp_path), name="b")
     store.database.execute("PRAGMA user_version=1")
     store.close()
