--- a/tests/http/test_every_byte_breaches.py
+++ b/tests/http/test_every_byte_breaches.py
@@ -36,7 +36,7 @@
     (
         "any response accepted",
         R,
-        "is_ours",
+        "is_for_attempt",
         lambda s, a, h: True,
         test_every_byte.test_a_surplus_response_at_any_position_answers_no_request,
     ),
--- a/tests/http/test_forwarding_breaches.py
+++ b/tests/http/test_forwarding_breaches.py
@@ -55,7 +55,7 @@
 
 
 def put_without_disconnect(a, e, put=client_request.ClientRequest.put):
-    return None if e is client_request.RequestEnd.CLIENT_GONE else put(a, e)
+    return None if e is client_request.RequestEnd.CLIENT_DISCONNECTED else put(a, e)
 
 
 def put_without_cancel(a, e, put=client_request.ClientRequest.put):
@@ -77,8 +77,8 @@
 
 SKIPPED = [i for i, (_, _, want) in enumerate(RESPONSE_CASES) if want == (200, b"ok")][1]  # the first such case has a 1xx response
 CASES = [
-    ("id", R, "is_ours", lambda s, a, h: True, outcome_case(SKIPPED)),
-    ("id missing", R, "is_ours", lambda s, a, h: True, outcome_case(plain_case((1, "lost", "not-ours")))),
+    ("id", R, "is_for_attempt", lambda s, a, h: True, outcome_case(SKIPPED)),
+    ("id missing", R, "is_for_attempt", lambda s, a, h: True, outcome_case(plain_case((1, "lost", "not-ours")))),
     (
         "seal",
         scripted,
@@ -93,7 +93,7 @@
         DEFAULT_DIALECT._replace(not_run=b"x"),
         outcome_case(plain_case((1, "not-run", 503, 0.75))),
     ),
-    ("length", R, "states_end", lambda s, a, r, h: True, outcome_case(plain_case((1, "lost", "no-length")))),
+    ("length", R, "is_self_delimited", lambda s, a, r, h: True, outcome_case(plain_case((1, "lost", "no-length")))),
     ("skipping other responses", attempt_runner, "MAX_RESPONSES_READ", 1, outcome_case(SKIPPED)),
     (
         "skipping without limit",
@@ -125,7 +125,7 @@
     (
         "length of a stream",
         attempt_runner,
-        "without_length",
+        "without_content_length",
         lambda h: h,
         test_forwarding.test_a_stream_with_a_length_is_forwarded_in_chunks,
     ),
@@ -146,8 +146,8 @@
     (
         "forget timer",
         S,
-        "set_forget_timer",
-        lambda s, a, left: setattr(a, "forget_timer", a.forget_timer or type("No", (), {"cancel": lambda s: None})()),
+        "set_deadline_timer",
+        lambda s, a, left: setattr(a, "deadline_timer", a.deadline_timer or type("No", (), {"cancel": lambda s: None})()),
         lambda: test_forwarding_ends.test_overload_and_a_deadline_that_the_router_misses_end_in_an_error(pytest.MonkeyPatch()),
     ),
     ("client gone", A, "put", put_without_disconnect, test_forwarding_ends.test_a_disconnect_ends_a_request_with_or_without_an_attempt),
--- a/tests/http/test_forwarding_ends.py
+++ b/tests/http/test_forwarding_ends.py
@@ -127,7 +127,7 @@
 
     got, d, _ = scene(says(), full)
     assert got[0] == 503 and "retry-after" in got[1] and d.told == []
-    monkeypatch.setattr(request_forwarding, "FORGET_MARGIN", connection_pool.SECOND / 100)
+    monkeypatch.setattr(request_forwarding, "DEADLINE_MARGIN", connection_pool.SECOND / 100)
 
     async def forgot(c, d, rep, client):
         await c.ask(more=("Silverglade-Due: 10",))
@@ -257,7 +257,7 @@
         monkeypatch.setattr(silence.time, "monotonic", lambda: now[0])
 
         def row(patience, *, pause=None, started=False):
-            request = FakeRequest(request_id="r1", was_started=started, last_event_id=None)
+            request = FakeRequest(request_id="r1", is_response_started=started, last_event_id=None)
             stream = SimpleNamespace(received_at=0.0, replica_activity=activity)
             d.forwarder.attempts.silence.begin(request, 1, SimpleNamespace(patience=patience, pause=pause), SimpleNamespace(stream=stream))
             return request
@@ -265,7 +265,7 @@
         activity = connection_pool.ReplicaActivity()
         quiet, other = row(SHORT), row(None)
         stream = row(SHORT * 100, pause=SHORT, started=True)
-        assert quiet in d.forwarder.attempts.silence.under_way and other not in d.forwarder.attempts.silence.under_way
+        assert quiet in d.forwarder.attempts.silence.watched_attempts and other not in d.forwarder.attempts.silence.watched_attempts
         now[0] += 0.02
         d.forwarder.attempts.silence.check()
         assert not d.forwarder.attempts.silence.reports  # not long enough
@@ -278,7 +278,7 @@
         d.forwarder.attempts.silence.check()
         assert len(d.forwarder.attempts.silence.reports) == 2  # reported once until the same time has passed again
         await asyncio.gather(*d.forwarder.attempts.silence.reports)
-        del d.forwarder.attempts.silence.under_way[quiet], d.forwarder.attempts.silence.under_way[stream]
+        del d.forwarder.attempts.silence.watched_attempts[quiet], d.forwarder.attempts.silence.watched_attempts[stream]
         d.forwarder.attempts.silence.timer.cancel()
         assert [e[3] for e in d.told] == ["silent", "silent"]
 
