--- a/tests/runtime/test_record.py
+++ b/tests/runtime/test_record.py
@@ -1,4 +1,4 @@
-"""Records behave as dataclasses with slots do, whichever of their classes is used first."""
+"""Records behave like dataclasses with slots, whether the base class or the subclass is instantiated first."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 def new_classes():
-    """A base class and a subclass, neither of which was used yet."""
+    """Return a new base class and a subclass, neither of which has been instantiated."""
 
     class Base(Record):
-        """Two fields."""
+        """A record with two fields."""
 
         TAG: ClassVar[str] = "b"
         first: int
         second: int = 2
 
     class Derived(Base):
-        """One more."""
+        """A record with one more field."""
 
         third: str = "x"
 
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("values, named", [((), {}), ((1, 2, 3), {}), ((1,), {"other": 1}), ((1,), {"first": 1})])
-def test_wrong_arguments_are_refused_by_the_first_use_and_by_later_ones(values, named):
+def test_wrong_arguments_raise_type_error_on_the_first_and_later_instantiations(values, named):
     base, _ = new_classes()
     for _ in range(2):
         with pytest.raises(TypeError):
--- a/tests/transport/test_connections.py
+++ b/tests/transport/test_connections.py
@@ -1,26 +1,25 @@
-"""Links between daemons (design 3.1): what a peer that was away is told when it is back, and how soon."""
+"""Connections between daemons (design 3.1): which messages reach a peer that was unreachable, and how soon."""
 
 import socket
 
 import anyio
 import anyio.lowlevel
 
-from silverglade.transport import connections as links
-from silverglade.transport import framing as wire
+from silverglade.transport import connections, framing
 
 
-class Quiet:
-    def info(self, *a):
+class NullLogger:
+    def info(self, *args):
         pass
 
     warning = info
 
 
-class Wire:
-    """A connection that takes all and says nothing."""
+class RecordingConnection:
+    """A connection that records every message sent on it and never receives anything."""
 
-    def __init__(self, got):
-        self.got, self.options = got, {}
+    def __init__(self, received):
+        self.received, self.options = received, {}
 
     def extra(self, attribute):
         return self
@@ -29,111 +28,112 @@
         self.options[level, name] = value
 
     async def send(self, data):
-        self.got.append(wire.decode_frame(data[4:])[2])
+        self.received.append(framing.decode_frame(data[4:])[2])
 
-    async def receive(self, n):
+    async def receive(self, max_bytes):
         await anyio.sleep_forever()
 
     async def __aenter__(self):
         return self
 
-    async def __aexit__(self, *a):
+    async def __aexit__(self, *exception):
         pass
 
 
-def told(monkeypatch, *, held, away):
-    """Said before and after the peer takes a connection, which it refuses so many times -> what it is told."""
-    got, tries, up = [], [], anyio.Event()
+def received_by_peer(monkeypatch, *, max_queue_age_s, refusals):
+    """Send messages 0 to 5 before and 99 after the first connection, which the peer refuses `refusals` times; return those received."""
+    received, attempts, connected = [], [], anyio.Event()
 
     async def connect(ip, port, local_host):
-        tries.append(1)
-        if len(tries) <= away:
+        attempts.append(1)
+        if len(attempts) <= refusals:
             raise OSError("refused")
-        up.set()
-        return Wire(got)
+        connected.set()
+        return RecordingConnection(received)
 
-    async def rest(link, addr, seconds):
+    async def skip_backoff(peers, address, seconds):
         await anyio.lowlevel.checkpoint()
 
-    async def go():
-        link = links.PeerConnections(own_name="a", process_id="l", address="127.0.0.1:1", on_message=None, logger=Quiet())
-        link.set_address("b", "127.0.0.1:2")
-        async with anyio.create_task_group() as link.task_group:
-            for i in range(6):
-                link.send("b", ("alive", i, 0))
-            await up.wait()
+    async def run():
+        peers = connections.PeerConnections(own_name="a", process_id="l", address="127.0.0.1:1", on_message=None, logger=NullLogger())
+        peers.set_address("b", "127.0.0.1:2")
+        async with anyio.create_task_group() as peers.task_group:
+            for number in range(6):
+                peers.send("b", ("alive", number, 0))
+            await connected.wait()
             for _ in range(20):
                 await anyio.lowlevel.checkpoint()
-            link.send("b", ("alive", 99, 0))
+            peers.send("b", ("alive", 99, 0))
             for _ in range(20):
                 await anyio.lowlevel.checkpoint()
-            link.task_group.cancel_scope.cancel()
+            peers.task_group.cancel_scope.cancel()
 
-    monkeypatch.setattr(links, "MAX_QUEUE_AGE_S", held)
-    monkeypatch.setattr(links.anyio, "connect_tcp", connect)
-    monkeypatch.setattr(links.PeerConnections, "_wait_to_reconnect", rest)
-    anyio.run(go)
-    return [body[1] for body in got]
+    monkeypatch.setattr(connections, "MAX_QUEUE_AGE_S", max_queue_age_s)
+    monkeypatch.setattr(connections.anyio, "connect_tcp", connect)
+    monkeypatch.setattr(connections.PeerConnections, "_wait_to_reconnect", skip_backoff)
+    anyio.run(run)
+    return [body[1] for body in received]
 
 
-def test_what_waited_too_long_for_a_peer_that_was_away_never_reaches_its_next_life(monkeypatch):
-    assert told(monkeypatch, held=0.0, away=2) == [99]
+def test_messages_queued_too_long_for_an_unreachable_peer_are_dropped(monkeypatch):
+    assert received_by_peer(monkeypatch, max_queue_age_s=0.0, refusals=2) == [99]
 
 
-def test_what_waited_a_moment_does_and_a_peer_that_was_there_loses_nothing(monkeypatch):
-    assert told(monkeypatch, held=60.0, away=2) == [0, 1, 2, 3, 4, 5, 99]
+def test_messages_queued_briefly_or_for_a_reachable_peer_are_delivered(monkeypatch):
+    assert received_by_peer(monkeypatch, max_queue_age_s=60.0, refusals=2) == [0, 1, 2, 3, 4, 5, 99]
     monkeypatch.undo()
-    assert told(monkeypatch, held=0.0, away=0) == [0, 1, 2, 3, 4, 5, 99]
+    assert received_by_peer(monkeypatch, max_queue_age_s=0.0, refusals=0) == [0, 1, 2, 3, 4, 5, 99]
 
 
-def test_a_peer_that_takes_no_bytes_is_not_waited_for_as_long_as_the_kernel_would(monkeypatch):
-    made = []
+def test_connections_have_a_user_timeout_of_at_most_two_seconds(monkeypatch):
+    """Guards against waiting as long as the kernel would for a peer that acknowledges no data."""
+    opened = []
 
     async def connect(ip, port, local_host):
-        made.append(Wire([]))
-        return made[-1]
-
-    async def go():
-        link = links.PeerConnections(own_name="a", process_id="l", address="127.0.0.1:1", on_message=None, logger=Quiet())
-        link.set_address("b", "127.0.0.1:2")
-        async with anyio.create_task_group() as link.task_group:
-            link.send("b", ("alive", 1, 0))
+        opened.append(RecordingConnection([]))
+        return opened[-1]
+
+    async def run():
+        peers = connections.PeerConnections(own_name="a", process_id="l", address="127.0.0.1:1", on_message=None, logger=NullLogger())
+        peers.set_address("b", "127.0.0.1:2")
+        async with anyio.create_task_group() as peers.task_group:
+            peers.send("b", ("alive", 1, 0))
             await anyio.wait_all_tasks_blocked()
-            link.task_group.cancel_scope.cancel()
+            peers.task_group.cancel_scope.cancel()
 
-    monkeypatch.setattr(links.anyio, "connect_tcp", connect)
-    anyio.run(go)
-    assert 0 < made[0].options[socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT] <= 2000
+    monkeypatch.setattr(connections.anyio, "connect_tcp", connect)
+    anyio.run(run)
+    assert 0 < opened[0].options[socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT] <= 2000
 
 
-def test_a_peer_that_is_heard_is_tried_at_once(monkeypatch):
-    """After a cut: whoever finds the way first brings the other back."""
-    tries, failed = [], anyio.Event()
+def test_a_peer_that_connects_to_this_daemon_is_retried_at_once(monkeypatch):
+    """Guards against slow recovery from a network partition: the side that reconnects first ends the back-off of the other side."""
+    attempted_ports, failed = [], anyio.Event()
 
     async def connect(ip, port, local_host):
-        tries.append(port)
-        if len(tries) == 1:
+        attempted_ports.append(port)
+        if len(attempted_ports) == 1:
             failed.set()
-            raise OSError("no way there")
-        return Wire([])
-
-    async def go():
-        link = links.PeerConnections(own_name="a", process_id="l", address="127.0.0.1:1", on_message=None, logger=Quiet())
-        link.set_address("b", "127.0.0.1:2")
-        async with anyio.create_task_group() as link.task_group:
-            link.send("b", ("alive", 1, 0))
+            raise OSError("unreachable")
+        return RecordingConnection([])
+
+    async def run():
+        peers = connections.PeerConnections(own_name="a", process_id="l", address="127.0.0.1:1", on_message=None, logger=NullLogger())
+        peers.set_address("b", "127.0.0.1:2")
+        async with anyio.create_task_group() as peers.task_group:
+            peers.send("b", ("alive", 1, 0))
             await failed.wait()
             await anyio.wait_all_tasks_blocked()
-            assert len(tries) == 1
-            link.on_peer_reachable("somebody else")
+            assert len(attempted_ports) == 1
+            peers.on_peer_reachable("another daemon")
             await anyio.wait_all_tasks_blocked()
-            assert len(tries) == 1
-            link.on_peer_reachable("b")
+            assert len(attempted_ports) == 1
+            peers.on_peer_reachable("b")
             await anyio.wait_all_tasks_blocked()
-            link.task_group.cancel_scope.cancel()
+            peers.task_group.cancel_scope.cancel()
 
-    monkeypatch.setattr(links, "INITIAL_BACKOFF_S", 3600)
-    monkeypatch.setattr(links, "MAX_QUEUE_AGE_S", 7200)
-    monkeypatch.setattr(links.anyio, "connect_tcp", connect)
-    anyio.run(go)
-    assert tries == [2, 2]
+    monkeypatch.setattr(connections, "INITIAL_BACKOFF_S", 3600)
+    monkeypatch.setattr(connections, "MAX_QUEUE_AGE_S", 7200)
+    monkeypatch.setattr(connections.anyio, "connect_tcp", connect)
+    anyio.run(run)
+    assert attempted_ports == [2, 2]
