--- a/silverglade/runtime/events.py
+++ b/silverglade/runtime/events.py
@@ -300,7 +300,7 @@
 
 
 class QueriedCoreChanged(Event):
-    """This daemon now requests updates from another core ("@address" for a seed)."""
+    """This daemon now requests updates from `core`: the name of a core or zone relay, or "@address" for a seed."""
 
     TAG: ClassVar[str] = "core"
     core: str
--- a/tests/transport/test_framing.py
+++ b/tests/transport/test_framing.py
@@ -143,7 +143,7 @@
 def test_no_message_with_a_valid_shape_crashes_a_daemon():
     from datetime import timedelta
 
-    from silverglade.control.register import Register
+    from silverglade.control import register
     from silverglade.control.view import View
     from silverglade.runtime.daemon_machine import DaemonMachine
     from silverglade.runtime.settings import tuning
@@ -164,7 +164,7 @@
             tuning=tuning(),
             rng=rng,
             disk=disk,
-            saved={"meta": {"reg": Register(base=View(*view)).stored()}} if disk else None,
+            saved={"meta": {"reg": register.Register(base=View(*view)).stored()}} if disk else None,
         )
         for _ in range(150):
             now += timedelta(milliseconds=rng.randrange(100))
