--- a/silverglade/runtime/settings.py
+++ b/silverglade/runtime/settings.py
@@ -53,7 +53,7 @@
     "hedge_gap": duration(default=timedelta(milliseconds=350)),  # wait before each further hedged request, doubled each time
     "certain": duration(default=timedelta(seconds=2.5)),  # with an older proof no request is refused because its route is unknown (5.7)
     "keys_alone": optional(duration()),  # with an older proof no request that needs a key is admitted; None: no limit (17.3)
-    "trust": boolean(default=False),  # start with a store that is not proved newer than this process
+    "trust": boolean(default=False),  # accept a store at start-up without a proof more recent than the start of this process
     "probe": duration(default=timedelta(milliseconds=500)),  # interval between health checks of a tenants' replica (7.6)
     "stale": duration(default=timedelta(seconds=3)),  # a replica whose status is older than this gets no work
     "queue": integer(default=64, least=1),  # maximum number of waiting requests of one tenant
@@ -61,7 +61,7 @@
     "owner_wait": duration(default=timedelta(milliseconds=1500)),  # a request to a shard owner is repeated after this
     "claim_wait": duration(default=timedelta(milliseconds=1200)),  # longest wait for a follower
     "lease": duration(default=timedelta(seconds=3)),  # term of a slot lease, unless renewed (7.3)
-    "learn": duration(default=timedelta(milliseconds=1200)),  # a new lease holder collects reports for this long before it grants slots
+    "learn": duration(default=timedelta(milliseconds=1200)),  # a new lease holder waits this long for renewals before it grants slots
     "claims_most": integer(default=20000, least=8, most=40000),  # maximum number of remembered claims of a tenant (6.3)
     "grant": duration(default=timedelta(seconds=2)),  # added to a request's deadline before its slot is revoked
     "spill_wait": duration(default=timedelta(milliseconds=200)),  # how long the home must have had no free slot before overflow (7.4)
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -19,7 +19,7 @@
 
 from ..support.failure_scenarios import hamlet
 from ..support.source_mutation import without
-from ..transport.test_framing import some
+from ..transport.test_framing import random_value
 
 
 def rolls(s):
@@ -346,14 +346,14 @@
         kind = rng.choice(("alive", "doubted", "told", "sync", "get", "news"))
         r = list(row)
         for _ in range(rng.randrange(3)):
-            r[rng.randrange(len(r))] = some(rng)
+            r[rng.randrange(len(r))] = random_value(rng)
         pend = n.pending_update_request
         body = dict(
-            alive=(some(rng), some(rng)),
+            alive=(random_value(rng), random_value(rng)),
             doubted=(),
-            told=((tuple(r[:5]), some(rng))[: rng.randrange(1, 3)],),
-            sync=(1, (("o", 1),), some(rng, 1) if rng.random() < 0.3 else (), (tuple(r),)),
-            get=(1, (0, 0), some(rng)),
+            told=((tuple(r[:5]), random_value(rng))[: rng.randrange(1, 3)],),
+            sync=(1, (("o", 1),), random_value(rng, 1) if rng.random() < 0.3 else (), (tuple(r),)),
+            get=(1, (0, 0), random_value(rng)),
             news=(pend[0] if pend else 1, (0, 0), (), 5, 0, (7, (("o", 1),), (tuple(r),), ("edge-south-0",))[: rng.randrange(5)]),
         )[kind]
         n.feed(("msg", rng.choice(("edge-south-0", "core-south", "x")), (kind, *body)))
