--- a/silverglade/control/core.py
+++ b/silverglade/control/core.py
@@ -30,7 +30,7 @@
     MessageReceived,
     ProcessPaused,
     RawEvent,
-    TablePositionMoved,
+    TablePositionChanged,
     TimerFired,
     ViewChosen,
 )
@@ -90,7 +90,7 @@
         DaemonStateChanged,
         ProcessPaused,
         ViewChosen,
-        TablePositionMoved,
+        TablePositionChanged,
         AssignRoles,
         DropRoles,
     )
@@ -125,7 +125,7 @@
                 self.on_process_paused(now)
             case ViewChosen():
                 view_change.on_chosen(self, event.view, now)
-            case TablePositionMoved():
+            case TablePositionChanged():
                 self.state.table_position = event.position
                 serving.answer_held_requests(self, now)
             case AssignRoles() | DropRoles():
--- a/silverglade/duties/usage_counter.py
+++ b/silverglade/duties/usage_counter.py
@@ -12,7 +12,7 @@
 
 from ..control.replicated_state import CONFIGURATION_KEY, DUTY_ROLE, role_assignment, value_of
 from ..membership.records import members_of
-from ..runtime.effects import IDLE, ZERO, Effect, ReadWallClock, Send, WakeAt, log_record
+from ..runtime.effects import NEVER, ZERO, Effect, ReadWallClock, Send, WakeAt, log_record
 from ..runtime.events import (
     Event,
     MembershipChanged,
@@ -178,7 +178,7 @@
     def _next_wakeup(self, now: timedelta, holder: Holder | None) -> timedelta:
         """Return when the timer must fire next."""
         if not (self._has_tenants or self._counts or self.finished):
-            return IDLE
+            return NEVER
         waits = [self._clock.window_end(self._clock.window_at(now))]
         waits += [
             window.sent_at + RESEND_INTERVAL
--- a/silverglade/server/shutdown.py
+++ b/silverglade/server/shutdown.py
@@ -56,9 +56,9 @@
     """Return the shutdown timetable of a daemon that received SIGTERM at that time."""
     adapter = daemon.adapter
     if adapter is None:
-        return timetable(told_at=signalled_at, grace=DEFAULT_GRACE)
+        return timetable(stop_requested_at=signalled_at, grace=DEFAULT_GRACE)
     linger = adapter.linger if adapter.client_address else timedelta(0)
-    return timetable(told_at=signalled_at, grace=adapter.grace, linger=linger, cut_streams_for=adapter.cut_streams_for)
+    return timetable(stop_requested_at=signalled_at, grace=adapter.grace, linger=linger, cut_streams_for=adapter.cut_streams_for)
 
 
 def should_keep_listening(daemon: Daemon, times: Timetable) -> bool:
@@ -68,9 +68,9 @@
     `half_at`, forwarded requests in progress.
     """
     now = clock()
-    if now < times.quiet_at or daemon.tenant_requests.result_streams or daemon.tenant_requests.dispatches:
+    if now < times.linger_until or daemon.tenant_requests.result_streams or daemon.tenant_requests.dispatches:
         return True
-    return bool(daemon.forwarder.requests) and now < times.half_at
+    return bool(daemon.forwarder.requests) and now < times.listeners_held_until
 
 
 async def shut_down(daemon: Daemon, *, signalled_at: timedelta | None = None) -> None:
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -19,7 +19,7 @@
 
 from ..support.failure_scenarios import hamlet
 from ..support.source_mutation import without
-from ..transport.test_framing import some
+from ..transport.test_framing import random_value
 
 
 def member_counts(scene):
@@ -357,14 +357,14 @@
         kind = rng.choice(("alive", "doubted", "told", "sync", "get", "news"))
         fields = list(row)
         for _ in range(rng.randrange(3)):
-            fields[rng.randrange(len(fields))] = some(rng)
+            fields[rng.randrange(len(fields))] = random_value(rng)
         pending = node.pending_update_request
         body = dict(
-            alive=(some(rng), some(rng)),
+            alive=(random_value(rng), random_value(rng)),
             doubted=(),
-            told=((tuple(fields[:5]), some(rng))[: rng.randrange(1, 3)],),
-            sync=(1, (("o", 1),), some(rng, 1) if rng.random() < 0.3 else (), (tuple(fields),)),
-            get=(1, (0, 0), some(rng)),
+            told=((tuple(fields[:5]), random_value(rng))[: rng.randrange(1, 3)],),
+            sync=(1, (("o", 1),), random_value(rng, 1) if rng.random() < 0.3 else (), (tuple(fields),)),
+            get=(1, (0, 0), random_value(rng)),
             news=(
                 pending[0] if pending else 1,
                 (0, 0),
@@ -395,7 +395,7 @@
     without(
         monkeypatch,
         "silverglade.tenant_shards.owner",
-        "context.effects.append(WakeAt(self._next_round if is_needed else IDLE))",
+        "context.effects.append(WakeAt(self._next_round if is_needed else NEVER))",
         "pass",
         "silverglade.runtime.daemon_components.ShardOwner",
     )
--- a/tests/system/test_platform.py
+++ b/tests/system/test_platform.py
@@ -91,7 +91,7 @@
 
 def test_a_lease_that_is_too_short_gives_a_one_line_error(tmp_path):
     bounds = DUTY_BOUNDS.replace("3000", "900")
-    with pytest.raises(SilvergladeError, match="701 .*duty_lease: wants to be at least"):
+    with pytest.raises(SilvergladeError, match="701 .*duty_lease: must be at least"):
         settings.checked(settings_file(tmp_path, FILE.replace("cold_slack = 5\n", bounds) + DUTIES))
 
 
