--- a/silverglade/control/serving.py
+++ b/silverglade/control/committed_items.py
@@ -9,10 +9,10 @@
 from ..runtime.events import AnswerRequested, DaemonAskedHere
 from . import store
 from .context import CoreContext
+from .disk_writes import CommittedItemsWritten, DiskOperation, meta_puts
 from .messages import CommittedItems, Pull, UpdateRequest
 from .replicated_state import Items, Version, items_since, newest_version
 from .state import HeldRequest
-from .writes import CommittedItemsWritten, DiskOperation, meta_puts
 
 
 def commit(core: CoreContext, items: Items, version: Version, now: timedelta) -> None:
--- a/silverglade/control/context.py
+++ b/silverglade/control/context.py
@@ -12,11 +12,11 @@
 from ..runtime.effects import Effect, Post, Send, log_record
 from ..runtime.events import AttributeSet, Event
 from . import store
+from .disk_writes import Continuation, DiskOperation, Outgoing, WholeStoreWritten
 from .messages import Message, encode
 from .state import CoreSettings, CoreState, StoreOnDisk
 from .view import View, disks, members
 from .view import epoch as epoch_of
-from .writes import Continuation, DiskOperation, Outgoing, WholeStoreWritten
 
 
 @dataclass(slots=True)
@@ -44,7 +44,7 @@
 
     def others(self) -> list[str]:
         """Return all other cores, sorted: those of the settings, those of the view, and the known ones."""
-        return sorted(({*self.settings.named, *disks(self.state.view)} | self.state.known_cores) - {self.name})
+        return sorted(({*self.settings.initial_cores, *disks(self.state.view)} | self.state.known_cores) - {self.name})
 
     def led_view(self) -> View | None:
         """Return the view if this core is its primary and still has the disk that the view names, else None."""
@@ -86,7 +86,7 @@
 
     def write_whole_store(self, now: timedelta) -> None:
         """Rewrite a primary's whole store on disk, since an earlier write may have failed."""
-        self.state.store_on_disk = StoreOnDisk.WRITING
+        self.state.store_on_disk = StoreOnDisk.REWRITING
         self.write(store.rewrite_all(self.state.store), WholeStoreWritten(self.epoch), now)
 
     def publish_view(self) -> None:
--- a/silverglade/control/core.py
+++ b/silverglade/control/core.py
@@ -35,8 +35,21 @@
     ViewChosen,
 )
 from ..runtime.state_machine import MachineComponent
-from . import liveness, plan, replication, serving, snapshots, view_change, witness
+from . import committed_items, liveness, replication, snapshots, view_change, view_policy, witness
 from .context import CoreContext
+from .disk_writes import (
+    COMMITTED_TABLE,
+    META_TABLE,
+    STORE_TABLE,
+    ChangeWrittenByBackup,
+    ChangeWrittenByPrimary,
+    CommittedItemsWritten,
+    Continuation,
+    EpochSealed,
+    SendIfSynced,
+    WholeStoreWritten,
+    meta_puts,
+)
 from .messages import (
     Accept,
     Accepted,
@@ -56,22 +69,9 @@
     UpdateRequest,
     decode,
 )
-from .spread import Place, Tolerance
+from .placement import Place, Tolerance
 from .state import CoreSettings, CoreState, initial_state, may_form_first_view
-from .values import copy_random, copy_state, fingerprint
-from .writes import (
-    COMMITTED_TABLE,
-    META_TABLE,
-    STORE_TABLE,
-    ChangeWrittenByBackup,
-    ChangeWrittenByPrimary,
-    CommittedItemsWritten,
-    Continuation,
-    EpochSealed,
-    SendIfSynced,
-    WholeStoreWritten,
-    meta_puts,
-)
+from .state_copy import copy_random, copy_state, fingerprint
 
 STAMP_ORIGIN_BITS = 48
 """Size of the random offset of a process's stamps; it makes it very unlikely that the stamps of two processes overlap."""
@@ -127,7 +127,7 @@
                 view_change.on_chosen(self, event.view, now)
             case TablePositionMoved():
                 self.state.table_position = event.position
-                serving.answer_held_requests(self, now)
+                committed_items.answer_held_requests(self, now)
             case AssignRoles() | DropRoles():
                 replication.on_role_operations(self, event, now)
 
@@ -153,10 +153,10 @@
             liveness.send_regular_heartbeats(self, now)
             self.resend_unconfirmed(now)
             view_change.look_for_better_view(self, now)
-        view_change.start_or_stop_seeking(self, now)
+        view_change.start_or_stop_proposing(self, now)
         self.allow_exit_when_replaced()
-        serving.answer_held_requests(self, now)
-        view_change.seek(self, now)
+        committed_items.answer_held_requests(self, now)
+        view_change.advance_proposal(self, now)
 
     def resend_unconfirmed(self, now: timedelta) -> None:
         """As primary, periodically resend the opening snapshot or the change in flight to backups that have not confirmed it."""
@@ -177,7 +177,7 @@
         state = self.state
         if state.writes.leaving and not state.exit_allowed and state.recruited <= self.epoch and state.known_cores | state.leaving:
             staying = state.known_cores - state.leaving
-            state.exit_allowed = plan.may_exit(
+            state.exit_allowed = view_policy.may_exit(
                 own_name=self.name, view=state.view, staying=staying, places=state.places, tolerance=self.settings.tolerance
             )
             if state.exit_allowed:
@@ -204,11 +204,11 @@
         """Dispatch a message about committed items or updates."""
         match message:
             case UpdateRequest():
-                serving.on_update_request(self, sender, message, now)
+                committed_items.on_update_request(self, sender, message, now)
             case CommittedItems():
-                serving.on_committed_items(self, message, now)
+                committed_items.on_committed_items(self, message, now)
             case Pull():
-                serving.on_pull(self, sender, message)
+                committed_items.on_pull(self, sender, message)
 
     def on_replication_message(self, sender: str, message: Operation | Fence | Replicate | Replicated, now: timedelta) -> None:
         """Dispatch a message about operations and their replication."""
@@ -257,7 +257,7 @@
             case EpochSealed():
                 view_change.on_sealed(self, continuation, succeeded)
             case CommittedItemsWritten():
-                serving.on_committed_items_written(self, continuation, succeeded, now)
+                committed_items.on_committed_items_written(self, continuation, succeeded, now)
 
     def on_membership_changed(self, event: MembershipChanged) -> None:
         """Update the known cores, those that are leaving, and their places."""
@@ -277,8 +277,8 @@
 
     def on_process_paused(self, now: timedelta) -> None:
         """Discard heartbeats and proofs from before a pause of this process: they are no evidence of the present state."""
-        self.log("proof-lost", shown=self.state.committed_version, age_ms=serving.proof_age_ms(self, now))
-        self.state.proved_at, self.state.seeking_since = None, None
+        self.log("proof-lost", shown=self.state.committed_version, age_ms=committed_items.proof_age_ms(self, now))
+        self.state.proved_at, self.state.proposing_since = None, None
         self.state.awake_since = self.state.listening_since = now
         self.state.peers.clear()
         self.state.proofs.clear()
@@ -336,13 +336,13 @@
     :param tolerance: how many machines, zones and regions may be lost at once.
     :param first: whether this core was started to form the first view (design 5.5).
     """
-    meta, named = saved.get(META_TABLE, {}), tuple(cores)
+    meta, initial_cores = saved.get(META_TABLE, {}), tuple(cores)
     formed_before = meta.get("first", False)
     settings = CoreSettings(
         name=name,
         disk=disk,
-        named=named,
-        may_form=may_form_first_view(name=name, named=named, first=first, formed_before=formed_before),
+        initial_cores=initial_cores,
+        may_form=may_form_first_view(name=name, initial_cores=initial_cores, first=first, formed_before=formed_before),
         formed_before=formed_before,
         tolerance=tolerance,
         tuning=tuning,
--- a/silverglade/control/decisions.py
+++ b/silverglade/control/decisions.py
@@ -14,7 +14,7 @@
 from ..runtime.errors import SilvergladeError
 from ..transport import framing
 from . import outcomes
-from .judgements import Apply, Decision, FutureBase, Read, Values
+from .decision_types import Apply, Decision, FutureBase, Read, Values
 from .operation_results import Acknowledged, Refused, Result, SourceRead, Stale
 from .operations import (
     AssignRole,
--- a/silverglade/control/writes.py
+++ b/silverglade/control/disk_writes.py
@@ -38,7 +38,7 @@
     "Outgoing",
     "SendIfSynced",
     "WholeStoreWritten",
-    "Writes",
+    "DiskWrites",
     "meta_puts",
 ]
 
@@ -105,7 +105,7 @@
 
 
 @dataclass(slots=True)
-class Writes:
+class DiskWrites:
     """The writes in progress, by number, and whether this core is eligible as a member of a view.
 
     A core with a slow, full or failing disk is not eligible, nor is one that is leaving (SIGTERM), so that it is replaced before it
--- a/silverglade/control/liveness.py
+++ b/silverglade/control/liveness.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 from ..runtime.effects import ZERO, milliseconds, to_milliseconds
-from . import serving, view_change
+from . import committed_items, view_change
 from .context import CoreContext
 from .messages import ChosenView, Heartbeat, Pull
 from .replicated_state import INITIAL_VERSION
@@ -27,7 +27,7 @@
             can_form=state.view is None and state.register.view is None and core.settings.may_form,
             stamp=state.stamp_origin + to_milliseconds(now),
             echo=state.peers.echo(to),
-            age=-1 if core.led_view() and not core.open_view() else serving.proof_age_ms(core, now),
+            age=-1 if core.led_view() and not core.open_view() else committed_items.proof_age_ms(core, now),
         ),
     )
 
@@ -48,7 +48,7 @@
     heartbeats, or that seeks a view, sends them to all.
     """
     state, view = core.state, core.state.view
-    if view is None or state.seeker is not None:
+    if view is None or state.view_proposer is not None:
         return True
     return core.name == view.primary or name == view.primary or not state.peers.is_up(view.primary, now)
 
--- a/silverglade/control/register.py
+++ b/silverglade/control/register.py
@@ -132,10 +132,10 @@
     """One proposer's round: prepare, then accept (design 5.2).
 
     If a witness has already accepted a successor of the base under another ballot, the round completes that one instead of
-    `want`. The very first view has no base: every witness of `want` must promise.
+    `preferred`. The very first view has no base: every witness of `preferred` must promise.
 
-    :ivar base: the chosen view that `want` would follow.
-    :ivar want: the view that the proposer prefers.
+    :ivar base: the chosen view that `preferred` would follow.
+    :ivar preferred: the view that the proposer prefers.
     :ivar value: the view proposed; None until enough witnesses have promised.
     :ivar promises: the promises received, by core.
     :ivar accepts: the witnesses that accepted with the disk that the base names.
@@ -143,7 +143,7 @@
 
     ballot: Ballot
     base: View | None
-    want: View
+    preferred: View
     value: View | None = None
     promises: dict[str, Promise] = field(default_factory=dict)
     accepts: set[str] = field(default_factory=set)
@@ -174,11 +174,11 @@
             return Superseded(promise.base)
         self.promises[sender] = promise
         highest_accepted = self.highest_accepted()
-        voters = disks(self.base or highest_accepted or self.want)
+        voters = disks(self.base or highest_accepted or self.preferred)
         votes = sum(voters.get(name) == p.disk for name, p in self.promises.items())
         if votes < (majority(len(voters)) if self.base or highest_accepted else len(voters)):
             return None
-        self.value = highest_accepted or self.want
+        self.value = highest_accepted or self.preferred
         return Accept(self.ballot, self.base, self.value)
 
     def highest_accepted(self) -> View | None:
--- a/silverglade/control/replication.py
+++ b/silverglade/control/replication.py
@@ -5,15 +5,15 @@
 from datetime import timedelta
 
 from ..runtime.events import AssignRoles, DropRoles
-from . import decisions, operations, serving, store
+from . import committed_items, decisions, operations, store
 from .context import CoreContext
+from .disk_writes import ChangeWrittenByBackup, ChangeWrittenByPrimary, Outgoing
 from .messages import CommittedItems, Fence, Fenced, Operation, OperationResult, Replicate, Replicated
 from .operation_results import OutcomeUnknown, Redirected, Result, Stale
 from .operations import AssignRole, Evacuate, ReopenShard, decode_operation
 from .replicated_state import CONFIGURATION_KEY, Item, Items, Version, newest_version
 from .state import Answer, Client, PendingChange, QueuedOperation, StoreOnDisk
 from .view import View
-from .writes import ChangeWrittenByBackup, ChangeWrittenByPrimary, Outgoing
 
 MAX_QUEUED = 256
 """Maximum number of operations queued at the primary; further ones are dropped, and their clients retry."""
@@ -108,7 +108,7 @@
     if not state.queue or state.pending:
         return
     view = core.open_view()
-    if view is None or state.sealed >= view.epoch or state.store_on_disk is not StoreOnDisk.WHOLE:
+    if view is None or state.sealed >= view.epoch or state.store_on_disk is not StoreOnDisk.COMPLETE:
         return
     while state.queue and not state.pending:
         begin(core, view, now)
@@ -189,8 +189,8 @@
 
 def record_change_write(core: CoreContext, succeeded: bool) -> None:
     """Record the result of writing a change: after a failure the store on disk is incomplete until it is rewritten."""
-    if not succeeded and core.state.store_on_disk is StoreOnDisk.WHOLE:
-        core.state.store_on_disk = StoreOnDisk.TORN
+    if not succeeded and core.state.store_on_disk is StoreOnDisk.COMPLETE:
+        core.state.store_on_disk = StoreOnDisk.INCOMPLETE
 
 
 def on_written_by_primary(core: CoreContext, written: ChangeWrittenByPrimary, succeeded: bool) -> None:
@@ -224,7 +224,7 @@
     state, view = core.state, core.backed_view()
     if view is None or change.epoch != view.epoch or sender != view.primary:
         return
-    if state.served != change.epoch or state.sealed >= change.epoch:
+    if state.store_epoch != change.epoch or state.sealed >= change.epoch:
         return
     if newest_version(state.store) not in (change.previous, change.version):
         return  # a gap: the primary sends a whole snapshot when it next opens a view
@@ -259,10 +259,10 @@
     state = core.state
     state.pending = None
     if pending.items:
-        serving.commit(core, pending.items, pending.version, now)
+        committed_items.commit(core, pending.items, pending.version, now)
         for name in core.others():
             items = () if name in view.backups else pending.items  # backups hold the items already
             core.send(name, CommittedItems(view.epoch, pending.previous, state.committed_version, items))
     for pending_answer in pending.answers:
         answer(core, pending_answer.client, pending_answer.result)
-    serving.answer_held_requests(core, now)
+    committed_items.answer_held_requests(core, now)
--- a/silverglade/control/snapshots.py
+++ b/silverglade/control/snapshots.py
@@ -4,19 +4,19 @@
 
 from datetime import timedelta
 
-from . import liveness, replication, serving, store, view_change
+from . import committed_items, liveness, replication, store, view_change
 from .context import CoreContext
+from .disk_writes import Outgoing, WholeStoreWritten, meta_puts
 from .messages import Snapshot, SnapshotSynced
 from .replicated_state import INITIAL_VERSION, newest_version
 from .state import OpeningSnapshot, StoreOnDisk
 from .view import View, disks, members
-from .writes import Outgoing, WholeStoreWritten, meta_puts
 
 
 def send_opening(core: CoreContext, view: View, now: timedelta) -> None:
     """Send a new primary's whole store to the backups that have not synced it; it replicates no change before they have."""
     state = core.state
-    if state.store_on_disk is StoreOnDisk.TORN:
+    if state.store_on_disk is StoreOnDisk.INCOMPLETE:
         core.write_whole_store(now)
     if state.opening_snapshot and now - state.opening_snapshot.sent < core.settings.tuning["takeover"] / 2:
         return
@@ -33,22 +33,22 @@
     state, view = core.state, core.led_view()
     if view is None or state.open_epoch == view.epoch or state.sealed >= view.epoch:
         return
-    if state.store_on_disk is not StoreOnDisk.WHOLE or not state.snapshot_synced_by >= set(view.backups):
+    if state.store_on_disk is not StoreOnDisk.COMPLETE or not state.snapshot_synced_by >= set(view.backups):
         return
     state.open_epoch = view.epoch
     core.log("primary-open", epoch=view.epoch)
-    serving.commit(core, store.newer_items(state.store), newest_version(state.store), now)
+    committed_items.commit(core, store.newer_items(state.store), newest_version(state.store), now)
     if state.pending:  # it is part of the store that all members have synced
         replication.commit(core, view, state.pending, now)
     for name in core.others():
         liveness.send_heartbeat(core, name, now)
-    serving.answer_held_requests(core, now)
+    committed_items.answer_held_requests(core, now)
 
 
 def on_whole_store_written(core: CoreContext, written: WholeStoreWritten, succeeded: bool) -> None:
     """Continue after a write of the whole store; it determines the state on disk only within the view in which it started."""
     if written.epoch == core.epoch:
-        core.state.store_on_disk = StoreOnDisk.WHOLE if succeeded else StoreOnDisk.TORN
+        core.state.store_on_disk = StoreOnDisk.COMPLETE if succeeded else StoreOnDisk.INCOMPLETE
     if succeeded and written.outgoing:
         core.send_outgoing(written.outgoing)
 
@@ -72,9 +72,9 @@
         return False
     view_change.adopt(core, view, now)
     newest = max((version for _, version, _ in snapshot.items), default=INITIAL_VERSION)
-    if state.served == view.epoch and newest < newest_version(state.store):
+    if state.store_epoch == view.epoch and newest < newest_version(state.store):
         return False
-    state.served = view.epoch
+    state.store_epoch = view.epoch
     return True
 
 
@@ -100,7 +100,7 @@
     state = core.state
     state.recruited = max(state.recruited, snapshot.epoch)
     state.store = {key: (version, value) for key, version, value in snapshot.items}
-    kept = meta_puts(recruited=state.recruited, served=state.served, sealed=state.sealed, reg=state.register.stored())
+    kept = meta_puts(recruited=state.recruited, served=state.store_epoch, sealed=state.sealed, reg=state.register.stored())
     synced = Outgoing(sender, SnapshotSynced(snapshot.epoch, snapshot.nonce, core.settings.disk))
     core.write(store.rewrite_all(state.store) + kept, WholeStoreWritten(core.epoch, synced), now)
 
@@ -108,7 +108,7 @@
 def on_snapshot_synced(core: CoreContext, sender: str, synced: SnapshotSynced, now: timedelta) -> None:
     """Record that a recruit, or a backup of the view that opens, has synced a snapshot."""
     state, led = core.state, core.led_view()
-    if state.seeker is not None and state.seeker.awaits(synced.epoch, synced.nonce):
+    if state.view_proposer is not None and state.view_proposer.awaits_copy(synced.epoch, synced.nonce):
         state.recruits_synced[sender, synced.epoch, synced.nonce] = synced.disk
     if led is None or state.opening_snapshot is None or synced.nonce != state.opening_snapshot.nonce or synced.epoch != led.epoch:
         return
--- a/silverglade/control/state.py
+++ b/silverglade/control/state.py
@@ -1,4 +1,4 @@
-"""The state of a control core (design 5), as typed values that values.py can copy and compare."""
+"""The state of a control core (design 5), as typed values that state_copy.py can copy and compare."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from typing import Any, NamedTuple
 
 from ..runtime.effects import ZERO
-from .heartbeat import Peers
+from .disk_writes import DiskOperation, DiskWrites
 from .operation_results import Result
 from .operations import ControlOperation
 from .outcomes import VersionAges
+from .peers import Peers
+from .placement import Place, Tolerance
 from .register import Register
 from .register import read as read_register
 from .replicated_state import INITIAL_VERSION, Items, Version
-from .seek import Seeker
-from .spread import Place, Tolerance
 from .store import Store
 from .view import View
-from .writes import DiskOperation, Writes
+from .view_proposer import ViewProposer
 
 Client = tuple[str, int]
 """The client of an operation: the daemon, and the number of the request at that daemon."""
@@ -30,7 +30,7 @@
 class CoreSettings:
     """The configuration of a core, fixed when it starts.
 
-    :ivar named: the cores that form the first view.
+    :ivar initial_cores: the cores that form the first view.
     :ivar may_form: whether this core may form the first view (design 5.5).
     :ivar formed_before: whether its disk records that permission from an earlier start.
     :ivar tuning: time settings and limits, shared by all components and never written here.
@@ -38,7 +38,7 @@
 
     name: str
     disk: str
-    named: tuple[str, ...]
+    initial_cores: tuple[str, ...]
     may_form: bool
     formed_before: bool
     tolerance: Tolerance
@@ -51,9 +51,9 @@
 class StoreOnDisk(Enum):
     """Whether the store on this core's disk matches the one in memory."""
 
-    WHOLE = "whole"
-    WRITING = "writing"  # the whole store is being rewritten
-    TORN = "torn"  # a write failed; the store on disk is incomplete
+    COMPLETE = "whole"
+    REWRITING = "writing"  # the whole store is being rewritten
+    INCOMPLETE = "torn"  # a write failed; the store on disk is incomplete
 
 
 class QueuedOperation(NamedTuple):
@@ -132,14 +132,14 @@
 class CoreState:
     """The complete state of a control core. Only `ControlCore.step` changes it.
 
-    `register`, `sealed`, `recruited`, `served` and `store` are on disk before any message that depends on them is sent.
+    `register`, `sealed`, `recruited`, `store_epoch` and `store` are on disk before any message that depends on them is sent.
     `committed_items` and `committed_version` are written later and may lag behind on disk.
 
     Invariants:
-    - `view.epoch`, `sealed`, `recruited`, `served`, `committed_version` and the register's promise never decrease.
+    - `view.epoch`, `sealed`, `recruited`, `store_epoch`, `committed_version` and the register's promise never decrease.
     - `register.base == view`: the newest view known to be chosen is also the base of the witness.
     - `open_epoch` is 0 or `view.epoch`. It is nonzero only on the primary, once all backups have synced its whole store.
-    - A backup accepts changes of `view` only while `served == view.epoch > sealed`.
+    - A backup accepts changes of `view` only while `store_epoch == view.epoch > sealed`.
     - On disk, the committed items are complete up to the committed version on disk.
     - `pending` is None except on the primary of `view`. It started in that view or, until the view is open, is part of `store`.
     - Every version in `committed_items` is at most `committed_version`, and was acknowledged, or synced by all members of a view.
@@ -149,17 +149,17 @@
     # the register, and the newest view known to be chosen
     register: Register
     view: View | None
-    # epochs: changes of epochs up to `sealed` are refused; `recruited` is the newest epoch this core was recruited for; `served` is
+    # epochs: changes of epochs up to `sealed` are refused; `recruited` is the newest epoch this core was recruited for; `store_epoch` is
     # the epoch whose opening snapshot its store started from
     sealed: int
     recruited: int
-    served: int
+    store_epoch: int
     # the replicated store, and the committed part of it, which may be sent to others (design 5.7)
     store: Store
     committed_items: Store
     committed_version: Version
     store_on_disk: StoreOnDisk
-    writes: Writes
+    writes: DiskWrites
     # the other cores
     peers: Peers
     places: dict[str, Place]
@@ -178,7 +178,7 @@
     # daemon has been allowed
     next_heartbeat: timedelta | None = None
     awake_since: timedelta = ZERO
-    seeking_since: timedelta | None = None
+    proposing_since: timedelta | None = None
     listening_since: timedelta = ZERO
     exit_allowed: bool = False
     # primary: the epoch in which it is open, changes, the opening snapshot, and per backup the latest proof that it still leads
@@ -193,7 +193,7 @@
     proved_at: timedelta | None = None
     pulled_at: timedelta | None = None
     # view changes: the seeker; a better view; the epoch that this core sealed to propose the next; recruits that synced their copy
-    seeker: Seeker | None = None
+    view_proposer: ViewProposer | None = None
     better: BetterView | None = None
     sealed_by_self: int = 0
     recruits_synced: dict[tuple[str, int, int], str] = field(default_factory=dict)  # (core, epoch, nonce) -> disk
@@ -202,9 +202,9 @@
     table_position: Any = None
 
 
-def may_form_first_view(*, name: str, named: Iterable[str], first: bool, formed_before: bool) -> bool:
+def may_form_first_view(*, name: str, initial_cores: Iterable[str], first: bool, formed_before: bool) -> bool:
     """Return whether this core may form the first view (design 5.5): it was started for that now or, as its disk records, earlier."""
-    return name in named and (first or formed_before)
+    return name in initial_cores and (first or formed_before)
 
 
 def initial_state(
@@ -223,12 +223,12 @@
         view=register.base,
         sealed=meta.get("sealed", 0),
         recruited=meta.get("recruited", 0),
-        served=meta.get("served", 0),
+        store_epoch=meta.get("served", 0),
         store=dict(store),
         committed_items=dict(committed),
         committed_version=meta.get("shown", INITIAL_VERSION),
-        store_on_disk=StoreOnDisk.WHOLE,
-        writes=Writes(settings.tuning),
+        store_on_disk=StoreOnDisk.COMPLETE,
+        writes=DiskWrites(settings.tuning),
         peers=Peers(settings.tuning),
         places={settings.name: place},
         stamp_origin=stamp_origin,
--- a/silverglade/control/store.py
+++ b/silverglade/control/store.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from . import outcomes
+from .disk_writes import COMMITTED_TABLE, STORE_TABLE, DiskOperation
 from .replicated_state import INITIAL_VERSION, Items, Version, pruned_keys, version_of
-from .writes import COMMITTED_TABLE, STORE_TABLE, DiskOperation
 
 Store = dict[str, tuple[Version, Any]]
 """Maps a key to (version, value); values are never changed in place."""
--- a/silverglade/control/view_change.py
+++ b/silverglade/control/view_change.py
@@ -8,13 +8,13 @@
 
 from ..runtime.components import Component
 from ..runtime.events import ViewChosen
-from . import plan, register, replication, store
+from . import register, replication, store, view_policy
 from .context import CoreContext
+from .disk_writes import EpochSealed, meta_puts
 from .messages import Accepted, ChosenView, Promise, Rejected, Snapshot
-from .seek import Action, AdoptView, AskWitnesses, Goal, Seal, Seeker, SendSnapshot
 from .state import BetterView, StoreOnDisk
 from .view import View, disks
-from .writes import EpochSealed, meta_puts
+from .view_proposer import Action, AdoptView, Seal, SendSnapshot, SendToWitnesses, ViewProposal, ViewProposer
 
 
 def adopt(core: CoreContext, view: View | None, now: timedelta) -> None:
@@ -26,9 +26,9 @@
     core.log("view", epoch=view.epoch, primary=view.primary, backups=",".join(view.backups))
     core.publish_view()
     core.write(meta_puts(reg=state.register.stored()), None, now)
-    state.seeker, state.opening_snapshot, state.open_epoch, state.better = None, None, 0, None
+    state.view_proposer, state.opening_snapshot, state.open_epoch, state.better = None, None, 0, None
     state.next_heartbeat = state.awake_since = now
-    state.listening_since, state.seeking_since = state.seeking_since or now, None
+    state.listening_since, state.proposing_since = state.proposing_since or now, None
     state.recruits_synced.clear()
     state.proofs.clear()
     state.snapshot_synced_by.clear()
@@ -45,17 +45,17 @@
         core.send(name, ChosenView(view))
 
 
-def reason_to_seek(core: CoreContext, now: timedelta) -> str | None:
+def view_change_reason(core: CoreContext, now: timedelta) -> str | None:
     """Return the reason why this member should seek a new view; None if there is none (design 5.4)."""
     state, tuning = core.state, core.settings.tuning
-    problem = plan.view_problem(
+    problem = view_policy.view_problem(
         own_name=core.name,
         disk=core.settings.disk,
         view=state.view,
         peers=state.peers,
         sealed=state.sealed,
         eligible=state.writes.is_eligible,
-        torn=state.store_on_disk is StoreOnDisk.TORN and core.open_view() is not None,
+        store_incomplete=state.store_on_disk is StoreOnDisk.INCOMPLETE and core.open_view() is not None,
         grace_elapsed=now - state.awake_since > tuning["takeover"],
         now=now,
     )
@@ -74,7 +74,7 @@
         return state.listening_since
     if state.view is not None and name == state.view.primary:
         return state.awake_since
-    return state.seeking_since or state.awake_since
+    return state.proposing_since or state.awake_since
 
 
 def live_cores(core: CoreContext, now: timedelta) -> dict[str, str]:
@@ -84,13 +84,13 @@
     """
     state, known = core.state, disks(core.state.view)
     names = [name for name in core.others() if name in state.places or name in known]
-    return plan.live_disks(own_name=core.name, disk=core.settings.disk, peers=state.peers, now=now, names=names)
+    return view_policy.live_disks(own_name=core.name, disk=core.settings.disk, peers=state.peers, now=now, names=names)
 
 
 def wanted_witnesses(core: CoreContext, view: View, live: Mapping[str, str], now: timedelta) -> tuple[str, ...] | None:
     """Return the witnesses that the next view should have; None while a witness that is not live may still return shortly."""
     state, settings = core.state, core.settings
-    return plan.next_witnesses(
+    return view_policy.next_witnesses(
         view=view,
         live=live,
         peers=state.peers,
@@ -112,57 +112,57 @@
     new = None
     if view is not None and state.writes.is_eligible:
         wanted = wanted_witnesses(core, view, live, now)
-        new = plan.better_view(
+        new = view_policy.better_view(
             own_name=core.name, view=view, live=live, places=state.places, tolerance=core.settings.tolerance, wanted=wanted
         )
     state.better = BetterView(state.live_since, new) if new else None
 
 
-def next_goal(core: CoreContext, now: timedelta) -> Goal | None:
+def next_proposal(core: CoreContext, now: timedelta) -> ViewProposal | None:
     """Return the view that should be proposed now; None if there is none."""
     state, settings = core.state, core.settings
     if state.view is None:
-        return first_goal(core, now)
-    if state.better and reason_to_seek(core, now) == "better":
+        return first_proposal(core, now)
+    if state.better and view_change_reason(core, now) == "better":
         new: View | None = state.better.view
     else:
         live = live_cores(core, now)
         wanted = wanted_witnesses(core, state.view, live, now)
-        new = plan.next_view(
+        new = view_policy.next_view(
             own_name=core.name, view=state.view, places=state.places, tolerance=settings.tolerance, live=live, names=wanted
         )
-    return Goal(state.view, new, new.backups) if new else None
+    return ViewProposal(state.view, new, new.backups) if new else None
 
 
-def first_goal(core: CoreContext, now: timedelta) -> Goal | None:
+def first_proposal(core: CoreContext, now: timedelta) -> ViewProposal | None:
     """Return the very first view as the goal; an interrupted agreement on it is completed."""
     state, settings = core.state, core.settings
     if state.register.view is not None:
-        return Goal(None, state.register.view, ())
+        return ViewProposal(None, state.register.view, ())
     if not settings.may_form:
         return None
-    new = plan.first_view(
+    new = view_policy.first_view(
         own_name=core.name,
         disk=settings.disk,
-        cores=settings.named,
+        cores=settings.initial_cores,
         peers=state.peers,
         places=state.places,
         tolerance=settings.tolerance,
         now=now,
     )
-    return Goal(None, new, ()) if new else None
+    return ViewProposal(None, new, ()) if new else None
 
 
-def start_or_stop_seeking(core: CoreContext, now: timedelta) -> None:
+def start_or_stop_proposing(core: CoreContext, now: timedelta) -> None:
     """Start seeking another view if the current one does not work; stop once it works again."""
-    state, reason = core.state, reason_to_seek(core, now)
-    if state.seeker is None:
+    state, reason = core.state, view_change_reason(core, now)
+    if state.view_proposer is None:
         if reason or state.view is None:
             state.next_heartbeat = now  # exchange heartbeats with all cores before choosing a view
-            state.seeking_since = state.seeking_since or now
-            state.seeker = Seeker(next_attempt_at=now + core.settings.tuning["settle"] * first_attempt_delay(core, reason))
+            state.proposing_since = state.proposing_since or now
+            state.view_proposer = ViewProposer(next_attempt_at=now + core.settings.tuning["settle"] * first_attempt_delay(core, reason))
     elif state.view is not None and not reason:
-        state.seeker = state.seeking_since = None
+        state.view_proposer = state.proposing_since = None
 
 
 def first_attempt_delay(core: CoreContext, reason: str | None) -> float:
@@ -176,19 +176,19 @@
     return core.rng.random() + sealed_by_other
 
 
-def seek(core: CoreContext, now: timedelta) -> None:
+def advance_proposal(core: CoreContext, now: timedelta) -> None:
     """Start an attempt if one is due, and continue the current one."""
-    state, seeker = core.state, core.state.seeker
-    if seeker is None:
+    state, proposer = core.state, core.state.view_proposer
+    if proposer is None:
         return
-    seeker.highest = max(seeker.highest, state.register.promised)
-    if seeker.may_begin(now):
-        wanted = next_goal(core, now)
-        if wanted is None:
-            seeker.next_attempt_at = now + core.settings.tuning["beat"]
+    proposer.highest = max(proposer.highest, state.register.promised)
+    if proposer.may_begin(now):
+        proposal = next_proposal(core, now)
+        if proposal is None:
+            proposer.next_attempt_at = now + core.settings.tuning["beat"]
             return
-        run_actions(core, seeker.begin(wanted, now, core.rng), now)
-    actions = seeker.advance(
+        run_actions(core, proposer.begin(proposal, now, core.rng), now)
+    actions = proposer.advance(
         own_name=core.name,
         now=now,
         recruits_synced=state.recruits_synced,
@@ -201,24 +201,24 @@
 
 def on_answer(core: CoreContext, sender: str, message: Promise | Accepted | Rejected, now: timedelta) -> None:
     """Pass a witness's answer to the current round."""
-    seeker = core.state.seeker
-    if seeker is not None:
-        seeker.highest = max(seeker.highest, core.state.register.promised)
-        run_actions(core, seeker.answer(sender, message, now, core.settings.tuning, core.rng), now)
+    proposer = core.state.view_proposer
+    if proposer is not None:
+        proposer.highest = max(proposer.highest, core.state.register.promised)
+        run_actions(core, proposer.answer(sender, message, now, core.settings.tuning, core.rng), now)
 
 
 def run_actions(core: CoreContext, actions: list[Action], now: timedelta) -> None:
     """Run the actions that the seeker returned."""
     for action in actions:
         match action:
-            case Seal(wanted, nonce):
-                core.log("seek", epoch=wanted.view.epoch, recruits=",".join(wanted.recruits))
+            case Seal(proposal, nonce):
+                core.log("seek", epoch=proposal.view.epoch, recruits=",".join(proposal.recruits))
                 seal(core, nonce, now)
             case SendSnapshot(recruits, epoch, nonce):
                 snapshot = Snapshot(epoch, nonce, None, store.newer_items(core.state.store))
                 for name in recruits:
                     core.send(name, snapshot)
-            case AskWitnesses(witnesses, message):
+            case SendToWitnesses(witnesses, message):
                 for name in witnesses:
                     core.send(name, message)
             case AdoptView(view):
@@ -234,5 +234,5 @@
 
 def on_sealed(core: CoreContext, written: EpochSealed, succeeded: bool) -> None:
     """Notify the seeker that the seal is on disk."""
-    if succeeded and core.state.seeker is not None:
-        core.state.seeker.seal_written(written.nonce)
+    if succeeded and core.state.view_proposer is not None:
+        core.state.view_proposer.seal_written(written.nonce)
--- a/silverglade/control/plan.py
+++ b/silverglade/control/view_policy.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from datetime import timedelta
 
-from . import register, spread
-from .heartbeat import Peers
-from .spread import Places, Tolerance
+from . import placement, register
+from .peers import Peers
+from .placement import Places, Tolerance
 from .view import View, members
 from .view import disks as disks_of
 
@@ -20,7 +20,7 @@
     peers: Peers,
     sealed: int,
     eligible: bool,
-    torn: bool,
+    store_incomplete: bool,
     grace_elapsed: bool,
     now: timedelta,
 ) -> str | None:
@@ -48,7 +48,7 @@
             return "sealed"
     if sealed >= view.epoch:
         return "sealed"
-    return "torn" if torn else None
+    return "torn" if store_incomplete else None
 
 
 def live_disks(*, own_name: str, disk: str, peers: Peers, now: timedelta, names: Iterable[str]) -> dict[str, str]:
@@ -67,7 +67,7 @@
     if own_name != min(cores) or not all(peers.is_up(name, now) and peers.can_form_first_view(name) for name in others):
         return None
     disks = {own_name: disk, **{name: peers.table[name].disk for name in others}}
-    backups = spread.choose_backups(own_name=own_name, names=disks, current=(), places=places, tolerance=tolerance)
+    backups = placement.choose_backups(own_name=own_name, names=disks, current=(), places=places, tolerance=tolerance)
     return View(1, own_name, backups, tuple(sorted(disks.items()))) if backups else None
 
 
@@ -81,14 +81,14 @@
     """
     current = disks_of(view)
     disks = {name: live[name] if name in live else current[name] for name in names or current}
-    backups = spread.choose_backups(
+    backups = placement.choose_backups(
         own_name=own_name,
         names=[name for name in live if name in disks],
         places=places,
         tolerance=tolerance,
         current=[name for name in members(view) if live.get(name) == current.get(name)],
     )
-    if backups is None or len(backups) < min(spread.backup_count(tolerance), len(disks) // 2):
+    if backups is None or len(backups) < min(placement.backup_count(tolerance), len(disks) // 2):
         return None
     return View(view.epoch + 1, own_name, backups, tuple(sorted(disks.items())))
 
@@ -117,7 +117,7 @@
     if any(name not in leaving and not peers.is_lost(name, now, listening_since(name)) for name in away):
         return None
     gone = {name for name in away if peers.is_silent(name, now, listening_since(name), forget)}
-    return spread.choose_witnesses(current=tuple(current), live=live, gone=gone, leaving=leaving, places=places, tolerance=tolerance)
+    return placement.choose_witnesses(current=tuple(current), live=live, gone=gone, leaving=leaving, places=places, tolerance=tolerance)
 
 
 def better_view(
@@ -135,7 +135,7 @@
         return None
 
     def score(backups: tuple[str, ...]) -> tuple[int, int]:
-        return sum(spread.losses_tolerated((own_name, *backups), need=1, places=places, tolerance=tolerance)), len(backups)
+        return sum(placement.losses_tolerated((own_name, *backups), need=1, places=places, tolerance=tolerance)), len(backups)
 
     return new if new.witnesses != view.witnesses or score(new.backups) > score(view.backups) else None
 
@@ -153,6 +153,6 @@
     if own_name in members(view):
         return False
     current = tuple(disks_of(view))
-    return own_name not in current or own_name in spread.choose_witnesses(
+    return own_name not in current or own_name in placement.choose_witnesses(
         current=current, live=staying, gone=(), leaving=(own_name,), places=places, tolerance=tolerance
     )
--- a/silverglade/control/seek.py
+++ b/silverglade/control/view_proposer.py
@@ -29,7 +29,7 @@
 disk, must not use the same ballot, or a late acceptance for the first would count for the second."""
 
 
-class Goal(NamedTuple):
+class ViewProposal(NamedTuple):
     """The view to propose as the successor of `base`. Its recruits get a copy of the store first."""
 
     base: View | None
@@ -37,7 +37,7 @@
     recruits: tuple[str, ...]
 
 
-class Step(Enum):
+class ProposalStage(Enum):
     """The stage of an attempt."""
 
     IDLE = "rest"
@@ -49,7 +49,7 @@
 class Seal(NamedTuple):
     """Action: seal the epoch on disk, then call `Seeker.seal_written` with this nonce."""
 
-    goal: Goal
+    proposal: ViewProposal
     nonce: int
 
 
@@ -61,7 +61,7 @@
     nonce: int
 
 
-class AskWitnesses(NamedTuple):
+class SendToWitnesses(NamedTuple):
     """Action: send this message to these witnesses."""
 
     witnesses: tuple[str, ...]
@@ -74,11 +74,11 @@
     view: View
 
 
-Action = Seal | SendSnapshot | AskWitnesses | AdoptView
+Action = Seal | SendSnapshot | SendToWitnesses | AdoptView
 
 
 @dataclass(slots=True)
-class Seeker:
+class ViewProposer:
     """One member's attempts to have a new view chosen.
 
     `goal` is set in every step but IDLE; `round` is set in ROUND once the prepare request was sent.
@@ -92,8 +92,8 @@
     """
 
     next_attempt_at: timedelta
-    step: Step = Step.IDLE
-    goal: Goal | None = None
+    stage: ProposalStage = ProposalStage.IDLE
+    proposal: ViewProposal | None = None
     started_at: timedelta | None = None
     nonce: int = 0
     sealed: bool = False
@@ -103,20 +103,20 @@
 
     def may_begin(self, now: timedelta) -> bool:
         """Return whether a new attempt may start."""
-        return self.step is Step.IDLE and now >= self.next_attempt_at
+        return self.stage is ProposalStage.IDLE and now >= self.next_attempt_at
 
-    def begin(self, goal: Goal, now: timedelta, rng: random.Random) -> list[Action]:
+    def begin(self, proposal: ViewProposal, now: timedelta, rng: random.Random) -> list[Action]:
         """Start an attempt; return its first actions."""
-        self.goal, self.started_at, self.nonce, self.round, self.sealed = goal, now, rng.getrandbits(48), None, False
-        if not goal.recruits:
-            self.step = Step.ROUND
+        self.proposal, self.started_at, self.nonce, self.round, self.sealed = proposal, now, rng.getrandbits(48), None, False
+        if not proposal.recruits:
+            self.stage = ProposalStage.ROUND
             return []
-        self.step = Step.SEAL
-        return [Seal(goal, self.nonce)]
+        self.stage = ProposalStage.SEAL
+        return [Seal(proposal, self.nonce)]
 
-    def awaits(self, epoch: int, nonce: int) -> bool:
+    def awaits_copy(self, epoch: int, nonce: int) -> bool:
         """Return whether a confirmation of a synced copy belongs to the current attempt; late ones are dropped."""
-        return self.goal is not None and (epoch, nonce) == (self.goal.view.epoch, self.nonce)
+        return self.proposal is not None and (epoch, nonce) == (self.proposal.view.epoch, self.nonce)
 
     def seal_written(self, nonce: int) -> None:
         """Record that a seal is on disk; only the seal of the current attempt counts."""
@@ -137,36 +137,36 @@
         :param recruits_synced: maps (core, epoch, nonce) of each synced copy to the disk that holds it.
         :param is_up: returns whether a core is up.
         """
-        if self.goal is None or self.started_at is None:
+        if self.proposal is None or self.started_at is None:
             return []
         actions: list[Action] = []
-        if self.step is Step.SEAL and self.sealed:
-            self.step, self.copied_at = Step.COPY, None
-        if self.step is Step.COPY:
-            actions += self.copy(self.goal, now, recruits_synced, tuning)
-        if self.step is Step.ROUND and self.round is None:
+        if self.stage is ProposalStage.SEAL and self.sealed:
+            self.stage, self.copied_at = ProposalStage.COPY, None
+        if self.stage is ProposalStage.COPY:
+            actions += self.copy_to_recruits(self.proposal, now, recruits_synced, tuning)
+        if self.stage is ProposalStage.ROUND and self.round is None:
             number = self.highest.number + 1 + rng.getrandbits(BALLOT_RANDOM_BITS)
             self.started_at = now
-            self.round = Round(ballot=Ballot(number, own_name), base=self.goal.base, want=self.goal.view)
-            actions.append(self.ask(self.goal, self.round.begin()))
+            self.round = Round(ballot=Ballot(number, own_name), base=self.proposal.base, preferred=self.proposal.view)
+            actions.append(self.request_to_voters(self.proposal, self.round.begin()))
         if (
-            self.step is Step.COPY
+            self.stage is ProposalStage.COPY
             and now - self.started_at <= COPY_TIMEOUT_TAKEOVERS * tuning["takeover"]
-            and all(map(is_up, self.goal.recruits))
+            and all(map(is_up, self.proposal.recruits))
         ):
             return actions  # a large copy on a slow link would not arrive sooner if it were restarted
-        if self.step is not Step.IDLE and now - self.started_at > tuning["takeover"]:
+        if self.stage is not ProposalStage.IDLE and now - self.started_at > tuning["takeover"]:
             self.retry_later(now, tuning, rng)
         return actions
 
-    def copy(
-        self, goal: Goal, now: timedelta, recruits_synced: Mapping[tuple[str, int, int], str], tuning: Mapping[str, Any]
+    def copy_to_recruits(
+        self, proposal: ViewProposal, now: timedelta, recruits_synced: Mapping[tuple[str, int, int], str], tuning: Mapping[str, Any]
     ) -> list[Action]:
         """Send the store, repeatedly, to the recruits that have not synced it; once all have, proceed to the round."""
-        epoch, wanted_disks = goal.view.epoch, disks(goal.view)
-        missing = tuple(name for name in goal.recruits if recruits_synced.get((name, epoch, self.nonce)) != wanted_disks[name])
+        epoch, wanted_disks = proposal.view.epoch, disks(proposal.view)
+        missing = tuple(name for name in proposal.recruits if recruits_synced.get((name, epoch, self.nonce)) != wanted_disks[name])
         if not missing:
-            self.step = Step.ROUND
+            self.stage = ProposalStage.ROUND
         elif self.copied_at is None or now - self.copied_at >= tuning["takeover"] / 2:
             self.copied_at = now
             return [SendSnapshot(missing, epoch, self.nonce)]
@@ -176,15 +176,15 @@
         self, sender: str, message: Promise | Accepted | Rejected, now: timedelta, tuning: Mapping[str, Any], rng: random.Random
     ) -> list[Action]:
         """Handle a witness's answer to the round; return the next actions."""
-        if self.step is not Step.ROUND or self.round is None or self.goal is None:
+        if self.stage is not ProposalStage.ROUND or self.round is None or self.proposal is None:
             return []
         if isinstance(message, Rejected):
             self.highest = max(self.highest, message.promised)
         match self.round.answer(sender, message):
             case Accept() as accept:
-                return [self.ask(self.goal, accept)]
+                return [self.request_to_voters(self.proposal, accept)]
             case Chosen(view) | Superseded(view):
-                self.step, self.next_attempt_at = Step.IDLE, now + tuning["settle"]
+                self.stage, self.next_attempt_at = ProposalStage.IDLE, now + tuning["settle"]
                 return [AdoptView(view)]
             case Preempted():
                 self.retry_later(now, tuning, rng)
@@ -192,9 +192,9 @@
 
     def retry_later(self, now: timedelta, tuning: Mapping[str, Any], rng: random.Random) -> None:
         """End the attempt and back off for a random time, so that two seekers do not pre-empt each other forever."""
-        self.step, self.next_attempt_at = Step.IDLE, now + tuning["settle"] * rng.random() + MIN_RETRY_DELAY
+        self.stage, self.next_attempt_at = ProposalStage.IDLE, now + tuning["settle"] * rng.random() + MIN_RETRY_DELAY
 
     @staticmethod
-    def ask(goal: Goal, message: Prepare | Accept) -> AskWitnesses:
+    def request_to_voters(proposal: ViewProposal, message: Prepare | Accept) -> SendToWitnesses:
         """Return the action that sends a request to the voters: the witnesses of the base, or of the view itself if there is no base."""
-        return AskWitnesses(tuple(sorted(disks(goal.base or goal.view))), message)
+        return SendToWitnesses(tuple(sorted(disks(proposal.base or proposal.view))), message)
--- a/silverglade/control/witness.py
+++ b/silverglade/control/witness.py
@@ -6,9 +6,9 @@
 
 from . import register, view_change
 from .context import CoreContext
+from .disk_writes import Outgoing, SendIfSynced, meta_puts
 from .messages import Accept, Accepted, Prepare, Promise, Rejected
 from .register import Register
-from .writes import Outgoing, SendIfSynced, meta_puts
 
 
 def on_prepare(core: CoreContext, sender: str, message: Prepare, now: timedelta) -> None:
--- a/silverglade/testbed/model_checker/machine.py
+++ b/silverglade/testbed/model_checker/machine.py
@@ -13,7 +13,7 @@
 import ormsgpack
 
 from ...control import core as control
-from ...control.values import SHARED_FIELD, canonical_form, mutable_fields
+from ...control.state_copy import SHARED_FIELD, canonical_form, mutable_fields
 
 Event = tuple[Any, ...]
 Effects = tuple[Any, ...]
--- a/tests/control/test_control_guards.py
+++ b/tests/control/test_control_guards.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from silverglade.control import seek
+from silverglade.control import view_proposer
 
 from ..support.source_mutation import without
 from . import test_control_safety as safety
@@ -13,7 +13,7 @@
         "a late duplicate of the opening snapshot is accepted",
         safety.test_a_late_snapshot_never_undoes_a_synced_change,
         "snapshots",
-        "if state.served == view.epoch and newest < newest_version(state.store):",
+        "if state.store_epoch == view.epoch and newest < newest_version(state.store):",
         "if False:",
         "accept_opening",
     ),
@@ -37,8 +37,8 @@
         "a sealed backup confirms changes",
         safety.test_a_recruited_member_confirms_no_more_changes_of_its_view,
         "replication",
-        "if state.served != change.epoch or state.sealed >= change.epoch:",
-        "if state.served != change.epoch:",
+        "if state.store_epoch != change.epoch or state.sealed >= change.epoch:",
+        "if state.store_epoch != change.epoch:",
         "on_replicate",
     ),
     (
@@ -116,7 +116,7 @@
     (
         "operations of a failed write are dropped",
         safety.test_after_a_failed_write_a_restarted_core_serves_no_gap_in_committed_items,
-        "serving",
+        "committed_items",
         "state.committed_unwritten = {**failed, **state.committed_unwritten}",
         "pass",
         "on_committed_items_written",
@@ -133,19 +133,19 @@
 
 
 def test_without_random_ballot_steps_a_ballot_is_used_twice(monkeypatch):
-    monkeypatch.setattr(seek, "BALLOT_RANDOM_BITS", 0)
+    monkeypatch.setattr(view_proposer, "BALLOT_RANDOM_BITS", 0)
     with pytest.raises(AssertionError):
         safety.test_two_processes_of_a_core_never_use_the_same_ballot()
 
 
 def test_without_waiting_for_the_seal_a_snapshot_is_sent(monkeypatch):
-    begin = seek.Seeker.begin
+    begin = view_proposer.ViewProposer.begin
 
     def hasty(self, *args):
         actions = begin(self, *args)
         self.sealed = True
         return actions
 
-    monkeypatch.setattr(seek.Seeker, "begin", hasty)
+    monkeypatch.setattr(view_proposer.ViewProposer, "begin", hasty)
     with pytest.raises(AssertionError):
         safety.test_no_snapshot_is_sent_before_the_seal_is_on_disk()
--- a/tests/control/test_core_leaves.py
+++ b/tests/control/test_core_leaves.py
@@ -31,6 +31,6 @@
 
 
 def test_a_member_that_exits_too_early_is_detected(monkeypatch):
-    monkeypatch.setattr("silverglade.control.plan.may_exit", lambda **_: True)
+    monkeypatch.setattr("silverglade.control.view_policy.may_exit", lambda **_: True)
     with pytest.raises(AssertionError):
         test_a_leaving_member_is_replaced_and_may_exit_within_seconds("primary", 0)
--- a/tests/control/test_core_state.py
+++ b/tests/control/test_core_state.py
@@ -9,8 +9,8 @@
 
 import pytest
 
+from silverglade.control import disk_writes, state_copy
 from silverglade.control import messages as control_messages
-from silverglade.control import values, writes
 from silverglade.control.core import ControlComponent, ControlCore, control_component
 from silverglade.control.messages import decode, encode
 from silverglade.control.view import Ballot, View
@@ -123,11 +123,11 @@
         c, _ = trials.one(trial, seed=1, size=3, tolerance=(1, 1, 1))
         assert c.faults == []
     assert seen >= {
-        writes.SendIfSynced,
-        writes.WholeStoreWritten,
-        writes.ChangeWrittenByPrimary,
-        writes.ChangeWrittenByBackup,
-        writes.EpochSealed,
+        disk_writes.SendIfSynced,
+        disk_writes.WholeStoreWritten,
+        disk_writes.ChangeWrittenByPrimary,
+        disk_writes.ChangeWrittenByBackup,
+        disk_writes.EpochSealed,
     }
 
 
@@ -151,7 +151,7 @@
         assert s.proofs.keys() | s.snapshot_synced_by <= set(view.backups if view else ())
         assert s.pending is None or view.primary == self.shell.machine.name
         assert not self.shell.machine.effects
-        monotonic = (view.epoch if view else 0, s.sealed, s.recruited, s.served, s.committed_version, s.register.promised)
+        monotonic = (view.epoch if view else 0, s.sealed, s.recruited, s.store_epoch, s.committed_version, s.register.promised)
         assert all(now >= was for now, was in zip(monotonic, self.monotonic))
         self.monotonic = monotonic
         return effects
@@ -182,7 +182,7 @@
     c = council.settled(seed=1, size=3, tolerance=(1, 1, 1))
     trials.primary_loses_power(c)
     c.run(2)
-    assert not any(" at 0x" in repr(values.canonical_form(m.state)) for m in machines(c))
+    assert not any(" at 0x" in repr(state_copy.canonical_form(m.state)) for m in machines(c))
 
 
 def make_machine():
--- a/tests/control/test_view_register.py
+++ b/tests/control/test_view_register.py
@@ -3,8 +3,8 @@
 import random
 
 from silverglade.control import register as rg
+from silverglade.control.decision_types import Apply
 from silverglade.control.decisions import decide
-from silverglade.control.judgements import Apply
 from silverglade.control.messages import Accept, Accepted, Prepare, Rejected
 from silverglade.control.operation_results import Refused
 from silverglade.control.operations import AssignRole, ConfigurationChange, Evacuate
@@ -50,7 +50,7 @@
         )
         assert is_view(want)
         reachable = [c for c in rg.disks(v) if r.random() < self.reach]  # the witnesses reachable in this round
-        self.rounds[b] = (rg.Round(ballot=b, base=v, want=want), reachable)
+        self.rounds[b] = (rg.Round(ballot=b, base=v, preferred=want), reachable)
         self.post(b, self.rounds[b][0].begin())
 
     def post(self, b, message):
@@ -152,8 +152,8 @@
     """With the guard removed, the witnesses of the proposed view vote instead of those of its base."""
     real = rg.Round
 
-    def careless(*, ballot, base, want):
-        return real(ballot=ballot, base=base._replace(witnesses=want.witnesses), want=want)
+    def careless(*, ballot, base, preferred):
+        return real(ballot=ballot, base=base._replace(witnesses=preferred.witnesses), preferred=preferred)
 
     monkeypatch.setattr(rg, "Round", careless)
     assert count_violations()
@@ -171,7 +171,7 @@
     reg = {c: rg.Register(base=v1 if c in "abc" else None) for c in names}
 
     def run(proposer_name, n, base, want, prep, acc):
-        proposer = rg.Round(ballot=Ballot(n, proposer_name), base=base, want=want)
+        proposer = rg.Round(ballot=Ballot(n, proposer_name), base=base, preferred=want)
         got = None
         for c in prep:
             reg[c], answer = rg.prepare(reg[c], proposer.begin(), disk=c)
--- a/tests/duties/test_usage_record.py
+++ b/tests/duties/test_usage_record.py
@@ -3,7 +3,7 @@
 import pytest
 
 from silverglade.control import decisions
-from silverglade.control.judgements import Apply
+from silverglade.control.decision_types import Apply
 from silverglade.control.operation_results import Refused
 from silverglade.control.operations import RecordUsage, decode_operation
 from silverglade.control.replicated_state import items_since, usage_record
--- a/tests/golden/core_store.py
+++ b/tests/golden/core_store.py
@@ -61,7 +61,7 @@
         "view": state.view,
         "epoch sealed": state.sealed,
         "epoch recruited for": state.recruited,
-        "epoch served": state.served,
+        "epoch served": state.store_epoch,
         "stored items": state.store,
         "items that may be told": state.committed_items,
         "version up to which they may be told": state.committed_version,
--- a/tests/system/test_safety_rules.py
+++ b/tests/system/test_safety_rules.py
@@ -212,7 +212,7 @@
                 "if item_version > version and not",
                 "if not",
                 "silverglade.control.replicated_state.items_since",
-                "silverglade.control.serving.items_since",
+                "silverglade.control.committed_items.items_since",
             ),
         ],
     ),
@@ -276,7 +276,7 @@
     (
         the_primary_and_an_owner_are_lost,
         "not-back",
-        [("silverglade.control.plan", "if grace_elapsed:", "if False:", "silverglade.control.plan.view_problem")],
+        [("silverglade.control.view_policy", "if grace_elapsed:", "if False:", "silverglade.control.view_policy.view_problem")],
     ),
 ]
 IDS = [c[0].__name__ for c in CASES]
--- a/tests/testbed/test_check_model.py
+++ b/tests/testbed/test_check_model.py
@@ -92,7 +92,7 @@
         {"acknowledged-lost"},
         cut(
             "snapshots",
-            "if state.served == view.epoch and newest < newest_version(state.store):",
+            "if state.store_epoch == view.epoch and newest < newest_version(state.store):",
             "if False:",
             "snapshots.accept_opening",
         ),
--- a/tests/testbed/test_control_cluster.py
+++ b/tests/testbed/test_control_cluster.py
@@ -2,8 +2,8 @@
 
 import pytest
 
+from silverglade.control import placement
 from silverglade.control import register as rg
-from silverglade.control import spread
 from silverglade.runtime.effects import milliseconds
 from silverglade.testbed.faults import control_faults as trials
 from silverglade.testbed.simulator import control_cluster as council
@@ -194,7 +194,7 @@
         VIEW_CHANGE,
         "    return problem",
         "    return None if problem == 'silent' else problem",
-        VIEW_CHANGE + ".reason_to_seek",
+        VIEW_CHANGE + ".view_change_reason",
     ),
     (
         "nobody steps aside when it leaves",
@@ -228,7 +228,7 @@
 
 
 def score(names, need, places=PLACES, tolerance=(2, 1, 1)):
-    return spread.losses_tolerated(names, need=need, places=places, tolerance=tolerance)
+    return placement.losses_tolerated(names, need=need, places=places, tolerance=tolerance)
 
 
 def test_a_set_of_cores_is_weighed_by_what_may_be_lost_of_it():
@@ -242,7 +242,7 @@
 
 def test_backups_are_spread_and_those_there_are_stay():
     def pick(me, names, was=(), tolerance=(2, 1, 1)):
-        return spread.choose_backups(own_name=me, names=names, current=was, places=PLACES, tolerance=tolerance)
+        return placement.choose_backups(own_name=me, names=names, current=was, places=PLACES, tolerance=tolerance)
 
     assert set(pick("a", "abcde", was="bc")) == {"b", "c"}
     assert set(pick("a", "abde")) & {"b", "e"}  # never d alone, which is in its region
@@ -252,7 +252,9 @@
 
 def test_witnesses_grow_while_that_bears_no_less_and_shrink_only_with_time():
     def pick(was, live, gone=(), tolerance=(2, 1, 1), places=PLACES):
-        return "".join(sorted(spread.choose_witnesses(current=tuple(was), live=live, gone=set(gone), places=places, tolerance=tolerance)))
+        return "".join(
+            sorted(placement.choose_witnesses(current=tuple(was), live=live, gone=set(gone), places=places, tolerance=tolerance))
+        )
 
     assert pick("abc", "abc") == "abc"
     assert pick("abc", "abcd") == "abc"  # four would not bear the region of a and d
@@ -279,8 +281,8 @@
         return len(c.acks) > n, {rg.epoch(c.cores[m].state.view) for m in c.named}
 
     assert play() == (False, {0})
-    guard = "return name in named and (first or formed_before)"
-    without(monkeypatch, STATE, guard, "return name in named", CONTROL + ".core.may_form_first_view")
+    guard = "return name in initial_cores and (first or formed_before)"
+    without(monkeypatch, STATE, guard, "return name in initial_cores", CONTROL + ".core.may_form_first_view")
     assert play()[0]
 
 
--- a/tests/testbed/test_second_loss.py
+++ b/tests/testbed/test_second_loss.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from silverglade.control import plan, spread
+from silverglade.control import placement, view_policy
 from silverglade.control.view import View
 from silverglade.testbed.experiments import second_loss as repairs
 
@@ -63,28 +63,33 @@
         assert faults == [] and seconds <= 8
 
 
-PLAN, SPREAD, HEARTBEAT, CHANGE = (f"silverglade.control.{m}" for m in ("plan", "spread", "heartbeat", "view_change"))
+POLICY, PLACEMENT, PEERS, CHANGE = (f"silverglade.control.{m}" for m in ("view_policy", "placement", "peers", "view_change"))
 BREACHES = [
     (
         "a witness that is gone for good counts on",
         (repairs.replace, repairs.replace_planned),
         GROWN,
         {"gap", "not-whole"},
-        (SPREAD, "if tolerated(best or current) < full_tolerance:", "if False:", SPREAD + ".choose_witnesses"),
+        (PLACEMENT, "if tolerated(best or current) < full_tolerance:", "if False:", PLACEMENT + ".choose_witnesses"),
     ),
     (
         "a member ends before another holds what it holds",
         (repairs.leave,),
         SMALL,
         {"left-its-view"},
-        (PLAN, "if own_name in members(view):\n        return False", "", PLAN + ".may_exit"),
+        (POLICY, "if own_name in members(view):\n        return False", "", POLICY + ".may_exit"),
     ),
     (
         "a witness ends before another has its place",
         (repairs.replace_planned,),
         SMALL,
         {"gap"},
-        (PLAN, "    current = tuple(disks_of(view))\n    return own_name not in current or", "    return True or", PLAN + ".may_exit"),
+        (
+            POLICY,
+            "    current = tuple(disks_of(view))\n    return own_name not in current or",
+            "    return True or",
+            POLICY + ".may_exit",
+        ),
     ),
     (
         "one that is away is waited for too long",
@@ -92,7 +97,7 @@
         SMALL,
         {"not-whole"},
         (
-            HEARTBEAT,
+            PEERS,
             'self.table.get(name), self.tuning["takeover"]',
             'self.table.get(name), self.tuning["takeover"] * 3',
             "silverglade.control.state.Peers",
@@ -117,7 +122,7 @@
 
     assert fell(range(8)) == []
     guard = "return peer.unhealthy_since is not None and"
-    without(monkeypatch, HEARTBEAT, guard, "return False and", "silverglade.control.state.Peers")
+    without(monkeypatch, PEERS, guard, "return False and", "silverglade.control.state.Peers")
     assert "not-back" in fell(range(24))
 
 
@@ -130,7 +135,7 @@
         return [fault for fault in faults if fault[1] == "not-whole"]
 
     assert never_whole(range(4)) == []
-    monkeypatch.setattr("silverglade.control.seek.COPY_TIMEOUT_TAKEOVERS", 0)
+    monkeypatch.setattr("silverglade.control.view_proposer.COPY_TIMEOUT_TAKEOVERS", 0)
     assert never_whole(range(8))
 
 
@@ -167,7 +172,9 @@
 
 
 def wanted(was, live, *, gone=(), leaving=(), tolerance=(2, 1, 1)):
-    return "".join(spread.choose_witnesses(current=tuple(was), live=live, gone=gone, leaving=leaving, places=PLACES, tolerance=tolerance))
+    return "".join(
+        placement.choose_witnesses(current=tuple(was), live=live, gone=gone, leaving=leaving, places=PLACES, tolerance=tolerance)
+    )
 
 
 def test_a_silent_witness_goes_at_once_where_the_others_bear_all_without_it():
@@ -184,12 +191,16 @@
 def test_who_leaves_ends_when_nothing_rests_on_it():
     def may_end(me, staying, members="ab", names="abc"):
         view = View(1, members[0], tuple(members[1:]), tuple((n, "d" + n) for n in names))
-        return plan.may_exit(own_name=me, view=view, staying=staying, places=PLACES, tolerance=(1, 1, 1))
+        return view_policy.may_exit(own_name=me, view=view, staying=staying, places=PLACES, tolerance=(1, 1, 1))
 
     assert not may_end("a", "bc") and not may_end("b", "ac") and not may_end("b", "c")  # members
     assert may_end("c", "ab")  # a witness whose place nobody can take
     assert not may_end("c", "abf")  # one whose place can be taken
-    assert may_end("f", "abc") and may_end("a", "") and plan.may_exit(own_name="a", view=None, staying="b", places={}, tolerance=(1, 1, 1))
+    assert (
+        may_end("f", "abc")
+        and may_end("a", "")
+        and view_policy.may_exit(own_name="a", view=None, staying="b", places={}, tolerance=(1, 1, 1))
+    )
 
 
 @pytest.mark.parametrize(
