--- a/silverglade/configuration/operator_api.py
+++ b/silverglade/configuration/operator_api.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 from typing import Any, ClassVar
 
-from ..control.operations import ConfigurationChange, Evacuate, ReadSource, ReopenShard, TableChange
+from ..control.operations import ConfigurationChange, Evacuate, NumberedConfigurationChange, ReadSource, ReopenShard
 from ..control.replicated_state import INITIAL_VERSION, value_of
 from ..membership.directory import addresses_for_client
 from ..membership.records import members_of
@@ -47,7 +47,7 @@
     status_report,
 )
 
-Operation = ConfigurationChange | TableChange | ReadSource | Evacuate | ReopenShard
+Operation = ConfigurationChange | NumberedConfigurationChange | ReadSource | Evacuate | ReopenShard
 
 
 class OperatorApi:
@@ -190,7 +190,7 @@
 
     def _replace_configuration_by_number(self, call: ApiCall, now: timedelta) -> list[Effect]:
         base, number, change_id, raw, source = call.arguments
-        return self._begin(call, change_id, TableChange(base, number, raw, source), now)
+        return self._begin(call, change_id, NumberedConfigurationChange(base, number, raw, source), now)
 
     def _read_source(self, call: ApiCall, now: timedelta) -> list[Effect]:
         return self._begin(call, "", ReadSource(), now)
--- a/silverglade/configuration/operator_calls.py
+++ b/silverglade/configuration/operator_calls.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from ..control.operation_results import Acknowledged, OutcomeUnknown, Redirected, Refused, Result, SourceRead, Stale
-from ..control.operations import TableChange
+from ..control.operations import NumberedConfigurationChange
 from ..runtime import result_codes
 from ..runtime.effects import ZERO, Effect, Reply, Send
 from ..runtime.record import Record
@@ -220,7 +220,7 @@
     A configuration with the operator's own version number is represented by its source text, because each daemon parses the text
     itself.
     """
-    if operation[0] == TableChange.TAG:
+    if operation[0] == NumberedConfigurationChange.TAG:
         kind, base, number, _, source = operation
         operation = (kind, base, number, source)
     return key_digest(repr(operation))
--- a/silverglade/control/committed_items.py
+++ b/silverglade/control/committed_items.py
@@ -56,7 +56,7 @@
 
 
 def proof_age_ms(core: CoreContext, now: timedelta) -> int:
-    """Return the age of the latest proof that the primary leads, in ms; -1 if there is none."""
+    """Return the age, by this core's clock, of the latest proof that the primary leads, in ms; -1 if there is none."""
     return -1 if core.state.proved_at is None else to_milliseconds(now - core.state.proved_at)
 
 
@@ -78,7 +78,7 @@
 
 
 def answer_update(core: CoreContext, request: HeldRequest, age: int, now: timedelta) -> None:
-    """Answer a request for updates; the core table appends the changes of soft state (design 4.3)."""
+    """Send the answer to a request for updates through the core table, which appends the changes of soft state (design 4.3)."""
     state = core.state
     for_core = request.sender == core.name or request.sender in core.others()
     items = items_since(state.committed_items, request.version, for_core=for_core)
--- a/silverglade/control/context.py
+++ b/silverglade/control/context.py
@@ -43,7 +43,7 @@
         return epoch_of(self.state.view)
 
     def others(self) -> list[str]:
-        """Return all other cores, sorted: those of the settings, those of the view, and the known ones."""
+        """Return all other cores, sorted: those of the settings, those of the view, and those learnt from membership or heartbeats."""
         return sorted(({*self.settings.initial_cores, *disks(self.state.view)} | self.state.known_cores) - {self.name})
 
     def led_view(self) -> View | None:
@@ -90,7 +90,7 @@
         self.write(store.rewrite_all(self.state.store), WholeStoreWritten(self.epoch), now)
 
     def publish_view(self) -> None:
-        """Publish the epoch and the members of the view to all daemons through membership."""
+        """Publish the epoch and the members of the view, if there is one, to all daemons through membership."""
         view = self.state.view
         if view is not None:
             self.post(Component.MEMBERSHIP, AttributeSet("view", (view.epoch, *members(view))))
--- a/silverglade/control/core.py
+++ b/silverglade/control/core.py
@@ -7,7 +7,7 @@
 - the register lets only one proposal win in each epoch;
 - a new primary opens its view only after its backups have synced the whole store under the new epoch.
 
-This module only dispatches events to transitions, and completed writes to their continuations. The transitions are functions in
+This module only dispatches events to transitions, and completed or failed writes to their continuations. The transitions are functions in
 the neighbouring modules; all operate on one typed state (state.py).
 """
 
@@ -55,7 +55,7 @@
     Accepted,
     ChosenView,
     CommittedItems,
-    Fence,
+    FencingTokenRequest,
     Heartbeat,
     Operation,
     Prepare,
@@ -108,7 +108,7 @@
         return effects
 
     def handle(self, event: Event, now: timedelta) -> None:
-        """Dispatch an event by its type."""
+        """Pass an event to the transition for its type."""
         match event:
             case TimerFired():
                 self.on_timer(now)
@@ -134,7 +134,7 @@
     def start_once(self, now: timedelta) -> None:
         """Initialise at the first event of this process, and publish the stored view.
 
-        After a power failure of all cores no other process publishes who is primary.
+        After a power failure of all cores no other process publishes the identity of the primary.
         """
         state, settings = self.state, self.settings
         if state.next_heartbeat is not None:
@@ -164,15 +164,15 @@
         if view is None or not self.state.writes.is_eligible or self.state.sealed >= view.epoch:
             return
         if self.state.open_epoch != view.epoch:
-            snapshots.send_opening(self, view, now)
+            snapshots.send_opening_snapshot(self, view, now)
         else:
             replication.replicate_again(self, view, now)
 
     def allow_exit_when_replaced(self) -> None:
         """Allow the exit of a leaving core, once, as soon as no view depends on it.
 
-        It may not exit while it is a recruit, since the view that names it may already be chosen, nor before this process knows any
-        other core, since it then cannot tell which of them are leaving too.
+        It may not exit while it is a recruit, since the view that names it may already be chosen, nor before this process has learnt
+        of any other core, since it then cannot determine which of them are leaving too.
         """
         state = self.state
         if state.writes.leaving and not state.exit_allowed and state.recruited <= self.epoch and state.known_cores | state.leaving:
@@ -191,7 +191,7 @@
                 liveness.on_heartbeat(self, sender, message, now)
             case UpdateRequest() | CommittedItems() | Pull():
                 self.on_serving_message(sender, message, now)
-            case Operation() | Fence() | Replicate() | Replicated():
+            case Operation() | FencingTokenRequest() | Replicate() | Replicated():
                 self.on_replication_message(sender, message, now)
             case Snapshot() if sender != self.name:
                 snapshots.on_snapshot(self, sender, message, now)
@@ -210,12 +210,14 @@
             case Pull():
                 committed_items.on_pull(self, sender, message)
 
-    def on_replication_message(self, sender: str, message: Operation | Fence | Replicate | Replicated, now: timedelta) -> None:
+    def on_replication_message(
+        self, sender: str, message: Operation | FencingTokenRequest | Replicate | Replicated, now: timedelta
+    ) -> None:
         """Dispatch a message about operations and their replication."""
         match message:
             case Operation():
                 replication.on_operation(self, sender, message)
-            case Fence():
+            case FencingTokenRequest():
                 replication.on_fence(self, sender, message)
             case Replicate():
                 replication.on_replicate(self, sender, message, now)
@@ -276,7 +278,7 @@
             liveness.send_heartbeat(self, name, now)
 
     def on_process_paused(self, now: timedelta) -> None:
-        """Discard heartbeats and proofs from before a pause of this process: they are no evidence of the present state."""
+        """Discard heartbeats and proofs from before a pause of this process: they do not show the present state."""
         self.log("proof-lost", shown=self.state.committed_version, age_ms=committed_items.proof_age_ms(self, now))
         self.state.proved_at, self.state.proposing_since = None, None
         self.state.awake_since = self.state.listening_since = now
--- a/silverglade/control/decision_types.py
+++ b/silverglade/control/decision_types.py
@@ -13,14 +13,14 @@
 
 @dataclass(slots=True)
 class Apply:
-    """The operation is accepted: these values are written to the store."""
+    """The operation is accepted; `values` are written to the store."""
 
     values: Values
 
 
 @dataclass(slots=True)
 class Read:
-    """The operation is a read: the client gets this text once the backups have confirmed the view."""
+    """The operation is a read: the client gets `source` once the backups have confirmed the view."""
 
     source: Any
 
--- a/silverglade/control/decisions.py
+++ b/silverglade/control/decisions.py
@@ -24,10 +24,10 @@
     DropRoles,
     Evacuate,
     FencedOperation,
+    NumberedConfigurationChange,
     ReadSource,
     RecordUsage,
     ReopenShard,
-    TableChange,
 )
 from .replicated_state import (
     CONFIGURATION_KEY,
@@ -76,9 +76,9 @@
     :param aged: the newest version whose outcomes have been kept for the retention time.
     :returns: the result for the client, and the items to write to the store.
     """
-    known = outcomes.find_outcome(store, change_id)
-    if known is not None:
-        return repeated_result(store, operation, change_id, digest, known), ()
+    recorded = outcomes.find_outcome(store, change_id)
+    if recorded is not None:
+        return repeated_result(store, operation, change_id, digest, recorded), ()
     decision = decide(store, operation, version)
     match decision:
         case Read(source):
@@ -86,7 +86,7 @@
         case Apply(values):
             items = tuple((key, version, value) for key, value in values)
             if change_id:
-                number = operation.number if isinstance(operation, TableChange) else 0
+                number = operation.number if isinstance(operation, NumberedConfigurationChange) else 0
                 items += (outcomes.outcome_item(change_id=change_id, digest=digest, version=version, number=number),)
                 items += outcomes.advanced_horizon(store, version=version, aged=aged)
             return Acknowledged(version), items
@@ -96,11 +96,11 @@
             return decision, ()
 
 
-def repeated_result(store: StoreView, operation: ControlOperation, change_id: str, digest: str, known: outcomes.Outcome) -> Result:
-    """Return the result of a repeated operation whose change id has the recorded outcome `known`."""
-    if known.digest != digest:
+def repeated_result(store: StoreView, operation: ControlOperation, change_id: str, digest: str, recorded: outcomes.Outcome) -> Result:
+    """Return the result of a repeated operation whose change id has the recorded outcome `recorded`."""
+    if recorded.digest != digest:
         return Refused(result_codes.CHANGE_USED, change_id)
-    return Acknowledged(known.version) if known.version != INITIAL_VERSION else refuse_future_base(store, operation)
+    return Acknowledged(recorded.version) if recorded.version != INITIAL_VERSION else refuse_future_base(store, operation)
 
 
 def refusal_items(store: StoreView, change_id: str, digest: str, version: Version, aged: Version) -> Items:
@@ -113,7 +113,7 @@
 
 def refuse_future_base(store: StoreView, operation: ControlOperation) -> Refused:
     """Refuse an operation whose base does not exist yet, and name the version or number in force."""
-    if isinstance(operation, TableChange):
+    if isinstance(operation, NumberedConfigurationChange):
         return base_conflict(configuration_number(store))
     return base_conflict(version_text(version_of(store, CONFIGURATION_KEY)))
 
@@ -137,8 +137,8 @@
     match operation:
         case ConfigurationChange():
             return decide_configuration(store, operation, version)
-        case TableChange():
-            return decide_table(store, operation, version)
+        case NumberedConfigurationChange():
+            return decide_numbered_configuration(store, operation, version)
         case ReadSource():
             return Read(value_of(store, SOURCE_KEY, ""))
         case Evacuate():
@@ -168,7 +168,7 @@
     return apply_if_store_fits(store, version, ((CONFIGURATION_KEY, configuration),))
 
 
-def decide_table(store: StoreView, operation: TableChange, version: Version) -> Decision:
+def decide_numbered_configuration(store: StoreView, operation: NumberedConfigurationChange, version: Version) -> Decision:
     """Evaluate a configuration change whose versions the operator numbers (design 15.2)."""
     held = configuration_number(store)
     if operation.base != held:
--- a/silverglade/control/disk_writes.py
+++ b/silverglade/control/disk_writes.py
@@ -59,7 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WholeStoreWritten:
-    """Continuation of a rewrite of the whole store in `epoch`: mark it whole or torn, and send the message if the write succeeded."""
+    """Continuation of a rewrite of the whole store in `epoch`.
+
+    It records whether the store on disk is complete, and sends the message, if there is one, if the write succeeded.
+    """
 
     epoch: int
     outgoing: Outgoing | None = None
@@ -81,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochSealed:
-    """Continuation of a write of the seal that the seeker's attempt with this nonce waits for."""
+    """Continuation of a write of the seal for the proposer's attempt with this nonce."""
 
     nonce: int
 
@@ -137,7 +140,10 @@
         return WriteToDisk((Component.CONTROL.value, self.last), tuple(operations))
 
     def check(self, now: timedelta) -> list[Effect]:
-        """Detect a write that takes too long, and probe a disk that is not writable; return the log and write effects."""
+        """Detect a write that takes too long, and probe a disk that is not writable; return the log and write effects.
+
+        Called at each timer event.
+        """
         stall = self.tuning["disk_stall"]
         effects: list[Effect] = []
         if self.is_disk_writable and any(now - write.started_at > stall for write in self.in_progress.values()):
--- a/silverglade/control/liveness.py
+++ b/silverglade/control/liveness.py
@@ -1,4 +1,4 @@
-"""Heartbeats between cores, and the proof that the primary still leads (design 5.10, 5.7)."""
+"""Sends and handles heartbeats between cores, and updates the proof that the primary still leads (design 5.10, 5.7)."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     )
 
 
-def own_echo(core: CoreContext, echo: int, now: timedelta) -> int:
+def echoed_send_time_ms(core: CoreContext, echo: int, now: timedelta) -> int:
     """Return when this process sent an echoed stamp, in ms of its clock; -1 if it did not send it.
 
     The stamp may be from an earlier process with a different clock, or from another core that had this address before.
@@ -45,7 +45,7 @@
     """Return whether this core sends regular heartbeats to the core `name` (design 5.10).
 
     The primary sends them to all cores, and every core sends them to the primary. A core that does not receive the primary's
-    heartbeats, or that seeks a view, sends them to all.
+    heartbeats, or that is proposing a view, sends them to all.
     """
     state, view = core.state, core.state.view
     if view is None or state.view_proposer is not None:
@@ -68,7 +68,7 @@
 def on_heartbeat(core: CoreContext, sender: str, heartbeat: Heartbeat, now: timedelta) -> None:
     """Handle a heartbeat of another core: answer it if needed, and update the proof that the primary leads."""
     state = core.state
-    heartbeat = heartbeat._replace(echo=own_echo(core, heartbeat.echo, now))
+    heartbeat = heartbeat._replace(echo=echoed_send_time_ms(core, heartbeat.echo, now))
     is_new, was_up = state.peers.disk(sender) != heartbeat.disk, state.peers.is_up(sender, now)
     state.peers.record_heartbeat(sender, heartbeat, now)
     state.known_cores.add(sender)
@@ -99,8 +99,8 @@
     backed, interval = core.backed_view(), core.settings.tuning["heartbeat"]
     if backed is not None and sender == backed.primary or heartbeat.echo < 0:
         return True
-    asks = heartbeat.epoch > core.epoch or not gets_regular_heartbeats(core, sender, now)
-    return bool(asks and now - core.state.heartbeat_sent.get(sender, -interval) >= interval / 2)
+    reply_expected = heartbeat.epoch > core.epoch or not gets_regular_heartbeats(core, sender, now)
+    return bool(reply_expected and now - core.state.heartbeat_sent.get(sender, -interval) >= interval / 2)
 
 
 def record_proof(core: CoreContext, view: View, backup: str, heartbeat: Heartbeat, now: timedelta) -> None:
--- a/silverglade/control/messages.py
+++ b/silverglade/control/messages.py
@@ -17,14 +17,14 @@
 class Heartbeat(NamedTuple):
     """The status of a core.
 
-    :ivar epoch: the epoch of the newest view that it knows to be chosen.
+    :ivar epoch: the epoch of the newest view that it has adopted; 0 for none.
     :ivar committed: the newest version that it has committed.
     :ivar eligible: whether it may be a member of a view: its disk is writable and it is not leaving.
     :ivar disk: the id of its disk.
     :ivar sealed: the newest epoch that it sealed.
     :ivar can_form: whether its disk is empty and it may form the first view.
     :ivar stamp: its clock, in ms, plus a random offset of its process.
-    :ivar echo: the newest stamp of the receiver that it has seen; -1 for none.
+    :ivar echo: the newest stamp that it has received from the recipient; -1 for none.
     :ivar age: the age of its proof that the primary leads, in ms; -1 for none.
     """
 
@@ -40,7 +40,7 @@
 
 
 class ChosenView(NamedTuple):
-    """A view that is known to be chosen."""
+    """Announces a view that is chosen; None if the sender has not adopted any view."""
 
     view: View | None
 
@@ -60,7 +60,12 @@
 
 
 class Promise(NamedTuple):
-    """A witness promises to reject lower ballots; with the view it has accepted so far, and the newest one it knows to be chosen."""
+    """A witness promises to reject lower ballots.
+
+    :ivar accepted: the ballot under which the witness accepted `view`.
+    :ivar view: the view that it has accepted as the successor of `base`; None if there is none.
+    :ivar base: the newest view that it knows to be chosen; None if there is none.
+    """
 
     ballot: Ballot
     disk: str
@@ -77,7 +82,7 @@
 
 
 class Rejected(NamedTuple):
-    """A witness rejects a ballot: it has promised a higher one, or knows a later base."""
+    """A witness rejects a ballot: it has promised a higher one, or knows that a view later than the base is chosen."""
 
     ballot: Ballot
     disk: str
@@ -94,7 +99,7 @@
 
 
 class SnapshotSynced(NamedTuple):
-    """A core has synced the snapshot to its disk, whose id is `disk`."""
+    """A core confirms that it has synced the snapshot with this nonce to its disk, whose id is `disk`."""
 
     epoch: int
     nonce: int
@@ -150,15 +155,15 @@
     digest: str
 
 
-class Fence(NamedTuple):
+class FencingTokenRequest(NamedTuple):
     """A client requests the fencing token of an operation without a base of its own (configuration/operator_calls.py)."""
 
     number: int
     operation: tuple[Any, ...]
 
 
-class Fenced(NamedTuple):
-    """The answer to `Fence`: the operation is accepted only while `version` is current."""
+class FencingTokenReply(NamedTuple):
+    """The answer to `FencingTokenRequest`: the operation is accepted only while `version` is current."""
 
     number: int
     version: Version
@@ -187,8 +192,8 @@
     | Pull
     | UpdateRequest
     | Operation
-    | Fence
-    | Fenced
+    | FencingTokenRequest
+    | FencingTokenReply
     | OperationResult
 )
 
@@ -222,8 +227,8 @@
     "pull": (Pull, (VERSION,)),
     "get": (UpdateRequest, (INT, VERSION, _any_value)),
     "op": (Operation, (INT, TEXT, ARRAY, TEXT)),
-    "fence": (Fence, (INT, ARRAY)),
-    "fenced": (Fenced, (INT, VERSION)),
+    "fence": (FencingTokenRequest, (INT, ARRAY)),
+    "fenced": (FencingTokenReply, (INT, VERSION)),
     "opr": (OperationResult, (INT, ARRAY)),
 }
 NAMES: dict[type, str] = {kind: name for name, (kind, _) in KINDS.items() if isinstance(kind, type)}
--- a/silverglade/control/operation_results.py
+++ b/silverglade/control/operation_results.py
@@ -47,7 +47,7 @@
 
 
 class Redirected(Record):
-    """The core that was asked is not the primary; `primary` is the primary that it knows, "" for none."""
+    """The core that received the operation is not the primary; `primary` is that of the newest view it has adopted, "" for none."""
 
     primary: str
 
@@ -57,7 +57,7 @@
 
 
 class OutcomeUnknown(Record):
-    """The operation may or may not have been accepted, or may yet be under a later view."""
+    """The operation may or may not have been accepted, or may still be accepted under a later view."""
 
     def encode(self) -> tuple[Any, ...]:
         """Return the array sent on the wire."""
--- a/silverglade/control/operations.py
+++ b/silverglade/control/operations.py
@@ -26,7 +26,7 @@
         return (self.TAG, self.base, self.raw)
 
 
-class TableChange(Record):
+class NumberedConfigurationChange(Record):
     """Replace a configuration whose versions the operator numbers (design 15.2).
 
     :ivar base: the operator's number of the configuration to replace; 0 for none.
@@ -168,7 +168,7 @@
 
 ControlOperation = (
     ConfigurationChange
-    | TableChange
+    | NumberedConfigurationChange
     | ReadSource
     | Evacuate
     | ReopenShard
@@ -185,8 +185,8 @@
     match raw:
         case (ConfigurationChange.TAG, base, configuration):
             return ConfigurationChange(base, configuration)
-        case (TableChange.TAG, base, number, configuration, source):
-            return TableChange(base, number, configuration, source)
+        case (NumberedConfigurationChange.TAG, base, number, configuration, source):
+            return NumberedConfigurationChange(base, number, configuration, source)
         case (ReadSource.TAG,):
             return ReadSource()
         case (Evacuate.TAG | ReopenShard.TAG, *_):
--- a/silverglade/control/peers.py
+++ b/silverglade/control/peers.py
@@ -1,6 +1,6 @@
-"""What a core knows about the other cores from their heartbeats (design 5.10).
+"""The last heartbeat of each other core, and whether a core is up, lost or silent according to it (design 5.10).
 
-A heartbeat carries the sender's clock (`stamp`) and the newest stamp of the receiver that it has seen (`echo`). This detects
+A heartbeat carries the sender's clock (`stamp`) and the newest stamp that it has received from the recipient (`echo`). This detects
 failures of either direction of a link: a core that can send but not receive is of no use as a member.
 """
 
@@ -20,7 +20,7 @@
     """The last heartbeat of another core, and what was derived from it.
 
     :ivar received_at: when the heartbeat arrived.
-    :ivar last_echoed: the newest time of this core's own clock that the peer has seen, or None.
+    :ivar last_echoed: when this core sent the newest of its heartbeats that the peer has received, by this core's clock; None if unknown.
     :ivar unhealthy_since: since when heartbeats have arrived without the peer being healthy (`Peers.is_healthy`), or None.
     """
 
@@ -36,21 +36,21 @@
 
 @dataclass(slots=True)
 class Peers:
-    """The other cores, by name.
+    """The last heartbeats of the other cores.
 
     :ivar tuning: time settings, shared by all components and never written here.
-    :ivar table: the last heartbeat of each core.
+    :ivar table: maps the name of each core to its last heartbeat.
     """
 
     tuning: Mapping[str, Any]
     table: dict[str, Peer] = field(default_factory=dict)
 
     def clear(self) -> None:
-        """Forget all heartbeats: after a pause of this process they are no evidence of the present state."""
+        """Discard all heartbeats: after a pause of this process they do not show the present state."""
         self.table.clear()
 
     def record_heartbeat(self, name: str, heartbeat: Heartbeat, now: timedelta) -> None:
-        """Record a heartbeat."""
+        """Replace the record of a core by one made from its newest heartbeat."""
         previous = self.table.get(name)
         peer = Peer(
             received_at=now,
@@ -65,7 +65,10 @@
         self.table[name] = replace(peer, unhealthy_since=None) if self.is_healthy(peer, now) else peer
 
     def is_healthy(self, peer: Peer, now: timedelta) -> bool:
-        """Return whether a core was recently heard from, has recently heard from this one, and is eligible as a member."""
+        """Return whether a peer is healthy.
+
+        Its last heartbeat is then recent, shows that it has recently received one from this core, and reports it as eligible.
+        """
         takeover, heartbeat = self.tuning["takeover"], self.tuning["heartbeat"]
         return bool(
             peer.eligible
@@ -84,7 +87,7 @@
         return peer.disk if peer else None
 
     def sealed(self, name: str) -> int:
-        """Return the newest epoch that a core reported as sealed; 0 if there was no heartbeat."""
+        """Return the newest epoch that a core reported as sealed; 0 if there is none or no heartbeat."""
         peer = self.table.get(name)
         return peer.sealed if peer else 0
 
--- a/silverglade/control/placement.py
+++ b/silverglade/control/placement.py
@@ -1,4 +1,4 @@
-"""Placement of witnesses and backups (design 5.9), so that any loss within the tolerance is survived.
+"""Placement of witnesses and backups (design 5.9), so that control survives any loss within the tolerance.
 
 `places` maps a core to (zone, region). `tolerance` is the number of (machines, zones, regions) that may be lost at once.
 """
@@ -77,9 +77,9 @@
 ) -> tuple[str, ...]:
     """Return the best set of witnesses, chosen from the current ones and the live cores.
 
-    A silent witness is removed only if a live core replaces it, if it has been `gone` for long, or if the live witnesses
+    A silent witness is removed only if a live core replaces it, if it is in `gone` (silent for long), or if the live witnesses
     provide the full tolerance without it but not with it. A live core is added if the set then tolerates no fewer losses. It is
-    removed only if the full tolerance is not provided with it and every witness is live, except those that are `leaving` and
+    removed only if the full tolerance is not provided with it and every witness is live, except those in `leaving` and
     those whose zone has another live core, which may be their replacement. Sets with fewer changes are preferred.
     """
     known = tuple(sorted((name, places[name]) for name in {*current, *live} if name in places))
--- a/silverglade/control/register.py
+++ b/silverglade/control/register.py
@@ -169,7 +169,7 @@
         return None
 
     def on_promise(self, sender: str, promise: Promise) -> Accept | Superseded | None:
-        """Count a promise; once there are enough, propose a value."""
+        """Count a promise; once enough voters have promised, return the request to accept a value."""
         if promise.base is not None and epoch(promise.base) > epoch(self.base):
             return Superseded(promise.base)
         self.promises[sender] = promise
@@ -182,7 +182,7 @@
         return Accept(self.ballot, self.base, self.value)
 
     def highest_accepted(self) -> View | None:
-        """Return the successor of the base accepted under the highest ballot among the promises; None if there is none."""
+        """Return the successor of the base that was accepted under the highest ballot among the promises; None if there is none."""
         follows = [p for p in self.promises.values() if epoch(p.view) == epoch(self.base) + 1]
         return max(follows, key=lambda p: p.accepted).view if follows else None
 
--- a/silverglade/control/replication.py
+++ b/silverglade/control/replication.py
@@ -8,7 +8,7 @@
 from . import committed_items, decisions, operations, store
 from .context import CoreContext
 from .disk_writes import ChangeWrittenByBackup, ChangeWrittenByPrimary, Outgoing
-from .messages import CommittedItems, Fence, Fenced, Operation, OperationResult, Replicate, Replicated
+from .messages import CommittedItems, FencingTokenReply, FencingTokenRequest, Operation, OperationResult, Replicate, Replicated
 from .operation_results import OutcomeUnknown, Redirected, Result, Stale
 from .operations import AssignRole, Evacuate, ReopenShard, decode_operation
 from .replicated_state import CONFIGURATION_KEY, Item, Items, Version, newest_version
@@ -58,7 +58,7 @@
     answer(core, (sender, number), Redirected(primary))
 
 
-def on_fence(core: CoreContext, sender: str, message: Fence) -> None:
+def on_fence(core: CoreContext, sender: str, message: FencingTokenRequest) -> None:
     """Send a client the fencing token for its operation.
 
     The token is read from memory, without confirmation by the backups. That is safe: a token that is too old, or whose change does
@@ -70,7 +70,7 @@
     elif view is not None and state.sealed < view.epoch:
         operation = decode_operation(message.operation)
         if isinstance(operation, Evacuate | ReopenShard):
-            core.send(sender, Fenced(message.number, decisions.fencing_token(state.store, operation)))
+            core.send(sender, FencingTokenReply(message.number, decisions.fencing_token(state.store, operation)))
 
 
 def is_waiting(core: CoreContext, client: Client) -> bool:
@@ -94,7 +94,7 @@
     """Queue an operation issued by this primary itself.
 
     It is dropped while other operations are queued or in flight, since the role assigner will decide again. It is accepted only
-    if the backups confirmed recently that this core leads: a partitioned primary knows too little about which daemons are live.
+    if the backups confirmed recently that this core leads: a partitioned primary lacks current information on which daemons are live.
     """
     state, takeover = core.state, core.settings.tuning["takeover"]
     is_leadership_recent = state.proved_at is not None and now - state.proved_at <= takeover
@@ -103,7 +103,10 @@
 
 
 def begin_next(core: CoreContext, now: timedelta) -> None:
-    """Start the next change if operations are queued, none is in flight, and this primary's view is open (design 5.4)."""
+    """Start the next change if operations are queued, none is in flight, and this primary's view is open (design 5.4).
+
+    Called at the end of each step.
+    """
     state = core.state
     if not state.queue or state.pending:
         return
--- a/silverglade/control/role_assigner.py
+++ b/silverglade/control/role_assigner.py
@@ -1,8 +1,8 @@
 """The role assigner, which assigns singleton roles to daemons (design 5.6).
 
 Each core runs one. Only the primary accepts the operations that it requests, and only if its backups confirmed recently that it
-leads (`replication.queue_internal`). A shard's follower is never changed here, since only the shard's owner knows whether its claims
-have been replicated.
+leads (`replication.queue_internal`). A shard's follower is never changed here, since only the shard's owner can determine whether its
+claims have been replicated.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
     """A state machine that reconciles the role holders in the store with the wanted ones.
 
     :ivar members: the live daemons.
-    :ivar store: the committed store, as this daemon knows it.
+    :ivar store: the committed store, as last received by this daemon.
     :ivar replica_zones: every registered replica with its zone.
     :ivar next_round: the time of the next reconciliation.
     :ivar unneeded_since: maps the key of each role that is not needed to the time since when.
--- a/silverglade/control/snapshots.py
+++ b/silverglade/control/snapshots.py
@@ -13,7 +13,7 @@
 from .view import View, disks, members
 
 
-def send_opening(core: CoreContext, view: View, now: timedelta) -> None:
+def send_opening_snapshot(core: CoreContext, view: View, now: timedelta) -> None:
     """Send a new primary's whole store to the backups that have not synced it; it replicates no change before they have."""
     state = core.state
     if state.store_on_disk is StoreOnDisk.INCOMPLETE:
@@ -54,17 +54,20 @@
 
 
 def on_snapshot(core: CoreContext, sender: str, snapshot: Snapshot, now: timedelta) -> None:
-    """Handle a snapshot from a primary that opens its view, or from a member that seeks a later one."""
+    """Install a snapshot from a primary that opens its view, or from a member that proposes a later one, unless it is out of date."""
     if snapshot.view is not None:
-        accepted = accept_opening(core, sender, snapshot, snapshot.view, now)
+        accepted = admit_opening_snapshot(core, sender, snapshot, snapshot.view, now)
     else:
-        accepted = accept_recruiting(core, snapshot)
+        accepted = admit_recruiting_snapshot(core, snapshot)
     if accepted:
         install_snapshot(core, sender, snapshot, now)
 
 
-def accept_opening(core: CoreContext, sender: str, snapshot: Snapshot, view: View, now: timedelta) -> bool:
-    """Return whether to accept a snapshot that opens a view with this core as backup. A late one must not undo synced changes."""
+def admit_opening_snapshot(core: CoreContext, sender: str, snapshot: Snapshot, view: View, now: timedelta) -> bool:
+    """Adopt the view that a snapshot opens with this core as backup; return False if the snapshot is not to be installed.
+
+    A late snapshot must not undo synced changes.
+    """
     state = core.state
     if snapshot.epoch != view.epoch or sender != view.primary or core.name not in view.backups:
         return False
@@ -78,11 +81,11 @@
     return True
 
 
-def accept_recruiting(core: CoreContext, snapshot: Snapshot) -> bool:
-    """Return whether to accept a snapshot that recruits this core for a later view.
+def admit_recruiting_snapshot(core: CoreContext, snapshot: Snapshot) -> bool:
+    """Seal the epoch for a snapshot that recruits this core for a later view; return False if the snapshot is not to be installed.
 
-    A member that is recruited seals its epoch, so it accepts no more changes in the current view. A core that leaves cannot be
-    recruited: it might exit before the view that depends on it is chosen.
+    Only a member of the current view has an epoch to seal; it then accepts no more changes in that view, and its operations are
+    abandoned. A core that leaves cannot be recruited: it might exit before the view that depends on it is chosen.
     """
     state = core.state
     if snapshot.epoch <= core.epoch or snapshot.epoch < state.recruited:
--- a/silverglade/control/state.py
+++ b/silverglade/control/state.py
@@ -1,4 +1,4 @@
-"""The state of a control core (design 5), as typed values that state_copy.py can copy and compare."""
+"""The state of a control core (design 5), as typed values that state_copy.py can copy and fingerprint."""
 
 from __future__ import annotations
 
@@ -174,7 +174,7 @@
     live_since: timedelta = ZERO
     heartbeat_sent: dict[str, timedelta] = field(default_factory=dict)
     # when the next round of heartbeats is due (None before the first event); since when this core has run without a pause in this
-    # view, has been seeking another view, and, as primary, should have received every core's heartbeats; whether the exit of this
+    # view, has been trying to change the view, and, as primary, should have received every core's heartbeats; whether the exit of this
     # daemon has been allowed
     next_heartbeat: timedelta | None = None
     awake_since: timedelta = ZERO
@@ -192,7 +192,8 @@
     # the latest time at which the primary is proved to have led; when the wait before the next pull of committed items started
     proved_at: timedelta | None = None
     pulled_at: timedelta | None = None
-    # view changes: the seeker; a better view; the epoch that this core sealed to propose the next; recruits that synced their copy
+    # view changes: the proposer, while this core tries to change the view; a view preferred to the current one; the epoch that this core
+    # sealed to propose the next; recruits that synced their copy
     view_proposer: ViewProposer | None = None
     better: BetterView | None = None
     sealed_by_self: int = 0
--- a/silverglade/control/store.py
+++ b/silverglade/control/store.py
@@ -1,4 +1,4 @@
-"""Operations on a core's store: applying items, and the disk operations and items to send that follow (design 5.4)."""
+"""Functions on a core's store: apply items, and derive the disk operations and the items to send (design 5.4)."""
 
 from __future__ import annotations
 
--- a/silverglade/control/view_change.py
+++ b/silverglade/control/view_change.py
@@ -1,4 +1,4 @@
-"""View changes (design 5.4, 5.9): adopting a chosen view, and seeking the next one."""
+"""View changes (design 5.4, 5.9): adopting a chosen view, and proposing the next one."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def adopt(core: CoreContext, view: View | None, now: timedelta) -> None:
-    """Adopt a view that is known to be chosen, unless it is older than the current one; lower epochs are refused from then on."""
+    """Adopt a view that is known to be chosen, unless the current one is as new; messages of lower epochs are refused from then on."""
     state = core.state
     if view is None or view.epoch <= core.epoch:
         return
@@ -46,7 +46,10 @@
 
 
 def view_change_reason(core: CoreContext, now: timedelta) -> str | None:
-    """Return the reason why this member should seek a new view; None if there is none (design 5.4)."""
+    """Return the reason why this member should propose a new view; None if there is none (design 5.4).
+
+    It is a result of `view_policy.view_problem`, or "better" if the primary prefers another view.
+    """
     state, tuning = core.state, core.settings.tuning
     problem = view_policy.view_problem(
         own_name=core.name,
@@ -67,7 +70,7 @@
 def listening_since(core: CoreContext, name: str) -> timedelta:
     """Return since when heartbeats of a core would have reached this one.
 
-    All cores send heartbeats to the primary. A backup gets them only from the primary, unless the backup seeks a view.
+    All cores send heartbeats to the primary. A backup gets them only from the primary, unless the backup is trying to change the view.
     """
     state = core.state
     if core.led_view():
@@ -119,7 +122,7 @@
 
 
 def next_proposal(core: CoreContext, now: timedelta) -> ViewProposal | None:
-    """Return the view that should be proposed now; None if there is none."""
+    """Return the proposal of the view that this core should lead next; None if there is none."""
     state, settings = core.state, core.settings
     if state.view is None:
         return first_proposal(core, now)
@@ -135,7 +138,7 @@
 
 
 def first_proposal(core: CoreContext, now: timedelta) -> ViewProposal | None:
-    """Return the very first view as the goal; an interrupted agreement on it is completed."""
+    """Return the proposal of the very first view; one that this core has already accepted as a witness is proposed again."""
     state, settings = core.state, core.settings
     if state.register.view is not None:
         return ViewProposal(None, state.register.view, ())
@@ -154,7 +157,7 @@
 
 
 def start_or_stop_proposing(core: CoreContext, now: timedelta) -> None:
-    """Start seeking another view if the current one does not work; stop once it works again."""
+    """Start proposing another view if the current one does not work; stop once it works again. Called at each timer event."""
     state, reason = core.state, view_change_reason(core, now)
     if state.view_proposer is None:
         if reason or state.view is None:
@@ -168,7 +171,7 @@
 def first_attempt_delay(core: CoreContext, reason: str | None) -> float:
     """Return the delay before the first attempt, in multiples of the setting `settle`.
 
-    If another member has sealed the epoch, it is already seeking a view, so this one waits longer.
+    If another member has sealed the epoch, it is already proposing a view, so this one waits longer.
     """
     if reason == "better":
         return 0
@@ -177,7 +180,7 @@
 
 
 def advance_proposal(core: CoreContext, now: timedelta) -> None:
-    """Start an attempt if one is due, and continue the current one."""
+    """Start an attempt if one is due, and continue the current one. Called at each timer event."""
     state, proposer = core.state, core.state.view_proposer
     if proposer is None:
         return
@@ -200,7 +203,7 @@
 
 
 def on_answer(core: CoreContext, sender: str, message: Promise | Accepted | Rejected, now: timedelta) -> None:
-    """Pass a witness's answer to the current round."""
+    """Pass a witness's answer to the current round, if there is one."""
     proposer = core.state.view_proposer
     if proposer is not None:
         proposer.highest = max(proposer.highest, core.state.register.promised)
@@ -208,7 +211,7 @@
 
 
 def run_actions(core: CoreContext, actions: list[Action], now: timedelta) -> None:
-    """Run the actions that the seeker returned."""
+    """Run the actions that the proposer returned."""
     for action in actions:
         match action:
             case Seal(proposal, nonce):
@@ -226,13 +229,13 @@
 
 
 def seal(core: CoreContext, nonce: int, now: timedelta) -> None:
-    """Seal the epoch: accept no more changes under it. The seeker continues once the seal is on disk."""
+    """Seal the epoch: accept no more changes under it. The proposer continues once the seal is on disk."""
     state = core.state
     state.sealed = state.sealed_by_self = core.epoch
     core.write(meta_puts(sealed=state.sealed), EpochSealed(nonce), now)
 
 
 def on_sealed(core: CoreContext, written: EpochSealed, succeeded: bool) -> None:
-    """Notify the seeker that the seal is on disk."""
+    """Notify the proposer that the seal is on disk."""
     if succeeded and core.state.view_proposer is not None:
         core.state.view_proposer.seal_written(written.nonce)
--- a/silverglade/control/view_policy.py
+++ b/silverglade/control/view_policy.py
@@ -1,4 +1,4 @@
-"""Policy of view changes (design 5.4, 5.9): when a member seeks a new view, and which one. Pure functions of a core's knowledge."""
+"""Policy of view changes (design 5.4, 5.9): when a member proposes a new view, and which one. All functions are pure."""
 
 from __future__ import annotations
 
@@ -24,14 +24,15 @@
     grace_elapsed: bool,
     now: timedelta,
 ) -> str | None:
-    """Return what is wrong with the view as one of its members sees it; None if nothing is.
+    """Return the fault of the view that one of its members detects; None if there is none.
 
     A core that is not an eligible member of the view, with the disk that the view names, gets None too.
 
     :param eligible: whether this core's disk accepts writes and the core is not leaving.
-    :param torn: whether the store on this core's disk is incomplete.
+    :param store_incomplete: whether the store on this core's disk is incomplete.
     :param grace_elapsed: whether the other members have had time to send a heartbeat.
-    :returns: "silent" (a monitored member is down), "emptied" (it has another disk), "sealed" (the epoch is sealed) or "torn".
+    :returns: "silent" (a monitored member is down), "emptied" (it has another disk), "sealed" (the epoch is sealed) or "torn" (the
+        store on this core's disk is incomplete).
     """
     if view is None or own_name not in members(view) or not eligible:
         return None
@@ -74,7 +75,7 @@
 def next_view(
     *, own_name: str, view: View, live: Mapping[str, str], places: Places, tolerance: Tolerance, names: Iterable[str] | None = None
 ) -> View | None:
-    """Return the view that member `own_name` would lead after `view`; None if too few cores are live.
+    """Return the successor of `view` with `own_name` as primary; None if too few cores are live.
 
     :param live: the live cores, with their disk ids.
     :param names: the witnesses of the new view; those of `view` by default. Each is named with its present disk.
@@ -109,7 +110,7 @@
 
     :param live: the live cores, with their disk ids.
     :param listening_since: returns since when heartbeats of a core would have reached this one.
-    :param leaving: the cores that announced their departure; they are not waited for.
+    :param leaving: the cores that announced their departure; the view change does not wait for their return.
     :param forget: a witness that is silent for this long is removed even if no live core can replace it.
     """
     current = disks_of(view)
@@ -125,7 +126,7 @@
 ) -> View | None:
     """Return a view that the primary of a working view should change to; None if there is no better one.
 
-    :param wanted: the witnesses that it should have; None while that is undecided.
+    :param wanted: the witnesses of the new view, as `next_witnesses` returned them; None while they are undecided.
     """
     current = disks_of(view)
     if wanted is None or sum(live.get(name) == held for name, held in current.items()) < register.majority(len(current)):
--- a/silverglade/control/view_proposer.py
+++ b/silverglade/control/view_proposer.py
@@ -1,7 +1,7 @@
-"""Proposing a new view (design 5.4): seal the epoch, copy the store to the recruits, then run a round of the register.
+"""Proposes a new view (design 5.4): seal the epoch, copy the store to the recruits, then run a round of the register.
 
-The seeker is a state machine of its own. The core advances it at each timer event and passes it each answer; it returns typed
-actions, which the core runs. It never writes or sends by itself.
+The proposer is a state machine of its own. The core advances it at each timer event and passes it each answer of a witness. It
+returns typed actions, which the core runs, and does no I/O itself.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 class Seal(NamedTuple):
-    """Action: seal the epoch on disk, then call `Seeker.seal_written` with this nonce."""
+    """Action: seal the epoch on disk, then call `ViewProposer.seal_written` with this nonce."""
 
     proposal: ViewProposal
     nonce: int
@@ -69,7 +69,7 @@
 
 
 class AdoptView(NamedTuple):
-    """Action: adopt this view, which is known to be chosen."""
+    """Action: adopt this view, which is chosen."""
 
     view: View
 
@@ -79,9 +79,9 @@
 
 @dataclass(slots=True)
 class ViewProposer:
-    """One member's attempts to have a new view chosen.
+    """One member's attempts to have a new view chosen. It exists only while the member tries to change the view.
 
-    `goal` is set in every step but IDLE; `round` is set in ROUND once the prepare request was sent.
+    `proposal` is set in every stage but IDLE; `round` is set in ROUND once the prepare request was sent.
 
     :ivar next_attempt_at: the earliest time of the next attempt.
     :ivar started_at: when this attempt started, or its round once that has started.
@@ -115,7 +115,10 @@
         return [Seal(proposal, self.nonce)]
 
     def awaits_copy(self, epoch: int, nonce: int) -> bool:
-        """Return whether a confirmation of a synced copy belongs to the current attempt; late ones are dropped."""
+        """Return whether a confirmation of a synced copy, with this epoch and nonce, belongs to the current attempt.
+
+        Others are late and are dropped.
+        """
         return self.proposal is not None and (epoch, nonce) == (self.proposal.view.epoch, self.nonce)
 
     def seal_written(self, nonce: int) -> None:
@@ -191,10 +194,10 @@
         return []
 
     def retry_later(self, now: timedelta, tuning: Mapping[str, Any], rng: random.Random) -> None:
-        """End the attempt and back off for a random time, so that two seekers do not pre-empt each other forever."""
+        """End the attempt and back off for a random time, so that two proposers do not pre-empt each other forever."""
         self.stage, self.next_attempt_at = ProposalStage.IDLE, now + tuning["settle"] * rng.random() + MIN_RETRY_DELAY
 
     @staticmethod
     def request_to_voters(proposal: ViewProposal, message: Prepare | Accept) -> SendToWitnesses:
-        """Return the action that sends a request to the voters: the witnesses of the base, or of the view itself if there is no base."""
+        """Return the action that sends a message to the voters: the witnesses of the base, or of the view itself if there is no base."""
         return SendToWitnesses(tuple(sorted(disks(proposal.base or proposal.view))), message)
--- a/tests/configuration/test_bad_input.py
+++ b/tests/configuration/test_bad_input.py
@@ -13,7 +13,7 @@
 from silverglade.control import store as stores
 from silverglade.control.decisions import settle
 from silverglade.control.operation_results import Acknowledged, Refused
-from silverglade.control.operations import TableChange
+from silverglade.control.operations import NumberedConfigurationChange
 from silverglade.http.app import app
 from silverglade.runtime.effects import milliseconds
 from silverglade.runtime.errors import RESULT_CODES
@@ -187,7 +187,7 @@
 
 
 def put(store, raw, text=""):
-    got, items = change(store, "c", TableChange(0, 1, raw, text or json.dumps(raw)), number=1)
+    got, items = change(store, "c", NumberedConfigurationChange(0, 1, raw, text or json.dumps(raw)), number=1)
     stores.apply(store, items)
     return got, items
 
@@ -230,11 +230,11 @@
     assert 3.8e6 < len(json.dumps(raw)) < 4 << 20
     store = {}
     assert isinstance(put(store, raw)[0], Acknowledged)
-    got, _ = change(store, "d", TableChange(1, 2, dict(raw, number=2), "t"), number=2)
+    got, _ = change(store, "d", NumberedConfigurationChange(1, 2, dict(raw, number=2), "t"), number=2)
     assert got == Acknowledged((1, 2))
     monkeypatch.setattr(wire, "MAX_FRAME_BYTES", 3 << 20)  # smaller frames: refused, and the configuration in force is unchanged
     monkeypatch.setattr(wire, "MAX_DECOMPRESSED_BYTES", 6 << 20)
-    got, items = change(store, "e", TableChange(1, 3, dict(raw, number=3), "t"), number=3)
+    got, items = change(store, "e", NumberedConfigurationChange(1, 3, dict(raw, number=3), "t"), number=3)
     assert got == Refused(513, "") and not items
 
 
--- a/tests/control/test_control_growth.py
+++ b/tests/control/test_control_growth.py
@@ -24,7 +24,7 @@
 def change(a, n):
     """Make one acknowledged change, with a heartbeat of a witness and a daemon's request for updates."""
     op = ("table", n - 1, n, dict(CFG, number=n), f"text {n}")
-    a.sent.clear(), a.told.clear()
+    a.sent.clear(), a.updates.clear()
     a.receive("edge", "op", n, f"id{n}", op, f"digest{n}")
     asked = a.last("repl")
     a.receive("b", "repd", 3, asked[2])
--- a/tests/control/test_control_guards.py
+++ b/tests/control/test_control_guards.py
@@ -15,7 +15,7 @@
         "snapshots",
         "if state.store_epoch == view.epoch and newest < newest_version(state.store):",
         "if False:",
-        "accept_opening",
+        "admit_opening_snapshot",
     ),
     (
         "a recruiting snapshot for the current view is accepted",
@@ -23,7 +23,7 @@
         "snapshots",
         "snapshot.epoch <= core.epoch or snapshot.epoch < state.recruited",
         "False",
-        "accept_recruiting",
+        "admit_recruiting_snapshot",
     ),
     (
         "a recruited member does not seal its epoch",
@@ -31,7 +31,7 @@
         "snapshots",
         "state.sealed = max(state.sealed, core.epoch)",
         "pass",
-        "accept_recruiting",
+        "admit_recruiting_snapshot",
     ),
     (
         "a sealed backup confirms changes",
@@ -47,7 +47,7 @@
         "snapshots",
         "not core.is_named_in(view) or ",
         "",
-        "accept_opening",
+        "admit_opening_snapshot",
     ),
     (
         "a backup confirms before its disk has synced",
@@ -111,7 +111,7 @@
         "liveness",
         "return sent if 0 <= sent <= to_milliseconds(now) else -1",
         "return echo",
-        "own_echo",
+        "echoed_send_time_ms",
     ),
     (
         "operations of a failed write are dropped",
@@ -141,11 +141,11 @@
 def test_without_waiting_for_the_seal_a_snapshot_is_sent(monkeypatch):
     begin = view_proposer.ViewProposer.begin
 
-    def hasty(self, *args):
+    def without_waiting(self, *args):
         actions = begin(self, *args)
         self.sealed = True
         return actions
 
-    monkeypatch.setattr(view_proposer.ViewProposer, "begin", hasty)
+    monkeypatch.setattr(view_proposer.ViewProposer, "begin", without_waiting)
     with pytest.raises(AssertionError):
         safety.test_no_snapshot_is_sent_before_the_seal_is_on_disk()
--- a/tests/control/test_control_late.py
+++ b/tests/control/test_control_late.py
@@ -69,7 +69,7 @@
         "snapshots",
         "snapshot.epoch <= core.epoch or snapshot.epoch < state.recruited",
         "False",
-        "accept_recruiting",
+        "admit_recruiting_snapshot",
     ),
     (
         "a change is accepted on any version",
--- a/tests/control/test_control_partitions.py
+++ b/tests/control/test_control_partitions.py
@@ -14,7 +14,7 @@
 class RefusalClient:
     """A client that repeatedly requests changes that one core must refuse: on an old base, or invalid.
 
-    A refusal names the number in force, which must not be lower than one acknowledged before the request.
+    A refusal names the number in force, which must not be lower than the highest number acknowledged before the request.
     """
 
     def __init__(self, c, name, at, invalid=True):
@@ -69,7 +69,7 @@
     c = council.settled(seed=seed, size=size, tolerance=tolerance)
     c.run(1)
     name = core_with_role(c, role)
-    judges = [RefusalClient(c, f"judge-{n}", n) for n in c.cores]
+    refusal_clients = [RefusalClient(c, f"judge-{n}", n) for n in c.cores]
     council.Operator(c, "here", at=name)
     reader = council.Operator(c, "reader", at=name, reads=1.0)
     cut(c, name, way)
@@ -80,7 +80,7 @@
     reader.open = False
     if c.run(20, until=c.sound) is None:
         c.bad("not-whole", c.view())
-    return c, served, sum(j.refusals for j in judges)
+    return c, served, sum(client.refusals for client in refusal_clients)
 
 
 @pytest.mark.parametrize("size,tolerance", SIZES)
@@ -108,7 +108,7 @@
     assert trials.served(c, trials.BACK)
     RefusalClient(
         c, "judge", x.name, invalid=False
-    )  # with invalid=True it might get a base that it does not know yet, whose refusal it would record and so have to replicate
+    )  # with invalid=True it might get a base that has not reached it, whose refusal it would record and so have to replicate
     c.run(3)
     return {b[1] for b in c.faults}
 
--- a/tests/control/test_control_safety.py
+++ b/tests/control/test_control_safety.py
@@ -21,11 +21,13 @@
 class SingleCore:
     """One core of the view, its disk (`tables`: the synced contents), and the messages it has sent.
 
-    full: its disk fails writes of more operations than this. stalled: None, or the writes that wait while the disk hangs.
+    :ivar full: the disk fails writes of more operations than this; None for no limit.
+    :ivar stalled: the writes that wait while the disk hangs; None if it does not hang.
+    :ivar updates: the answers to requests for updates.
     """
 
     def __init__(self, *, me="c", disk=None, tables=None, at=5.0, seed=1, view=VIEW, shown=(3, 4)):
-        self.me, self.now, self.full, self.sent, self.told = me, at, None, [], []
+        self.me, self.now, self.full, self.sent, self.updates = me, at, None, [], []
         self.disk, self.stalled = disk or me.upper(), None
         self.tables = tables if tables is not None else {"meta": {"reg": rg.Register(base=View(*view)).stored(), "shown": shown}}
         self.gen = start(
@@ -53,7 +55,7 @@
                     case ("post", "control", posted):
                         events.append(posted)
                     case ("post", "core_table", ("answer", _, request_update, _)):
-                        self.told.append(request_update)
+                        self.updates.append(request_update)
                     case ("disk", token, operations) if self.stalled is not None:
                         self.stalled.append((token, operations))
                     case ("disk", token, operations):
@@ -97,19 +99,19 @@
 
     def request_update(self, since=(0, 0)):
         """Request an update as a daemon that has version `since`; return (version, items, age of the proof)."""
-        n = len(self.told)
+        n = len(self.updates)
         self.receive("edge", "get", 1, since, None)
         self.now += 1.1
         self.feed(("pulse",))
-        assert len(self.told) == n + 1
-        return self.told[-1][2:5]
+        assert len(self.updates) == n + 1
+        return self.updates[-1][2:5]
 
 
 def test_a_stamp_of_an_earlier_process_is_no_proof():
     """c restarts with its monotonic clock reset, and a echoes a stamp that c's earlier process sent after 30 days of uptime."""
     c = SingleCore()
     c.heartbeat("a", echo=30 * 86400 * 1000, age=10)
-    assert c.request_update()[2] == -1  # the peer has seen nothing that this process sent
+    assert c.request_update()[2] == -1  # the peer has received nothing from this process
     c.heartbeat("a", echo=c.stamp("a"), age=10)
     assert 10 <= c.request_update()[2] <= 3000  # a proof is accepted at once, not only after 30 days of uptime
 
@@ -156,7 +158,7 @@
 
 
 def test_unexpected_snapshot_confirmations_are_not_stored():
-    """Memory must not grow with confirmations from a minority that seeks a view for days, or from an unknown sender."""
+    """Memory must not grow with confirmations from a minority that proposes a view for days, or from an unknown sender."""
     b = SingleCore(me="b")
     for nonce in range(500):
         b.receive("c", "snapok", 4, nonce, "C")
--- a/tests/control/test_control_staleness.py
+++ b/tests/control/test_control_staleness.py
@@ -18,10 +18,10 @@
 
 
 class CoreWithOwnClock:
-    """A core whose monotonic clock has a random offset in each process; reports the updates it sends to daemons to `told`."""
+    """A core whose monotonic clock has a random offset in each process; passes the updates that it sends to daemons to `on_update`."""
 
-    def __init__(self, part, offset, told):
-        self.part, self.offset, self.told = part, offset, told
+    def __init__(self, part, offset, on_update):
+        self.part, self.offset, self.on_update = part, offset, on_update
 
     def send(self, value):
         if value is None:
@@ -30,7 +30,7 @@
         effects = self.part.send((now + self.offset, event))
         for effect in effects:
             if effect[:2] == ("post", "core_table") and effect[2][0] == "answer":
-                self.told(now, effect[2][2])
+                self.on_update(now, effect[2][2])
         return effects
 
     @property
@@ -48,19 +48,19 @@
         def made(**kw):
             name = kw["name"]
             lives[name] = lives.get(name, 0) + 1
-            return CoreWithOwnClock(control_component(**kw), council.SEC * clock(rng, lives[name]), self.told)
+            return CoreWithOwnClock(control_component(**kw), council.SEC * clock(rng, lives[name]), self.on_update)
 
         monkeypatch.setattr(council, "control_component", made)
 
     def watch(self, c):
         self.c, answered = c, c.answered
 
-        def judged(client, frm, job, result):
+        def record_acknowledged(client, frm, job, result):
             answered(client, frm, job, result)
             if result[0] == "ok" and len(result) == 2:
                 self.acknowledged.append((c.now, result[1]))
 
-        c.answered = judged
+        c.answered = record_acknowledged
         self.ask()
 
     def ask(self):
@@ -68,8 +68,8 @@
             x.feed(("msg", "daemon", ("get", self.c.rng.getrandbits(40), (0, 0), None)))
         self.c.after(council.SEC / 4, self.ask)
 
-    def told(self, now, news):
-        _, _, version, items, age, _ = news
+    def on_update(self, now, update):
+        _, _, version, items, age, _ = update
         if age < 0 or self.c is None:
             return
         self.proofs += 1
@@ -148,7 +148,7 @@
             "return sent if 0 <= sent <= to_milliseconds(now) else -1",
         ),
         ("sent = echo", "stamp=to_milliseconds(now)", "return sent"),
-        ("own_echo", "send_heartbeat"),
+        ("echoed_send_time_ms", "send_heartbeat"),
     ),
     (
         "a proof counts for a core that has committed less",
--- a/tests/control/test_evacuations_in_partitions.py
+++ b/tests/control/test_evacuations_in_partitions.py
@@ -90,16 +90,16 @@
 
 
 def test_an_acknowledgement_before_replication_is_detected(monkeypatch):
-    def fell(seeds):
+    def fault_rules(seeds):
         return {
             fault[1]
             for seed in seeds
             for fault in evacuate_during_partition("primary", "both", size=3, tolerance=(1, 1, 1), seed=seed)[0].faults
         }
 
-    assert fell(range(4)) == set()
+    assert fault_rules(range(4)) == set()
     module = "silverglade.control.replication"
     old = "        if succeeded:\n            replicate(core, view, pending)"
     new = old + "\n            for told in pending.answers:\n                answer(core, told.client, told.result)"
     without(monkeypatch, module, old, new, module + ".on_written_by_primary")
-    assert fell(range(24)) & {"two-at-one-version", "acknowledged-and-undone", "both-won"}
+    assert fault_rules(range(24)) & {"two-at-one-version", "acknowledged-and-undone", "both-won"}
--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -8,7 +8,7 @@
 
 OPERATIONS = [
     (("config", (1, 2), {"zones": {}}), operations.ConfigurationChange((1, 2), {"zones": {}})),
-    (("table", 3, 4, {"zones": {}}, "text"), operations.TableChange(3, 4, {"zones": {}}, "text")),
+    (("table", 3, 4, {"zones": {}}, "text"), operations.NumberedConfigurationChange(3, 4, {"zones": {}}, "text")),
     (("read",), operations.ReadSource()),
     (("evac", "north", True), operations.Evacuate("north", True)),
     (("evac", "north", False, (1, 2)), operations.Evacuate("north", False, (1, 2))),
--- a/tests/control/test_view_register.py
+++ b/tests/control/test_view_register.py
@@ -114,15 +114,15 @@
 
 
 def count_violations(seeds=150, steps=6000):
-    fell = 0
+    violations = 0
     for seed in range(seeds):
         try:
             b = RegisterSimulation(seed)
             for _ in range(steps):
                 b.step()
         except AssertionError:
-            fell += 1
-    return fell
+            violations += 1
+    return violations
 
 
 def test_only_one_view_is_chosen_per_epoch_despite_loss_duplicates_and_emptied_disks():
@@ -152,15 +152,15 @@
     """With the guard removed, the witnesses of the proposed view vote instead of those of its base."""
     real = rg.Round
 
-    def careless(*, ballot, base, preferred):
+    def without_guard(*, ballot, base, preferred):
         return real(ballot=ballot, base=base._replace(witnesses=preferred.witnesses), preferred=preferred)
 
-    monkeypatch.setattr(rg, "Round", careless)
+    monkeypatch.setattr(rg, "Round", without_guard)
     assert count_violations()
 
 
 def complete_an_old_view():
-    """After views 2 and 3 were chosen, a proposer that knows neither completes view 2 with the old witnesses.
+    """After views 2 and 3 were chosen, a proposer that has learnt of neither completes view 2 with the old witnesses.
 
     Return the chosen view 3, and the view that a later round for epoch 3 chooses, or None.
     """
@@ -194,13 +194,13 @@
     chosen, again = complete_an_old_view()
     assert again in (None, chosen)
 
-    def careless(reg, message, /, *, disk):
+    def without_guard(reg, message, /, *, disk):
         ballot, base, view = message
         if ballot < reg.promised:
             return reg, Rejected(ballot, disk, reg.promised)
         return rg.Register(promised=ballot, base=base, accepted=ballot, view=view), Accepted(ballot, disk)
 
-    monkeypatch.setattr(rg, "accept", careless)
+    monkeypatch.setattr(rg, "accept", without_guard)
     chosen, again = complete_an_old_view()
     assert again not in (None, chosen)
 
--- a/tests/system/test_safety_rules.py
+++ b/tests/system/test_safety_rules.py
@@ -245,7 +245,7 @@
                 "if operation.base != held:",
                 "if False:",
                 "silverglade.control.decisions.decide_configuration",
-                "silverglade.control.decisions.decide_table",
+                "silverglade.control.decisions.decide_numbered_configuration",
             )
         ],
     ),
--- a/tests/testbed/test_check_model.py
+++ b/tests/testbed/test_check_model.py
@@ -94,7 +94,7 @@
             "snapshots",
             "if state.store_epoch == view.epoch and newest < newest_version(state.store):",
             "if False:",
-            "snapshots.accept_opening",
+            "snapshots.admit_opening_snapshot",
         ),
     ),
     (
@@ -138,7 +138,7 @@
             "decisions",
             NUMBER_IN_FORCE,
             ANY_NUMBER,
-            "decisions.decide_table",
+            "decisions.decide_numbered_configuration",
         ),
     ),
 ]
--- a/tests/testbed/test_control_cluster.py
+++ b/tests/testbed/test_control_cluster.py
@@ -176,7 +176,7 @@
     if not faults and not operation.number == configuration["number"] > held:""",
         """    configuration, faults = schema.parse_configuration(operation.raw)
     if False:""",
-        DECISIONS + ".decide_table",
+        DECISIONS + ".decide_numbered_configuration",
     ),
     (
         "another text is read than was sent",
@@ -185,7 +185,7 @@
         DECISIONS,
         "(SOURCE_KEY, operation.source)",
         '(SOURCE_KEY, operation.source + "?")',
-        DECISIONS + ".decide_table",
+        DECISIONS + ".decide_numbered_configuration",
     ),
     (
         "nobody takes over",
--- a/tests/testbed/test_second_loss.py
+++ b/tests/testbed/test_second_loss.py
@@ -208,7 +208,7 @@
     [
         ("core", " and state.recruited <= self.epoch", "tests.control.test_control_safety.control_component"),
         ("core", " and state.known_cores | state.leaving", "tests.control.test_control_safety.control_component"),
-        ("snapshots", "    if state.writes.leaving:\n        return False\n", "silverglade.control.snapshots.accept_recruiting"),
+        ("snapshots", "    if state.writes.leaving:\n        return False\n", "silverglade.control.snapshots.admit_recruiting_snapshot"),
     ],
 )
 def test_without_its_guard_a_recruit_leaves_too_early(module, old, target, monkeypatch):
