--- a/silverglade/control/snapshots.py
+++ b/silverglade/control/snapshots.py
@@ -84,8 +84,9 @@
 def admit_recruiting_snapshot(core: CoreContext, snapshot: Snapshot) -> bool:
     """Seal the epoch for a snapshot that recruits this core for a later view; return False if the snapshot is not to be installed.
 
-    Only a member of the current view has an epoch to seal; it then accepts no more changes in that view, and its operations are
-    abandoned. A core that leaves cannot be recruited: it might exit before the view that depends on it is chosen.
+    Only a member of the current view has an epoch to seal; it then accepts no more changes in that view. Operations that are
+    pending or queued at this core are abandoned. A core that leaves cannot be recruited: it might exit before the view that
+    depends on it is chosen.
     """
     state = core.state
     if snapshot.epoch <= core.epoch or snapshot.epoch < state.recruited:
