--- a/silverglade/control/writes.py
+++ b/silverglade/control/disk_writes.py
@@ -38,7 +38,7 @@
     "Outgoing",
     "SendIfSynced",
     "WholeStoreWritten",
-    "Writes",
+    "DiskWrites",
     "meta_puts",
 ]
 
@@ -59,7 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WholeStoreWritten:
-    """Continuation of a rewrite of the whole store in `epoch`: mark it whole or torn, and send the message if the write succeeded."""
+    """Continuation of a rewrite of the whole store in `epoch`.
+
+    It records whether the store on disk is complete, and sends the message, if there is one, if the write succeeded.
+    """
 
     epoch: int
     outgoing: Outgoing | None = None
@@ -81,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochSealed:
-    """Continuation of a write of the seal that the seeker's attempt with this nonce waits for."""
+    """Continuation of a write of the seal for the proposer's attempt with this nonce."""
 
     nonce: int
 
@@ -105,7 +108,7 @@
 
 
 @dataclass(slots=True)
-class Writes:
+class DiskWrites:
     """The writes in progress, by number, and whether this core is eligible as a member of a view.
 
     A core with a slow, full or failing disk is not eligible, nor is one that is leaving (SIGTERM), so that it is replaced before it
@@ -137,7 +140,10 @@
         return WriteToDisk((Component.CONTROL.value, self.last), tuple(operations))
 
     def check(self, now: timedelta) -> list[Effect]:
-        """Detect a write that takes too long, and probe a disk that is not writable; return the log and write effects."""
+        """Detect a write that takes too long, and probe a disk that is not writable; return the log and write effects.
+
+        Called at each timer event.
+        """
         stall = self.tuning["disk_stall"]
         effects: list[Effect] = []
         if self.is_disk_writable and any(now - write.started_at > stall for write in self.in_progress.values()):
