--- a/silverglade/configuration/updater.py
+++ b/silverglade/configuration/updater.py
@@ -200,9 +200,13 @@
     # --- requests
 
     def _request_updates(self, now: timedelta, *, urgent: bool = False) -> None:
-        """Request updates from a core, if there is any daemon to query.
+        """Request updates from the daemon that the selector chooses: a zone relay, a core or a seed; do nothing if there is none.
 
-        :param urgent: give the version before the one held, so that a core which holds the last change answers at once.
+        The request gives the version of the store held here. The queried daemon holds the request until it has a newer version or
+        other soft state, or until the wait is over.
+
+        :param urgent: give the version just before the one held instead, so that a core which has the version held here answers at
+            once: to it, that version is newer than the one given.
         """
         core = self._selector.select(now, last_queried=self._queried_core)
         if core is None:
@@ -217,7 +221,8 @@
             self._effects.append(Post(Component.MEMBERSHIP, QueriedCoreChanged(core)))
             self._effects.append(Post(Component.ZONE_RELAY, UpdateSourceChanged(core, self._selector.is_core_member(core))))
         version = version_before(self.store_version) if urgent else self.store_version
-        # sent only after membership has introduced this daemon to a newly selected core
+        # The request is not sent here but when this event comes back to the updater. Membership handles `QueriedCoreChanged` before that
+        # and sends a newly selected core this daemon's record, which contains its address.
         self._effects.append(Post(Component.UPDATER, UpdateRequestReady(core, number, version)))
 
     def _hedge(self, pending: PendingRequest, now: timedelta) -> None:
--- a/silverglade/control/core.py
+++ b/silverglade/control/core.py
@@ -132,9 +132,13 @@
                 replication.on_role_operations(self, event, now)
 
     def start_once(self, now: timedelta) -> None:
-        """Initialise at the first event of this process, and publish the stored view.
+        """Initialise this core at the first event of its process, and publish the stored view.
 
-        After a power failure of all cores no other process publishes the identity of the primary.
+        Called at every event; it does nothing after the first. A core that may form the first view and has no view yet notes `first` on
+        its disk, so that a restart without the setting `first` does not prevent it from forming that view (design 5.5).
+
+        The stored view is published because it tells all daemons which core is the primary: after a power failure of all cores, no
+        other process publishes this, and a core publishes its view otherwise only when it adopts a new one.
         """
         state, settings = self.state, self.settings
         if state.next_heartbeat is not None:
--- a/silverglade/control/witness.py
+++ b/silverglade/control/witness.py
@@ -25,7 +25,14 @@
 
 
 def vote(core: CoreContext, to: str, new_register: Register, answer: Promise | Accepted | Rejected, now: timedelta) -> None:
-    """Write the register to disk, then send the answer; send it at once if the register is unchanged."""
+    """Answer a prepare or accept request once the new register is on disk; answer at once if the register is unchanged.
+
+    The register is the witness's durable record of what it has promised and accepted. The answer must not be sent before the
+    register is on disk (design 5.2); if the write fails, no answer is sent.
+
+    :param to: the proposer that sent the request.
+    :param new_register: the register after the request; the same object as the current one if the request changed nothing.
+    """
     if new_register is core.state.register:
         core.send(to, answer)
         return
--- a/silverglade/duties/usage_counter.py
+++ b/silverglade/duties/usage_counter.py
@@ -123,7 +123,11 @@
         self._has_tenants = bool((value_of(event.store, CONFIGURATION_KEY) or {}).get("callers"))
 
     def _holder(self) -> Holder | None:
-        """Return the holder of the duty according to the local store; None if none is assigned."""
+        """Return the holder of the usage duty, to which the counts are sent; None if none is assigned.
+
+        Its name and token are the holder and the epoch of the duty's assignment in the local store. Its process id is from the member
+        list, and empty if the holder is not in that list.
+        """
         if self._assignment is None:
             return None
         name, token = self._assignment
--- a/silverglade/http/event_stream.py
+++ b/silverglade/http/event_stream.py
@@ -90,7 +90,14 @@
 
 
 def events_after(events: bytes, last_id: str) -> tuple[bytes, bool]:
-    """Return the events from the first with a number above `last_id` on, and whether there is one."""
+    """Skip the events up to the one with the id `last_id`; return the events after it, and whether there are any.
+
+    Called when a stream is resumed, for each group of complete events until one has been found, so that events which the client
+    already has are not sent to it again. The first event returned is the first whose id is a number above that of `last_id`; events
+    without a numeric id before it are skipped too. All events after it are returned, whatever their ids.
+
+    :param last_id: id of the last event that the client has. If it is not numeric, every event with a numeric id counts as new.
+    """
     last_number, position = event_number(last_id), 0
     while position < len(events):
         end = end_of_event(events, position)
--- a/silverglade/routing/reachability.py
+++ b/silverglade/routing/reachability.py
@@ -102,9 +102,15 @@
         return failures is not None and len(failures.replicas) >= FAILURES_UNTIL_UNREACHABLE
 
     def groups(self, replicas: list[AnyEndpoint], unreachable_by_region: Counter[str]) -> list[list[AnyEndpoint]]:
-        """Group the replicas by how likely their regions accept connections; replicas of unreachable regions are left out.
+        """Group the replicas by how likely their regions accept connections, the likeliest group first.
 
-        :param unreachable_by_region: region to the number of its replicas to which connections timed out for this request.
+        Called when a replica is chosen for a request. The first group holds the replicas of regions in which no connection has timed
+        out for this request, the second those of the other regions; a group without replicas is omitted. Replicas of unreachable
+        regions are left out, as are those of regions in which `FAILURES_UNTIL_UNREACHABLE` connections timed out for this request.
+        Without any failures, all replicas are in one group.
+
+        :param unreachable_by_region: region to the number of its replicas to which connections timed out for this request; regions
+            without such a replica are missing.
         """
         if not self.failures and not unreachable_by_region:
             return [replicas]
--- a/silverglade/routing/router.py
+++ b/silverglade/routing/router.py
@@ -269,7 +269,13 @@
             context.effects.append(Post(Component.MEMBERSHIP, AttributeSet("serves", True)))
 
     def answer_overdue_requests(self, now: timedelta) -> None:
-        """Answer requests whose deadline has passed and that have no open attempt."""
+        """Answer the requests whose deadline has passed and that have no open attempt. Called at each timer event.
+
+        An attempt is open from its start until the request forwarder reports its result, or until it is superseded. A request with an
+        open attempt is left to the request forwarder, which ends it shortly after the deadline of the attempt unless it has a result
+        before. The others are answered with `DEADLINE_PASSED` (status 504). `Attempts.give_up` makes two exceptions: a response that has
+        begun is aborted, and a request that may have run and is not repeatable is answered with `RESPONSE_LOST`.
+        """
         overdue = [request for request in self.context.requests.values() if now >= request.deadline and not request.open_attempts]
         for request in overdue:
             self.attempts.give_up(request, DEADLINE_PASSED)
--- a/silverglade/tenant_shards/messages.py
+++ b/silverglade/tenant_shards/messages.py
@@ -65,7 +65,12 @@
 
     @classmethod
     def of(cls, row: tuple[Any, ...]) -> GrantRequestFacts:
-        """Return the facts in a validated row; earlier versions send no client attempt, later ones may append fields."""
+        """Return the facts in the row `GrantRequest.facts`, which an ingress has sent.
+
+        Called by the owner for each grant request. The message schemas (transport/message_schemas.py) have checked the first four
+        values of the row, but none after them, since the ingress may run another version of this software: earlier versions send no
+        client attempt, later ones may append fields. A fifth value that is not an integer is therefore treated like a missing one.
+        """
         request_class, key, prefix, time_left_ms, *rest = row
         client_attempt = rest[0] if rest and type(rest[0]) is int else 0
         return cls(request_class, key, prefix, time_left_ms, client_attempt)
